--- a/daemon/map_manager.h
+++ b/daemon/map_manager.h
@@ -31,8 +31,8 @@
   ev_timer timer;
   bool leads;
   struct ash_time leads_since;
-  struct ash_rank_endpoint *boxes; /**< endpoints with an engine, by hash of their id */
-  struct ash_rank_group *groups;   /**< by name */
+  struct ash_rank_endpoint *endpoints; /**< endpoints with an engine, by hash of their id */
+  struct ash_rank_group *groups;       /**< by name */
   struct ash_layer_policy *policy;
   enum ash_counts_state counts_state;
   struct ash_time counts_since;          /**< when this state began */
@@ -54,26 +54,26 @@
   bool beyond_bounds_logged; /**< while this router leads */
 };
 
-void ash_map_manager_open (struct ash_map_manager *groups, struct ash_router *router);
+void ash_map_manager_open (struct ash_map_manager *manager, struct ash_router *router);
 
-void ash_map_manager_close (struct ash_map_manager *groups);
+void ash_map_manager_close (struct ash_map_manager *manager);
 
 /** The process was paused: all that it knows is old. */
-void ash_map_manager_resumed (struct ash_map_manager *groups);
+void ash_map_manager_resumed (struct ash_map_manager *manager);
 
 /** @return whether a group stands still until this router lets it go. */
-bool ash_map_manager_holds_step (const struct ash_map_manager *groups);
+bool ash_map_manager_holds_step (const struct ash_map_manager *manager);
 
 /** @return whether a change of a map is under way here: if this router is lost, a group may stand.
  */
-bool ash_map_manager_is_changing (const struct ash_map_manager *groups);
+bool ash_map_manager_is_changing (const struct ash_map_manager *manager);
 
 /** A stream at that endpoint has paused so long between two events. */
-void ash_map_manager_add_pause (struct ash_map_manager *groups,
+void ash_map_manager_add_pause (struct ash_map_manager *manager,
                                 uint64_t endpoint_hash,
                                 int64_t pause_ms);
 
 /** An endpoint is about to be freed. */
-void ash_map_manager_remove_endpoint (struct ash_map_manager *groups, uint64_t endpoint_hash);
+void ash_map_manager_remove_endpoint (struct ash_map_manager *manager, uint64_t endpoint_hash);
 
 #endif
--- a/daemon/rank_client.h
+++ b/daemon/rank_client.h
@@ -21,7 +21,7 @@
 struct ash_rank_call
 {
   struct ash_http_call call;
-  struct ash_rank_endpoint *box;
+  struct ash_rank_endpoint *endpoint;
   bool is_order;
   enum ash_rank_question question;
   struct ash_rank_order order;
@@ -35,13 +35,13 @@
 /** An endpoint with an engine. */
 struct ash_rank_endpoint
 {
-  struct ash_map_manager *groups;
+  struct ash_map_manager *manager;
   uint64_t hash;
   char address[ASH_DIRECT_NAME_BYTES];
   struct ash_http_pool pool;
   struct ash_rank_group *group; /* NULL: not known, or in none */
   uint32_t rank;
-  struct ash_time asked[3]; /* by question */
+  struct ash_time queried_at[3]; /* by question */
   struct ash_rank_call *calls;
   double pace; /* as it last told; 0: it has not */
   bool has_counts;
@@ -56,13 +56,13 @@
 {
   char name[ASH_GROUP_NAME_BYTES];
   struct ash_map_switch sw;
-  struct ash_rank_endpoint *boxes[ASH_LAYER_RANKS_MAX];
+  struct ash_rank_endpoint *endpoints[ASH_LAYER_RANKS_MAX];
   struct ash_layer_map map; /* in use */
-  bool listed[ASH_LAYER_RANKS_MAX];
+  bool has_lists[ASH_LAYER_RANKS_MAX];
   uint64_t listed_epoch;
-  struct ash_layer_map next;           /* that it is being changed to */
+  struct ash_layer_map next_map;       /* that it is being changed to */
   struct ash_rank_order encoded_order; /* the order that the text below is of, whatever its rank */
-  struct ash_buffer text;
+  struct ash_buffer order_body;
   struct ash_pass_watch watch;
   double skew;          /* that the map in use is believed to have */
   double next_map_skew; /* that the next one is */
@@ -75,7 +75,7 @@
 #define ASH_RANK_CALL_TIMEOUT_MS 400
 
 /** @return the one service whose engine has experts, or NULL. */
-const struct ash_route_service *ash_rank_service (const struct ash_map_manager *groups);
+const struct ash_route_service *ash_rank_service (const struct ash_map_manager *manager);
 
 /** @return whether the engine's layers, experts and slots are within what is kept here. */
 bool ash_rank_engine_fits (const struct ash_engine_facts *engine);
@@ -84,18 +84,18 @@
 bool ash_rank_group_map_is_known (const struct ash_rank_group *group);
 
 /** Asks a rank. */
-void ash_rank_query (struct ash_rank_endpoint *box, enum ash_rank_question question);
+void ash_rank_query (struct ash_rank_endpoint *endpoint, enum ash_rank_question question);
 
 /** Sends the orders that are due. */
-void ash_rank_group_send_orders (struct ash_rank_group *group, struct ash_map_manager *groups);
+void ash_rank_group_send_orders (struct ash_rank_group *group, struct ash_map_manager *manager);
 
 /** Gives up what was not answered in time. */
-void ash_rank_expire_calls (struct ash_rank_endpoint *box, struct ash_time now);
+void ash_rank_expire_calls (struct ash_rank_endpoint *endpoint, struct ash_time now);
 
-/** Frees a group; its boxes stay. */
-void ash_rank_group_free (struct ash_map_manager *groups, struct ash_rank_group *group);
+/** Frees a group; its endpoints stay. */
+void ash_rank_group_free (struct ash_map_manager *manager, struct ash_rank_group *group);
 
-/** Frees a box with all that is under way at it. */
-void ash_rank_endpoint_free (struct ash_map_manager *groups, struct ash_rank_endpoint *box);
+/** Frees a endpoint with all that is under way at it. */
+void ash_rank_endpoint_free (struct ash_map_manager *manager, struct ash_rank_endpoint *endpoint);
 
 #endif
