--- a/controllers/change_plan.c
+++ b/controllers/change_plan.c
@@ -2,27 +2,28 @@
 
 #include "controllers/pass_model.h"
 
-/* From a decision to the first pass with the new map, beside copying: orders to all ranks and
- * back twice, and the pass that is under way. 100 to 140 ms on groups of 8 to 32 ranks. */
+/* Time from a decision to the first pass with the new map, without the copying: two round trips of
+ * orders to all ranks, and the rest of the pass that is running. 100 to 140 ms on groups of 8 to
+ * 32 ranks. */
 #define CHANGE_OVERHEAD_MS 120
 
-/* Time lost by a change itself: the group stands between hold and go, and each rank reads
- * a map and answers orders. 20 to 60 ms are seen between hold and go. */
+/* Time lost by the change itself: the group is stalled between the hold and go orders (20 to
+ * 60 ms), and each rank parses a map and answers orders. */
 #define CHANGE_STALL_MS 40
 
-/* A map is better for the counts that it was drawn from than for those after them: on groups of 8
- * to 24 ranks, 0.05 to 0.1 of skew more is counted half a second later. */
+/* A map fits the token counts that it was computed from better than later ones: on groups of 8 to
+ * 24 ranks, the skew is 0.05 to 0.1 higher half a second later. */
 #define OVERFIT_SKEW 0.07
 
-/* Without a shift seen before, demand is expected to last a few seconds; it never is to end within
- * one. */
+/* Expected remaining time of the present demand before the interval between shifts is known, and
+ * its lower bound. */
 #define REMAINING_DEFAULT_MS 4000
 #define REMAINING_MIN_MS 1000
 
-/* Part of the newest interval in the mean. */
+/* Weight of the newest interval in the smoothed interval between shifts. */
 #define NEW_INTERVAL_WEIGHT 0.5
 
-/* Time lost a millisecond against even ranks. */
+/* Time lost per millisecond compared to evenly loaded ranks. */
 static double
 loss_rate (const struct ash_change_terms *terms, double skew)
 {
@@ -35,13 +36,14 @@
   return a < b ? a : b;
 }
 
-/* Copies for one change: the time until it is in use, and what is lost meanwhile. */
+/* Time until the map with so many new copies per rank is in use. */
 static double
 change_ms (const struct ash_change_terms *terms, uint32_t copies)
 {
   return CHANGE_OVERHEAD_MS + copies * terms->copy_ms;
 }
 
+/* Time lost to copying, which slows passes down, and to the stall of the group. */
 static double
 copy_loss (const struct ash_change_terms *terms, double skew, uint32_t copies)
 {
@@ -49,7 +51,8 @@
          CHANGE_STALL_MS;
 }
 
-/* One change of so many copies, then the rest, if there is any, in a second one. */
+/* Time lost if the first change makes @copies copies per rank and a second change, if @rest is not
+ * zero, makes @rest more. */
 static double
 expected_loss (const struct ash_change_terms *terms,
                double skew,
--- a/controllers/change_plan.h
+++ b/controllers/change_plan.h
@@ -1,50 +1,52 @@
 /**
  * @file
- * Whether a change of a group's expert map pays, and how many copies a rank it is to begin with:
- * the least loss of time over what is left of the present demand. A few copies are in use soon,
- * the rest follows in a further change; where copying is quick against all else that a change
- * takes, one change with all copies is better.
+ * Decides whether a change of a group's expert map is worth its cost, and how many experts each
+ * rank copies in the first change. The plan minimizes the time lost while the present demand is
+ * expected to last. A small first change takes effect soon and a second one follows with the other
+ * copies; if copying is fast compared to the fixed cost of a change, one change with all copies is
+ * better.
  */
 #ifndef ASH_CHANGE_PLAN_H
 #define ASH_CHANGE_PLAN_H
 
 #include "common/clock.h"
 
-/** Copies a rank that are weighed for one change, at most. */
+/** Maximum number of expert copies per rank in one change. */
 #define ASH_CHANGE_COPIES_MAX 8
 
-/** What a change costs, and how long its gain lasts. */
+/** The cost of a change and the time during which it brings a gain. */
 struct ash_change_terms
 {
-  double copy_ms;         /**< a rank copies one expert */
-  double expert_fraction; /**< of a pass of even ranks: what grows with skew */
-  double remaining_ms;    /**< the present demand goes on so long */
-  /** Of each rank: it takes so many times as long as usual; NULL: none is slow. */
+  double copy_ms;         /**< time that a rank takes to copy one expert */
+  double expert_fraction; /**< fraction, 0 to 1, of a pass with evenly loaded ranks that grows
+                                with the skew */
+  double remaining_ms;    /**< expected remaining time of the present demand */
+  /** Slowdown of each rank: 1 is normal speed, 2 takes twice as long; NULL: no rank is slow. */
   const double *pace;
 };
 
 /**
- * @param skew of the map in use.
- * @param after skew of the map with 1, 2 ... @p most copies a rank.
- * @return copies a rank to begin with; 0: no change pays.
+ * @param skew skew of the map in use: load of the most loaded rank divided by the mean load.
+ * @param after skew of the map after 1, 2 ... @p most copies per rank.
+ * @return copies per rank in the first change; 0: no change is worth its cost.
  */
 uint32_t ash_change_plan_copies (const struct ash_change_terms *terms,
                                  double skew,
                                  const double *after,
                                  uint32_t most);
 
-/** When demand has shifted. Zeroed memory is a valid start. */
+/** The times of shifts of the demand. Valid when zeroed. */
 struct ash_shift_times
 {
   struct ash_time last;
-  double interval_ms; /**< mean time between two; 0: none known */
+  double interval_ms; /**< smoothed time between two shifts; 0: unknown */
   bool any;
 };
 
-/** Demand has shifted. */
+/** Records that the demand has shifted. */
 void ash_shift_times_record (struct ash_shift_times *times, struct ash_time now);
 
-/** @return milliseconds that the present demand is expected to last. */
+/** @return milliseconds for which the present demand is expected to last. */
 double ash_shift_times_remaining_ms (const struct ash_shift_times *times, struct ash_time now);
 
 #endif
--- a/controllers/expert_change.c
+++ b/controllers/expert_change.c
@@ -2,8 +2,9 @@
 
 #include <string.h>
 
-/* A ballot is a round and, below it, the salt of who runs it: another process, or
- * this one in an earlier life, never has the same. */
+/* The upper bits of a ballot are a round number, the lower bits the coordinator's
+ * random salt, so that two processes, or a process and its restarted successor,
+ * do not use the same ballot. */
 #define BALLOT_SALT_BITS 32
 
 void
@@ -26,9 +27,9 @@
          change->phase != ASH_EXPERT_FAILED;
 }
 
-/* ---- what the ranks' answers say together ---- */
+/* ---- state of the whole group, from the answers of the PREPARE phase ---- */
 
-/* A rank that is not blank and has the newest_rank map, or NULL if all are blank. */
+/* @return a rank with the newest committed map, or NULL if all ranks are blank. */
 static const struct ash_expert_rank_answer *
 newest_rank (const struct ash_expert_change *change)
 {
@@ -61,9 +62,9 @@
   return latest;
 }
 
-/* A replaced rank goes on where the others are. Where one of them has begun a
- * step, the one that is replaced had begun the step before: that is not run
- * again, and with which map it was run need not be known any more. */
+/* A replaced rank resumes at the step of the others. If one of them has begun a
+ * step, the replaced rank had begun the step before it: that step is not run
+ * again, so the map that it was run with is no longer needed. */
 static uint64_t
 resume_step (const struct ash_expert_change *change)
 {
@@ -74,7 +75,7 @@
 
 /* ---- phases ---- */
 
-/* Which ranks a phase is for. */
+/* Whether the present phase sends orders to that rank. */
 static bool
 is_addressed (const struct ash_expert_change *change, const struct ash_expert_rank_answer *answer)
 {
@@ -145,12 +146,12 @@
       if (!change->answers[i].awaited)
         continue;
       order.rank = i;
-      order.life = change->answers[i].life;
+      order.life = change->answers[i].incarnation;
       ash_emit (&change->sink, change->boxes[i], ASH__EVENT__KIND_RANK_ORDER, &order);
     }
 }
 
-/* @return whether any rank has something to do in it. */
+/* @return whether the phase has an order for any rank. */
 static bool
 begin_phase (struct ash_expert_change *change, struct ash_time now, enum ash_expert_phase phase)
 {
@@ -181,9 +182,10 @@
   begin_phase (change, now, ASH_EXPERT_ARM);
 }
 
-/* After all ranks are read, in this order: what one has committed all must
- * have, or, if there is nothing newer, older arms are taken back; then replaced
- * ranks are brought in; then the choice of a map is free. */
+/* Once all ranks have answered PREPARE: if one rank has committed a newer map, the
+ * others commit it too (FINISH), otherwise ranks that are still armed are disarmed
+ * (DISARM); then replaced ranks receive the state of the group (ADOPT); only then
+ * can a new map be armed and committed. */
 static void
 next_phase (struct ash_expert_change *change, struct ash_time now)
 {
@@ -192,7 +194,7 @@
     case ASH_EXPERT_PREPARE:
       if (!newest_rank (change))
         {
-          /* All are new: there is no state to give them. */
+          /* All ranks were replaced: no rank has the group's state. */
           change->phase = ASH_EXPERT_FAILED;
           return;
         }
@@ -245,7 +247,7 @@
               struct ash_expert_rank_answer *answer,
               const struct Ash__RankState *state)
 {
-  /* The placement of the newest_rank map, for ranks that are behind or replaced. */
+  /* Ranks that are behind or were replaced are sent the placement of the newest map. */
   if (!state->blank && state->placement.len <= sizeof change->found.placement &&
       (!change->found.digest || state->version > newest_rank (change)->version))
     {
@@ -255,7 +257,7 @@
         memcpy (change->found.placement, state->placement.data, state->placement.len);
     }
   answer->blank = state->blank;
-  answer->life = state->life;
+  answer->incarnation = state->life;
   answer->begun = state->begun;
   answer->version = state->version;
   answer->map = state->map;
@@ -279,10 +281,11 @@
 {
   struct ash_expert_rank_answer *answer = &change->answers[state->rank];
 
-  /* It has begun the step, or its last map is not in use yet: arm all again at
-   * a later step. Anything else needs a look at all ranks anew. */
+  /* The rank has already begun the step, or does not use its last committed map yet:
+   * all ranks are armed again for a later step. After any other refusal the state of all
+   * ranks must be read again, by a new change. */
   if (change->phase != ASH_EXPERT_ARM || state->promised != change->ballot ||
-      state->life != answer->life)
+      state->life != answer->incarnation)
     {
       change->phase = ASH_EXPERT_FAILED;
       return;
@@ -312,8 +315,8 @@
       return;
     }
   answer->awaited = false;
-  /* Of the phases after the first, only steps that went on are news: what was
-   * read at first decides until the next phase begins. */
+  /* Later phases only update the step that the rank has begun: the change relies on the
+   * remaining state as it was in the PREPARE phase. */
   if (change->phase == ASH_EXPERT_PREPARE)
     store_answer (change, answer, state);
   else
--- a/controllers/expert_guard.c
+++ b/controllers/expert_guard.c
@@ -31,7 +31,7 @@
 {
   if (!guard->checks && (guard->busy || !is_settled (guard, now)))
     return ASH_EXPERT_WAIT;
-  /* Until the engine has told its life, no order can have been meant for it. */
+  /* No order can be meant for an engine that has not reported its incarnation yet. */
   if (!guard->engine_incarnation && order->kind != ASH__RANK_ORDER__KIND__PREPARE)
     return ASH_EXPERT_REFUSE;
   if (!ash_expert_fence_admit (&guard->fence, rank_incarnation (guard), order))
--- a/controllers/expert_history.h
+++ b/controllers/expert_history.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What an agent decided on its group's expert map, and on which numbers: the last
- * decisions, those not to move anything included, for operators who ask why.
+ * The last decisions that an agent made on its group's expert map, with the numbers behind
+ * them, so that operators can see why experts were moved or not.
  */
 #ifndef ASH_EXPERT_HISTORY_H
 #define ASH_EXPERT_HISTORY_H
@@ -9,35 +9,35 @@
 #include "common/clock.h"
 #include "controllers/expert_policy.h"
 
-/** How many are kept. */
+/** Maximum number of notes. */
 #define ASH_EXPERT_HISTORY_MAX 32
 
-/** What a note is about. */
+/** The subject of a note. */
 enum ash_expert_note_kind
 {
-  ASH_EXPERT_NOTE_KEPT,     /**< nothing was worth its price */
+  ASH_EXPERT_NOTE_KEPT,     /**< no move was worth its cost */
   ASH_EXPERT_NOTE_MOVES,    /**< a change of the map was begun */
-  ASH_EXPERT_NOTE_TAKEOVER, /**< a change that was abandoned was taken over */
-  ASH_EXPERT_NOTE_DONE,     /**< the change is through */
+  ASH_EXPERT_NOTE_TAKEOVER, /**< an abandoned change was taken over */
+  ASH_EXPERT_NOTE_DONE,     /**< the change is complete */
   ASH_EXPERT_NOTE_GIVEN_UP,
 };
 
-/** One decision, or what came of one. */
+/** A decision, or the outcome of one. */
 struct ash_expert_note
 {
   enum ash_expert_note_kind kind;
-  struct ash_time at; /**< the last time, where it was the same several times */
-  uint32_t times;
-  bool forecast;   /**< on loads that a declared event lets expect */
-  uint64_t ballot; /**< 0: no change */
-  uint64_t step;   /**< from which the map is used */
+  struct ash_time at; /**< the last time, if the same decision was made several times */
+  uint32_t times;     /**< number of equal decisions in a row */
+  bool forecast;      /**< based on the loads forecast for a declared event */
+  uint64_t ballot;    /**< 0: no change */
+  uint64_t step;      /**< first step that is run with the map */
   uint32_t moves;
   double skew_before;
   double skew_after;
-  double refused_gain;
+  double refused_gain; /**< of the best move that was not worth its cost */
 };
 
-/** A ring. Zeroed is empty. */
+/** Ring buffer of notes. Valid and empty when zeroed. */
 struct ash_expert_history
 {
   struct ash_expert_note notes[ASH_EXPERT_HISTORY_MAX];
@@ -45,15 +45,15 @@
   uint32_t next;
 };
 
-/** Adds a note. Decisions in a row to move nothing become one, with its count. */
+/** Adds a note. Consecutive decisions to move nothing share one note, which counts them. */
 void ash_expert_history_add (struct ash_expert_history *history,
                              const struct ash_expert_note *note);
 
-/** @return the note that came @p i before the last, or NULL. */
+/** @return the note @p i places before the last one, or NULL if there is none. */
 const struct ash_expert_note *ash_expert_history_last (const struct ash_expert_history *history,
                                                        uint32_t i);
 
-/** @return the kind's name, as operators see it. */
+/** @return the name of the kind in operators' output. */
 const char *ash_expert_note_name (enum ash_expert_note_kind kind);
 
 #endif
--- a/controllers/expert_policy.c
+++ b/controllers/expert_policy.c
@@ -2,23 +2,24 @@
 
 #include <string.h>
 
-/* A new report counts so much in the smoothed loads. */
+/* Weight of a new report in the smoothed loads. */
 #define FAST_WEIGHT 0.5
 #define SLOW_WEIGHT 0.1
 
-/* Reports before anything is moved: one alone says little. */
+/* Reports needed before the first move: a single report is too noisy. */
 #define REPORTS_MIN 3
 
-/* The maximum alone does not see that one of several equal maxima was lowered. */
+/* Weight of the loads' spread in the objective. The maximum alone does not change if one of several
+ * equally loaded ranks is relieved. */
 #define SPREAD_WEIGHT 0.05
 
-/* A gain below this is noise. */
+/* Smallest gain that is not noise. */
 #define GAIN_MIN 0.01
 
-/* Loads of the ranks under a placement, and what makes them up. */
+/* Loads of the ranks under a placement. */
 struct loads
 {
-  double tokens[ASH_EXPERTS_MAX]; /* as shares that add up to 1 */
+  double tokens[ASH_EXPERTS_MAX]; /* share of each expert; the sum is 1 */
   uint16_t replicas[ASH_EXPERTS_MAX];
   double ranks[ASH_EXPERT_POLICY_RANKS_MAX];
 };
@@ -116,7 +117,7 @@
   return slowest;
 }
 
-/* What is to be made small: the skew, and a little of the loads' spread. */
+/* The objective to minimize: the skew, plus a small weight on the spread of the loads. */
 static double
 objective (const double *ranks, uint32_t rank_count)
 {
@@ -128,7 +129,7 @@
       most = ranks[r] > most ? ranks[r] : most;
       squares += ranks[r] * ranks[r];
     }
-  /* The mean load is 1 / rank_count, as shares add up to 1. */
+  /* The mean load is 1 / rank_count, since the shares add up to 1. */
   return most * rank_count + SPREAD_WEIGHT * squares * rank_count;
 }
 
@@ -145,7 +146,7 @@
 
 /* ---- candidates ---- */
 
-/* One move, or two that exchange experts. */
+/* A possible change: one move, or two that exchange the experts of two slots. */
 struct candidate
 {
   uint32_t count;
@@ -161,8 +162,8 @@
   return false;
 }
 
-/* The expert gets one more replica, and the one that it displaces one less: all
- * their other replicas get lighter or heavier. */
+/* Updates the ranks' loads for a move: the moved expert gains a replica, so its other replicas
+ * carry less; the replaced expert loses one, so its other replicas carry more. */
 static void
 shift_replica (double *ranks,
                const struct loads *loads,
@@ -190,6 +191,7 @@
       (loads->tokens[move->expert] / (shares + 1) - loads->tokens[other] / others) / speeds[to];
 }
 
+/* Updates the ranks' loads for an exchange of the experts of two slots. */
 static void
 exchange (double *ranks,
           const struct loads *loads,
@@ -224,7 +226,7 @@
   return objective (ranks, placement->rank_count);
 }
 
-/* What the state is, on both smoothings, before a candidate is weighed. */
+/* State against which candidates are evaluated, under both smoothed loads. */
 struct evaluation
 {
   const struct ash_expert_placement *placement;
@@ -235,8 +237,8 @@
   double slow_objective;
 };
 
-/* A gain counts as far as it shows in what is new and in what lasts: popularity
- * that swings to and fro shows in one of them only. */
+/* The smaller of the gains under the recent and the lasting loads: a popularity that oscillates
+ * shows a gain under only one of them. */
 static double
 gain_of (const struct evaluation *evaluation, const struct candidate *candidate)
 {
@@ -252,8 +254,9 @@
   return fast < slow ? fast : slow;
 }
 
-/* Gives the expert a replica in that slot, or, where what it holds has no other,
- * exchanges the two. */
+/* Proposes a replica of the expert in slot @from in slot @to, or an exchange of the two slots'
+ * experts if slot @to holds the last replica of its expert.
+ * @return whether the move is possible. */
 static bool
 make_candidate (const struct ash_expert_placement *placement,
                 const struct loads *loads,
@@ -276,17 +279,20 @@
     return false;
   candidate->moves[1] = (struct ash_expert_move){ (uint16_t) from, other };
   candidate->count = 2;
-  /* Only an exchange for something lighter helps. */
+  /* An exchange only helps if the other expert carries less load. */
   return loads->tokens[other] < loads->tokens[expert] / loads->replicas[expert];
 }
 
-/* The half of the ranks that have less than the others are worth looking at. */
+/* Only ranks with less than the mean load are considered as destinations. */
 static bool
 is_below_mean (const struct loads *loads, uint32_t rank, uint32_t rank_count)
 {
   return loads->ranks[rank] * rank_count < 1;
 }
 
+/* Finds the candidate with the highest gain per move that takes a replica from the slowest rank.
+ * @param room maximum number of moves.
+ * @return its gain per move; 0: there is none. */
 static double
 find_best (const struct evaluation *evaluation, uint32_t room, struct candidate *best)
 {
@@ -392,7 +398,8 @@
 {
   uint32_t found = placement->rank_count;
 
-  /* Two replicas on one rank share nothing; allowed only if there is no room. */
+  /* Two replicas of an expert on one rank do not spread its load: only if there is no other
+   * room. */
   for (int strict = 1; strict >= 0 && found == placement->rank_count; strict--)
     for (uint32_t r = 0; r < placement->rank_count; r++)
       {
--- a/controllers/expert_policy.h
+++ b/controllers/expert_policy.h
@@ -1,12 +1,12 @@
 /**
  * @file
- * What to move when the popularity of experts shifts: few moves, each only where
- * its gain outlasts it. Objective: skew weight x predicted skew + cost weight x
- * weights moved; the radar's deployment weighs skew, Wadi's cost.
+ * Decides which experts to move when their popularity shifts: few moves, each only if its
+ * gain exceeds its cost. Objective to minimize: skew weight x predicted skew + cost weight x
+ * number of experts moved. Deployments set the two weights.
  *
- * Experts are replicated into spare slots as in the DeepSeek-V3 report (EPLB),
- * whose full repack is the baseline; what is kept of it is that an expert's load
- * is shared evenly by its replicas.
+ * Experts are replicated into spare slots as in the DeepSeek-V3 report (EPLB), and the replicas
+ * of an expert share its load evenly. EPLB's full repack serves as the initial placement and as
+ * the baseline for comparison.
  */
 #ifndef ASH_EXPERT_POLICY_H
 #define ASH_EXPERT_POLICY_H
@@ -18,95 +18,98 @@
 #define ASH_EXPERT_SLOTS_MAX 1024
 #define ASH_EXPERT_POLICY_RANKS_MAX 64
 
-/** Moves of one decision at most. */
+/** Maximum number of moves of one decision. */
 #define ASH_EXPERT_MOVES_MAX 16
 
 /** Which expert each slot of each rank holds, in one layer. */
 struct ash_expert_placement
 {
   uint32_t rank_count;
-  uint32_t rank_slots; /**< slots of a rank */
+  uint32_t rank_slots; /**< slots per rank */
   uint32_t expert_count;
-  uint16_t slots[ASH_EXPERT_SLOTS_MAX]; /**< rank after rank */
+  uint16_t slots[ASH_EXPERT_SLOTS_MAX]; /**< expert in each slot, ordered by rank */
 };
 
-/** A slot that is to hold another expert. */
+/** A move of an expert into a slot, in place of the expert there. */
 struct ash_expert_move
 {
   uint16_t slot;
   uint16_t expert;
 };
 
-/** Weights of a deployment. */
+/** Weights of the objective, set by the deployment. */
 struct ash_expert_weights
 {
-  double skew;    /**< worth of one (maximum over mean) of skew, for an interval */
-  double cost;    /**< price of one expert's weights moved, in the same coin */
-  double horizon; /**< intervals that a gain must be counted for, at most */
-  uint32_t moves; /**< an interval at most: the weight store's rate */
+  double skew;    /**< value of reducing the skew (maximum over mean load) by 1 for one interval */
+  double cost;    /**< cost of moving one expert's weights, in the same unit */
+  double horizon; /**< number of intervals over which a gain counts */
+  uint32_t moves; /**< maximum number of moves per interval, limited by the weight store's rate */
 };
 
-/** A decision with the numbers that it was made on. */
+/** A decision and the numbers behind it. */
 struct ash_expert_decision
 {
   uint32_t move_count;
   struct ash_expert_move moves[ASH_EXPERT_MOVES_MAX];
-  double skew_before;  /**< predicted without the moves */
-  double skew_after;   /**< predicted with them */
-  double refused_gain; /**< of the best move that was not worth its price */
+  double skew_before;  /**< predicted skew without the moves */
+  double skew_after;   /**< predicted skew with the moves */
+  double refused_gain; /**< gain of the best move that was not worth its cost; 0: none */
 };
 
-/** What is remembered of the loads. */
+/** Smoothed loads of the experts, as shares of all tokens. */
 struct ash_expert_policy
 {
   struct ash_expert_weights weights;
   uint32_t expert_count;
-  uint32_t reports;
-  double fast[ASH_EXPERTS_MAX]; /**< smoothed over a few reports */
-  double slow[ASH_EXPERTS_MAX]; /**< smoothed over many: what lasts */
-  bool forecast;                /**< decide on what is expected instead */
-  double expected[ASH_EXPERTS_MAX];
+  uint32_t reports;                 /**< number of reports so far */
+  double fast[ASH_EXPERTS_MAX];     /**< smoothed over a few reports: recent loads */
+  double slow[ASH_EXPERTS_MAX];     /**< smoothed over many reports: lasting loads */
+  bool forecast;                    /**< decisions use @ref expected instead */
+  double expected[ASH_EXPERTS_MAX]; /**< loads forecast for a declared event */
 };
 
 void ash_expert_policy_init (struct ash_expert_policy *policy,
                              uint32_t expert_count,
                              const struct ash_expert_weights *weights);
 
-/** Takes in a report: tokens of each expert in an interval. Missing ones are just not given. */
+/** Handles a report: the tokens of each expert in one interval. Callers skip missing
+ * reports. */
 void ash_expert_policy_report (struct ash_expert_policy *policy, const double *tokens);
 
 /**
- * A declared event is about to begin: from now on decisions are made for its loads.
- * @param tokens of each expert, in any unit.
+ * Sets the loads forecast for a declared event that is about to begin. Decisions use them until
+ * ash_expert_policy_end_forecast().
+ * @param tokens expected load of each expert, in any unit.
  */
 void ash_expert_policy_set_forecast (struct ash_expert_policy *policy, const double *tokens);
 
 /**
- * It has begun, or was called off. What was expected is believed from then on, if
- * it has begun, and corrected by reports as ever.
+ * Ends the forecast, as the declared event has begun or was cancelled.
+ * @param begun the event has begun: the forecast replaces the smoothed loads, which later reports
+ * update as usual.
  */
 void ash_expert_policy_end_forecast (struct ash_expert_policy *policy, bool begun);
 
 /**
- * Decides what to move now.
- * @param speeds of the ranks, 1 as usual, less for one that is slow.
+ * Decides which experts to move now.
+ * @param speeds speed of each rank: 1 is normal, less than 1 is slow.
  */
 void ash_expert_policy_decide (const struct ash_expert_policy *policy,
                                const struct ash_expert_placement *placement,
                                const double *speeds,
                                struct ash_expert_decision *decision);
 
-/** Carries moves out. */
+/** Applies moves to a placement. */
 void ash_expert_placement_apply (struct ash_expert_placement *placement,
                                  const struct ash_expert_move *moves,
                                  uint32_t move_count);
 
-/** Step time against an even one: the slowest rank's over the mean. */
+/** @return the load of the slowest rank divided by the mean load. */
 double ash_expert_skew (const struct ash_expert_placement *placement,
                         const double *tokens,
                         const double *speeds);
 
-/** Replicates and packs all anew, greedily: the baseline, and the start. */
+/** Replicates and places all experts from scratch with a greedy algorithm, as EPLB does. */
 void ash_expert_repack (struct ash_expert_placement *placement, const double *tokens);
 
 #endif
--- a/controllers/expert_rank.c
+++ b/controllers/expert_rank.c
@@ -1,11 +1,14 @@
 #include "controllers/expert_rank.h"
 
 void
-ash_expert_rank_init (
-    struct ash_expert_rank *rank, const char *group, uint32_t number, uint64_t life, uint64_t map)
+ash_expert_rank_init (struct ash_expert_rank *rank,
+                      const char *group,
+                      uint32_t number,
+                      uint64_t incarnation,
+                      uint64_t map)
 {
   *rank = (struct ash_expert_rank){
-    .group = group, .rank = number, .life = life, .map = map, .before = map
+    .group = group, .rank = number, .incarnation = incarnation, .map = map, .before = map
   };
 }
 
@@ -13,9 +16,11 @@
 ash_expert_rank_init_blank (struct ash_expert_rank *rank,
                             const char *group,
                             uint32_t number,
-                            uint64_t life)
+                            uint64_t incarnation)
 {
-  *rank = (struct ash_expert_rank){ .group = group, .rank = number, .life = life, .blank = true };
+  *rank = (struct ash_expert_rank){
+    .group = group, .rank = number, .incarnation = incarnation, .blank = true
+  };
 }
 
 static void
@@ -39,12 +44,11 @@
 static bool
 apply_arm (struct ash_expert_rank *rank, const struct Ash__RankOrder *order)
 {
-  /* Begun already: it was begun with the old map, here and perhaps elsewhere. */
+  /* The step was already begun with the old map, here and perhaps on other ranks. */
   if (rank->blank || order->step <= rank->begun)
     return false;
-  /* A committed map must be in use before the next is armed: there is room for
-   * one map before and one after, and a rank that is replaced may have to run
-   * the present step again. */
+  /* A committed map must be in use before the next one is armed: a rank keeps only
+   * two maps, and a replaced rank may have to run the present step again. */
   if (rank->begun < rank->from)
     return false;
   rank->armed = order->ballot;
@@ -59,7 +63,7 @@
   if (rank->blank)
     return false;
   if (rank->last_ballot == order->ballot && rank->from == order->step)
-    return true; /* the same order again */
+    return true; /* a duplicate of an executed order */
   if (rank->armed != order->ballot || rank->armed_step != order->step)
     return false;
   commit (rank, rank->armed_map, rank->armed_step);
@@ -67,8 +71,8 @@
   return true;
 }
 
-/* Another rank has committed it, so all were armed for it, this one too: it has
- * not begun that step. */
+/* Another rank has committed the map. All ranks were armed for it before, so this
+ * rank has not begun that step. */
 static bool
 apply_finish (struct ash_expert_rank *rank, const struct Ash__RankOrder *order)
 {
@@ -120,24 +124,26 @@
 }
 
 static bool
-is_stale (const struct ash_expert_fence *fence, uint64_t life, const struct Ash__RankOrder *order)
+is_stale (const struct ash_expert_fence *fence,
+          uint64_t incarnation,
+          const struct Ash__RankOrder *order)
 {
   if (order->ballot < fence->promised)
     return true;
-  /* A late copy out of an earlier phase: a disarm that comes after the arm would
-   * let this rank begin a step that others have committed a map for. */
+  /* A delayed order of an earlier phase. Executing a disarm after the arm, for example,
+   * would let this rank begin a step with the old map while others have committed the new one. */
   if (order->ballot == fence->promised && order->sequence < fence->sequence)
     return true;
-  /* An order to an earlier life of this rank says nothing to this one. */
-  return order->kind != ASH__RANK_ORDER__KIND__PREPARE && order->life != life;
+  /* The order was sent to an earlier incarnation of this rank. */
+  return order->kind != ASH__RANK_ORDER__KIND__PREPARE && order->life != incarnation;
 }
 
 bool
 ash_expert_fence_admit (struct ash_expert_fence *fence,
-                        uint64_t life,
+                        uint64_t incarnation,
                         const struct Ash__RankOrder *order)
 {
-  if (is_stale (fence, life, order))
+  if (is_stale (fence, incarnation, order))
     return false;
   fence->promised = order->ballot;
   fence->sequence = order->sequence;
@@ -152,11 +158,11 @@
 {
   struct Ash__RankState state = ASH__RANK_STATE__INIT;
 
-  if (ash_expert_fence_admit (&rank->fence, rank->life, order))
+  if (ash_expert_fence_admit (&rank->fence, rank->incarnation, order))
     state.accepted = apply_order (rank, order);
   state.group = ash_text (rank->group);
   state.rank = rank->rank;
-  state.life = rank->life;
+  state.life = rank->incarnation;
   state.ballot = order->ballot;
   state.sequence = order->sequence;
   state.blank = rank->blank;
--- a/controllers/map_switch.c
+++ b/controllers/map_switch.c
@@ -381,7 +381,7 @@
 }
 
 static void
-advance (struct ash_map_switch *sw, struct ash_time now)
+advance_phase (struct ash_map_switch *sw, struct ash_time now)
 {
   if (has_begun (sw))
     release_step (sw, now);
@@ -560,7 +560,7 @@
     handle_success (sw, now, order->rank, status == 202);
   else if (status == 409)
     handle_refusal (sw, now, order->rank);
-  advance (sw, now);
+  advance_phase (sw, now);
 }
 
 static uint32_t
@@ -619,7 +619,7 @@
 {
   uint32_t count = 0;
 
-  advance (sw, now);
+  advance_phase (sw, now);
   if (sw->phase == ASH_MAP_IDLE)
     return 0;
   for (uint32_t i = 0; i < sw->rank_count; i++)
--- a/daemon/map_manager.c
+++ b/daemon/map_manager.c
@@ -473,7 +473,7 @@
 /* ---- leading ---- */
 
 static void
-free_all (struct ash_map_manager *manager)
+free_groups (struct ash_map_manager *manager)
 {
   struct ash_rank_endpoint *endpoint;
   struct ash_rank_endpoint *next_endpoint;
@@ -518,7 +518,7 @@
                  ash_fleet_size (&manager->router->fleet),
                  ash_fleet_linked (&manager->router->fleet));
   if (!leads)
-    free_all (manager);
+    free_groups (manager);
 }
 
 static void
@@ -561,12 +561,12 @@
   if (!manager->router)
     return;
   ev_timer_stop (manager->router->loop, &manager->timer);
-  free_all (manager);
+  free_groups (manager);
 }
 
 void
 ash_map_manager_resumed (struct ash_map_manager *manager)
 {
   manager->leads = false;
-  free_all (manager);
+  free_groups (manager);
 }
--- a/test/expert_schedule.c
+++ b/test/expert_schedule.c
@@ -138,7 +138,7 @@
 {
   struct Ash__RankState state = ASH__RANK_STATE__INIT;
 
-  state.life = world->ranks[r].life;
+  state.life = world->ranks[r].incarnation;
   ash_expert_guard_answer (&world->guards[r], world->now, false, &state);
 }
 
@@ -193,7 +193,7 @@
            (world->at_engines_count - index) * sizeof frame);
   trace (world, boxes[frame.to_rank], ASH__EVENT__KIND_RANK_ORDER, &frame.order);
   rank->fence = (struct ash_expert_fence){ 0 };
-  frame.order.life = rank->life;
+  frame.order.life = rank->incarnation;
   ash_expert_rank_handle_order (rank, &frame.order, "", &sink);
   if (frame.agent_life != guard->incarnation)
     return;
--- a/test/standin_group.c
+++ b/test/standin_group.c
@@ -197,13 +197,13 @@
     }
   ask.ballot = ranks[r].fence.promised;
   ask.sequence = ranks[r].fence.sequence;
-  ask.life = ranks[r].life;
+  ask.life = ranks[r].incarnation;
   lost = order && lose && order->kind == lose;
   if (order && unchecked)
     {
       ranks[r].fence.promised = 0;
       ranks[r].fence.sequence = 0;
-      order->life = ranks[r].life;
+      order->life = ranks[r].incarnation;
     }
   answer = lost ? NULL : order_rank (r, order ? order : &ask);
   pthread_mutex_unlock (&lock);
