--- a/controllers/layer_policy.c
+++ b/controllers/layer_policy.c
@@ -7,17 +7,19 @@
 #define WORD_BITS 64
 #define WORDS_MAX ((ASH_LAYER_RANKS_MAX + WORD_BITS - 1) / WORD_BITS)
 
-/* The weights are for groups of up to so many ranks. With more, a move must gain less and a rank
- * may have more of them, by the number of ranks. */
+/* Number of ranks up to which the configured weights apply as they are. In larger groups the
+ * minimum gain of a move falls, and the maximum number of moves per rank rises, with the number of
+ * ranks. */
 #define WEIGHTS_RANK_COUNT 12
 
-/* Replicas that slow ranks give up in one change, at most. */
+/* Maximum number of replicas that are dropped from slow ranks in one change. */
 #define DROPS_MAX 1024
 
-/* Giving up alone must take so much off the skew: a change has the group stand for a moment. */
+/* Minimum reduction of the skew for a change that only drops replicas: every change stalls the
+ * group for a moment. */
 #define DROP_ONLY_SKEW_GAIN_MIN 0.05
 
-/* Ranks of a group, a bit each. */
+/* A set of ranks, one bit per rank. */
 struct rank_set
 {
   uint64_t words[WORDS_MAX];
@@ -25,40 +27,41 @@
 
 /* One layer while it is being changed.
  *
- * Loads are compared by the sum of a high power: close to comparing the most loaded
- * ranks, but with a slope where several ranks share the top. The eighth is three
- * squarings. */
+ * Loads are compared by their 8-norm, the eighth root of the sum of their eighth powers. It is
+ * close to the maximum load, but also falls when one of several most loaded ranks is relieved. An
+ * eighth power takes three squarings. */
 struct layer
 {
   const struct ash_layer_policy *policy;
-  const double *pace; /* of each rank; NULL: none is slow */
+  const double *pace; /* slowdown of each rank, 1: normal; NULL: no rank is slow */
   struct ash_layer_map *map;
   uint32_t index;
   uint32_t replicas[ASH_LAYER_EXPERTS_MAX];
-  struct rank_set holders[ASH_LAYER_EXPERTS_MAX]; /* ranks that hold it */
-  double load[ASH_LAYER_RANKS_MAX];               /* over the mean rank's */
+  struct rank_set holders[ASH_LAYER_EXPERTS_MAX]; /* ranks that hold the expert */
+  double load[ASH_LAYER_RANKS_MAX];               /* in multiples of the mean load */
   double power;                                   /* sum of the loads' eighth powers */
-  uint32_t new_count[ASH_LAYER_RANKS_MAX];
+  uint32_t new_count[ASH_LAYER_RANKS_MAX];        /* slots assigned in this change */
+  /* Whether the slot was assigned in this change. */
   bool is_assigned[ASH_LAYER_RANKS_MAX][ASH_LAYER_SLOTS_MAX];
 };
 
-/* A replica of an expert into a rank's slot. */
+/* A move: a rank's slot gets a replica of an expert. */
 struct move
 {
   uint32_t rank;
   uint32_t slot;
-  uint16_t expert; /* ASH_NO_EXPERT: none helps */
-  double gain;     /* what it takes off the layer's norm */
+  uint16_t expert; /* ASH_NO_EXPERT: the slot becomes empty, or there is no useful move */
+  double gain;     /* by which the layer's norm falls */
 };
 
-/* All layers of a map while a change is drawn up, and the moves made so far, in order. */
+/* A change being computed: all layers of the map, and the moves made so far, in order. */
 struct change
 {
   struct ash_layer_map map;
   struct layer layers[ASH_LAYERS_MAX];
   struct move best[ASH_LAYERS_MAX];
-  uint32_t rank_moves[ASH_LAYER_RANKS_MAX]; /* in all layers */
-  uint32_t rank_limit;                      /* of these, for now */
+  uint32_t rank_moves[ASH_LAYER_RANKS_MAX]; /* experts copied by each rank, all layers */
+  uint32_t rank_limit;                      /* present maximum of rank_moves[] */
   uint32_t made_count;
   struct
   {
@@ -162,14 +165,14 @@
   return sqrt (sqrt (sqrt (power)));
 }
 
-/* The time that a rank takes for a load. */
+/* The time that a rank takes for a load, relative to a rank of normal speed. */
 static double
 time_of (const struct layer *layer, uint32_t rank, double load)
 {
   return layer->pace ? layer->pace[rank] * load : load;
 }
 
-/* What a replica of the expert carries, over the mean rank's load. */
+/* The load of one of an expert's replicas, in multiples of the mean rank's load. */
 static double
 share_of (const struct layer *layer, uint16_t expert, uint32_t replicas)
 {
@@ -214,17 +217,17 @@
   sum_power (layer);
 }
 
-/* What a move would change: the shares of the replicas of the expert that comes and of the one that
- * goes. */
+/* Effect of a move on the loads of the replicas of the expert that is added to a slot and of the
+ * expert that it replaces. */
 struct swap
 {
   uint32_t rank;
-  const struct rank_set *gains;  /* ranks that hold what comes */
-  const struct rank_set *losses; /* ranks that hold what goes; NULL: the slot is empty */
-  double share;                  /* of each replica of what comes, afterwards */
-  double gain;                   /* how much more each former one of these carries */
-  double dropped;                /* what the replica that goes carries */
-  double loss;                   /* how much more each other one of these carries */
+  const struct rank_set *gains;  /* ranks that hold the added expert */
+  const struct rank_set *losses; /* ranks that hold the replaced expert; NULL: the slot is empty */
+  double share;                  /* load of each replica of the added expert, after the move */
+  double gain;                   /* change, negative, of the load of its former replicas */
+  double dropped;                /* load of the replaced replica */
+  double loss;                   /* change of the load of the replaced expert's other replicas */
 };
 
 static struct swap
@@ -261,8 +264,8 @@
   return layer->load[rank] + time_of (layer, rank, more);
 }
 
-/* The norm if @p expert came into the rank's slot in place of @p old. Only ranks that hold
- * one of them change. */
+/* The layer's norm if @p expert replaced @p old in a slot of the rank. Only the loads of ranks that
+ * hold one of the two change. */
 static double
 norm_after (const struct layer *layer, uint32_t rank, uint16_t old, uint16_t expert)
 {
@@ -311,19 +314,19 @@
       uint16_t old = map->slots[layer->index][rank][slot];
       double gain;
 
-      /* The last replica must stay, and what was just decided too. */
+      /* Keep the last replica of an expert, and slots that were assigned in this change. */
       if (layer->is_assigned[rank][slot] || (old != ASH_NO_EXPERT && layer->replicas[old] < 2))
         continue;
       gain = now - norm_after (layer, rank, old, expert);
       if (gain > best->gain)
         *best = (struct move){ rank, slot, expert, gain };
-      /* All empty slots are similarity_min. */
+      /* The other empty slots of the rank would give the same gain. */
       if (old == ASH_NO_EXPERT)
         break;
     }
 }
 
-/* The best replica of any expert of the layer's most loaded rank. */
+/* The best move that adds a replica of an expert of the layer's most loaded rank. */
 static struct move
 find_move (const struct change *change, const struct layer *layer)
 {
@@ -348,7 +351,7 @@
   return best;
 }
 
-/* The layer whose best move gains most; the layer count if none is worth it. */
+/* The index of the layer whose best move gains most; the layer count if no move gains enough. */
 static uint32_t
 best_layer_index (const struct change *change, const struct ash_layer_map *map, double min_gain)
 {
@@ -364,7 +367,6 @@
   return best;
 }
 
-/* Makes a layer's best move. */
 static void
 make_move (struct change *change, struct layer *layer)
 {
@@ -421,7 +423,7 @@
   return layer_count ? sum / layer_count : 1;
 }
 
-/* Whether ranks that have their part of copies keep a move from being made. */
+/* Whether any rank has reached the limit of copies, so that further moves may be possible later. */
 static bool
 is_limited (const struct change *change)
 {
@@ -431,8 +433,9 @@
   return false;
 }
 
-/* What a move must gain at least. Where many ranks share the top, the norm of all hardly falls with
- * one of them: by the bound for few ranks no move would pay after a shift. */
+/* Minimum gain of a move. In a large group many ranks are similarly loaded, and relieving one of
+ * them hardly lowers the norm: with the minimum for small groups, no move would be made after a
+ * shift. */
 static double
 min_gain_of (const struct change *change, const struct ash_layer_weights *weights)
 {
@@ -442,8 +445,9 @@
                                          : weights->min_gain;
 }
 
-/* Copies of a rank at most. A rank of a large group has a small part of the experts, and each hot
- * one is to stand at many ranks. In groups of few ranks more copies gain nothing. */
+/* Maximum number of experts that a rank copies. A rank of a large group holds a small part of the
+ * experts, and each popular expert needs replicas on many ranks. In small groups more copies gain
+ * nothing. */
 static uint32_t
 max_copies (const struct ash_layer_map *map, const struct ash_layer_weights *weights)
 {
@@ -454,8 +458,8 @@
   return most < ASH_CHANGE_COPIES_MAX ? most : ASH_CHANGE_COPIES_MAX;
 }
 
-/* A slow rank gives up the replica whose loss shortens the layer's norm most. That needs no copy.
- * @return whether there was one. */
+/* Drops the replica of a slow rank whose removal lowers the layer's norm most. This needs no copy.
+ * @return whether a replica was dropped. */
 static bool
 drop_replica (struct change *change, struct layer *layer, uint32_t rank)
 {
@@ -492,7 +496,7 @@
         ;
 }
 
-/* Makes the moves that are worth it while no rank may have more copies than the limit. */
+/* Makes the best moves that gain enough, within the present limit of copies per rank. */
 static void
 make_moves (struct change *change, double min_gain)
 {
@@ -504,14 +508,14 @@
   while ((layer = best_layer_index (change, map, min_gain)) < map->layer_count)
     {
       make_move (change, &change->layers[layer]);
-      /* A rank that has its part of copies now is no longer open to any layer. */
+      /* A rank that has just reached its limit takes no further copies for any layer. */
       for (uint32_t i = 0; i < map->layer_count; i++)
         if (i == layer || change->rank_moves[change->best[i].rank] >= change->rank_limit)
           change->best[i] = find_move (change, &change->layers[i]);
     }
 }
 
-/* Makes the first moves that were drawn up in the map itself. */
+/* Applies the first @p count computed moves to the map. */
 static void
 apply_moves (const struct change *change, uint32_t count, struct ash_layer_map *map)
 {
@@ -530,7 +534,7 @@
                          struct ash_layer_decision *decision)
 {
   struct change *change = calloc (1, sizeof *change);
-  /* With so many copies a rank. */
+  /* Skew and number of moves with 0, 1, 2 ... copies per rank. */
   double skews[ASH_CHANGE_COPIES_MAX + 1] = { 0 };
   uint32_t counts[ASH_CHANGE_COPIES_MAX + 1] = { 0 };
   uint32_t most = 0;
--- a/controllers/map_finish.c
+++ b/controllers/map_finish.c
@@ -1,9 +1,11 @@
 #include "controllers/map_finish.h"
 
-/* Reports may be so much older than their lag says: the time an answer takes, many times. */
+/* Margin by which reports may be older than their declared lag: many times the round-trip time of a
+ * request. */
 #define REPORT_MARGIN_MS 120
 
-/* Whether a rank's lists are its newest word: they don't lag, reports do. */
+/* Whether a rank's lists are newer than its last report. Reports lag behind the rank's state, lists
+ * do not. */
 static bool
 lists_are_newer (const struct ash_map_switch *sw, const struct ash_map_rank *rank)
 {
@@ -17,8 +19,8 @@
   return lists_are_newer (sw, rank) ? rank->prepared : rank->report.prepared;
 }
 
-/* Lists don't say what is armed, but only what is prepared can be: an older report's word may be of
- * a change that was taken back since. */
+/* The version that a rank is armed with. Lists do not contain it, but only a prepared version can
+ * be armed: if newer lists show another prepared version, the report's one was disarmed since. */
 static uint64_t
 armed_version (const struct ash_map_switch *sw, const struct ash_map_rank *rank)
 {
@@ -60,10 +62,10 @@
   return true;
 }
 
-/* Whether a hold at that rank is this router's alone to end. A hold that stands there takes no
- * other, and it may be one of this router's former life, whose order to go may still come. So may
- * one of this life, or of whoever finished for it, where it has let that step go before: also if it
- * has let a later one go since, the group not having moved. */
+/* Whether this router can hold a step at that rank without any other order releasing it. A rank has
+ * one hold at most. A present hold may be of this router before its restart, whose go order may
+ * still arrive. If this router has already released that step or a later one at the rank, a delayed
+ * go order, of this router or of one that took over from it, may release the step again. */
 static bool
 can_hold (const struct ash_map_switch *sw, uint32_t rank, uint64_t step)
 {
--- a/controllers/map_finish.h
+++ b/controllers/map_finish.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A step that another router holds: what this one must know before it finishes the change, and
- * where it can hold the step itself.
+ * Taking over a change of a map that another router left with a held step: what this router must
+ * know before it completes or reverts the change, and at which rank it can hold the step itself.
  */
 #ifndef ASH_MAP_FINISH_H
 #define ASH_MAP_FINISH_H
@@ -9,17 +9,18 @@
 #include "controllers/map_switch.h"
 
 /**
- * What is prepared may have been armed by orders that are still under way. Of two versions the
- * lower one has got that far.
- * @return what all ranks are to take at a step that another router holds, or what none may; 0:
- * there is nothing.
+ * Finds the version of another router's change. A version that is only prepared may be armed by
+ * orders that are still under way. Of several prepared versions, the lowest is the one that may
+ * have been armed.
+ * @return the version that ranks may be armed with at the step that another router holds; 0: none.
  */
 uint64_t ash_map_finish_version (const struct ash_map_switch *sw);
 
-/** @return whether what tells what another router had done is newer than its hold. */
+/** @return whether the known state of all ranks is newer than @p since, the time when another
+ * router's hold was first observed. */
 bool ash_map_finish_state_is_current (const struct ash_map_switch *sw, struct ash_time since);
 
-/** @return a rank where this router can hold a step beside what is held. */
+/** @return a rank at which this router can hold @p step in addition to the present holds. */
 uint32_t ash_map_finish_rank (const struct ash_map_switch *sw, uint64_t step);
 
 #endif
--- a/controllers/map_steps.c
+++ b/controllers/map_steps.c
@@ -1,14 +1,15 @@
 #include "controllers/map_steps.h"
 
-/* Steps that ranks told so far apart tell how long a pass takes: one or two passes. */
+/* Minimum time between two samples of the step from which the duration of a pass is computed: one
+ * or two passes. */
 #define SAMPLES_APART_MS 80
 
-/* Of the passes that should have gone by since the last report, so many are counted on:
- * rather one hold too many than some passes too far. */
+/* Fraction of the expected passes since the last report that the estimate counts. If the estimate
+ * is too low, a hold is refused and tried again; if it is too high, the change waits for passes. */
 #define ELAPSED_FRACTION 0.8
 
-/* A group whose steps were seen so short ago is at work: reports come every half second
- * and lag. */
+/* A group whose last new step was observed within this time is running steps. Reports are requested
+ * every half second, and lag. */
 #define STEPPING_MS 1000
 
 void
@@ -32,7 +33,8 @@
   int64_t since_ms = ash_time_diff (sw->sampled_at, now);
 
   ash_map_record_step (sw, now, step);
-  /* A pass may have begun between the words of two ranks that were asked at once. */
+  /* A new step shortly after the last sample gives no duration: ranks that are queried at the same
+   * time may answer before and after the begin of a pass. */
   if (step <= sw->sampled_step || since_ms < SAMPLES_APART_MS)
     return;
   if (sw->sampled_step && since_ms < STEPPING_MS)
@@ -41,8 +43,8 @@
   sw->sampled_at = now;
 }
 
-/* Of the group's own passes. Where no stream of this router shows them, its ranks' steps do:
- * without either, up to nine steps were tried before one had not begun yet. */
+/* Duration of the group's passes, from the streams of this router, or else from the steps that its
+ * ranks report. Without a duration, up to nine holds were refused before one was in time. */
 static double
 pass_ms_of (const struct ash_map_switch *sw)
 {
--- a/controllers/map_switch.c
+++ b/controllers/map_switch.c
@@ -1,49 +1,49 @@
 #include "controllers/map_finish.h"
 #include "controllers/map_steps.h"
 
-/* An order without an answer is sent again after this: ten times a calm round trip between
- * halls, since the group may stand still meanwhile. A map is long and goes to all ranks at
- * once, which takes a small box's link a tenth of a second. */
+/* Unanswered orders are sent again after this time: ten times the normal round trip between halls,
+ * and no longer, since the group may be stalled meanwhile. A prepare order contains the map and is
+ * sent to all ranks at once, which takes 100 ms on the link of a small box. */
 #define RESEND_MS 40
 #define PREPARE_RESEND_MS 120
 
-/* Ranks that have not copied all by then won't: ten times what a full change takes. */
+/* Maximum time for all ranks to copy their experts: ten times what a full change takes. */
 #define PREPARE_TIMEOUT_MS 12000
 
-/* Steps beyond the one that is believed to run now. A hold that comes too late is refused
- * and tried for the next step, which costs one round trip; one for a step far ahead costs
- * all passes until then. */
+/* The held step is this many steps after the one that is estimated to be running. A hold that
+ * arrives too late is refused and tried again for a later step, which costs one round trip; a hold
+ * far ahead delays the change by all passes up to it. */
 #define STEPS_AHEAD 1
 #define HOLDS_MAX 16
 
-/* A prepare that is refused so often won't be taken. */
+/* A change is aborted after this number of refusals of a prepare order by one rank. */
 #define PREPARE_REFUSALS_MAX 6
 
-/* A rank that should have copied all is asked again so often. */
+/* Interval at which a rank that should have finished copying is polled. */
 #define PREPARE_POLL_MS 80
 
-/* How long a hold must have been seen before another router finishes it: longer than a
- * change takes from hold to go, an answer lost included. */
+/* Time for which another router's hold must have been observed before it is taken over: longer than
+ * a change takes from hold to go with one lost answer. */
 #define FOREIGN_HOLD_MIN_MS 120
 
-/* How long reports may still tell of a hold that was let go. */
+/* Time for which reports may still show a hold that this router has released. */
 #define RELEASED_HOLD_MS 1200
 
-/* A rank that has not taken an arm by then is not waited for any longer: nearly what a full
- * change copies for, and the group stands still meanwhile. */
+/* Maximum time for all ranks to accept the arm order: nearly the copying time of a full change. The
+ * group is stalled meanwhile. */
 #define ARM_TIMEOUT_MS 1000
 
-/* Without the map in use there is no fence. Its lists come within a round trip, or are asked
- * for again after 400 ms. */
+/* Maximum time to wait for the map in use, without which ranks cannot be fenced. Its lists arrive
+ * within a round trip, or are requested again after 400 ms. */
 #define FENCE_TIMEOUT_MS 2000
 
-/* Reports are asked for this often: of all ranks in the long run, of the first one to see
- * a new epoch or a hold, and of those that something hangs on. */
+/* Intervals at which reports are requested: from all ranks; from the first rank, to notice new
+ * epochs and holds; and from ranks whose state the present change waits for. */
 #define REPORT_ALL_MS 4000
 #define REPORT_FIRST_MS 500
 #define REPORT_SOON_MS 150
 
-/* Versions of different routers differ in their lower bits. */
+/* Number of low bits of a version that are random, so that versions of different routers differ. */
 #define VERSION_RANDOM_BITS 20
 
 static void
@@ -78,7 +78,7 @@
                      uint32_t lag_ms,
                      uint32_t own_rank)
 {
-  /* Of the ranks those of the group alone: there is room for many more. */
+  /* Clears only the ranks that the group has; the array is much larger. */
   memset (sw, 0, offsetof (struct ash_map_switch, ranks));
   memset (sw->ranks, 0, rank_count * sizeof sw->ranks[0]);
   sw->rank_count = rank_count;
@@ -96,7 +96,7 @@
   uint32_t own_rank = sw->own_rank;
   bool under_way = sw->phase != ASH_MAP_IDLE;
 
-  /* All orders of the former epoch are refused from now on. */
+  /* Ranks refuse all orders of the former epoch from now on. */
   ash_map_switch_init (sw, rank_count, lag_ms, own_rank);
   sw->epoch = epoch;
   sw->phase_began = now;
@@ -115,8 +115,8 @@
   return held == sw->released && ash_time_diff (sw->released_at, now) < RELEASED_HOLD_MS;
 }
 
-/* Of several holds that are not this router's, the one at the lowest step is where the group
- * stands; the others come next. */
+/* Of several holds by other routers, the one of the lowest step stalls the group: it is handled
+ * first. */
 static void
 record_hold (struct ash_map_switch *sw, struct ash_time now, const struct ash_rank_report *report)
 {
@@ -143,18 +143,18 @@
   uint64_t map;
 
   if (report->epoch < sw->epoch)
-    return; /* an old word */
+    return; /* an outdated report */
   if (report->epoch > sw->epoch)
     reset_for_epoch (sw, now, report->epoch);
-  /* Maps only grow within an epoch: a lower one is the word of before a change. */
+  /* Map versions only increase within an epoch: a lower one is from before a change. */
   map = rank->report.map > report->map ? rank->report.map : report->map;
   rank->report = *report;
   rank->report.map = map;
   rank->reported = now;
   rank->known = true;
   ash_map_record_step (sw, ash_time_add (now, -(int64_t) sw->lag_ms), report->step);
-  /* That a rank tells to be armed with the version does not do for an answer: it does not tell
-   * for which step, and another router may have armed it for another one. */
+  /* A report that the rank is armed with the version does not replace its answer to the arm order:
+   * the report lacks the step, and another router may have armed the rank for another one. */
   record_hold (sw, now, report);
 }
 
@@ -206,7 +206,7 @@
 bool
 ash_map_switch_ready (const struct ash_map_switch *sw, struct ash_time now)
 {
-  /* Ranks are armed until the step begins that was let go, and prepare nothing till then. */
+  /* Ranks stay armed until the released step begins, and refuse prepare orders until then. */
   bool settled = ash_map_current_step (sw, now) >= sw->released;
 
   return sw->phase == ASH_MAP_IDLE && !sw->foreign_held && settled && all_known (sw);
@@ -256,8 +256,9 @@
   return true;
 }
 
-/* A rank that has fewer copies to make than the slowest one is not asked once that one is done,
- * but it may have begun later: a lost order, or a slow link. */
+/* Marks ranks as prepared that should have finished copying. Only the rank with the most copies is
+ * polled. Once it is done, the others are done as well, unless they began later because of a lost
+ * order or a slow link: each rank's copying time is counted from when it began. */
 static void
 mark_copied (struct ash_map_switch *sw, struct ash_time now)
 {
@@ -277,8 +278,8 @@
     }
 }
 
-/* A step that was let go is not held again, though it may not have begun: whoever finished under
- * the hold before may still send its own order to go. */
+/* Holds the next step. A released step is not held again even if it has not begun: a router that
+ * took over the former hold may still send a go order for it. */
 static void
 begin_hold (struct ash_map_switch *sw, struct ash_time now)
 {
@@ -303,14 +304,15 @@
   sw->foreign_held = 0;
   sw->finishing = true;
   sw->began = now;
-  /* With nothing to arm the group is just let go. Else the step is held here as well: the
-   * other router may live, and let go what it holds while ranks are being armed. */
+  /* If no rank can be armed, the step is just released. Otherwise this router holds the step as
+   * well: the other router may still be running, and release its hold while ranks are being
+   * disarmed. */
   sw->holder = sw->version ? ash_map_finish_rank (sw, sw->step) : sw->foreign_rank;
   enter_phase (sw, now, sw->version ? ASH_MAP_HOLD : ASH_MAP_GO);
 }
 
-/* Whether the rank has had a newer version than the present one, which it then never takes.
- * That it has not told of the present one says nothing: it may still copy. */
+/* Whether the rank has had a newer version than the present one, and so never accepts the present
+ * one. A rank that has not reported the present version as prepared may still be copying it. */
 static bool
 has_newer_version (const struct ash_map_switch *sw, const struct ash_map_rank *rank)
 {
@@ -326,8 +328,8 @@
   return ash_time_diff (sw->phase_began, now) > ARM_TIMEOUT_MS;
 }
 
-/* Whether no rank can be armed any more with the version that is given up: each has taken the
- * fence, or refuses it since it had something newer. */
+/* Whether no rank can be armed with the abandoned version any more: each rank has prepared the
+ * fence, or has refused it because it had a newer version. */
 static bool
 all_fenced (const struct ash_map_switch *sw)
 {
@@ -363,7 +365,8 @@
   enter_phase (sw, now, ASH_MAP_GO);
 }
 
-/* Another router may have let go what is held here: nothing is to be armed any more. */
+/* Whether the held step has begun, because another router has released it: no rank may be armed any
+ * more. */
 static bool
 has_begun (const struct ash_map_switch *sw)
 {
@@ -427,7 +430,8 @@
     }
 }
 
-/* At once for the first time; an answer that stays the same has another cause. */
+/* Has the rank disarmed before it is fenced again: at once after the first refusal, later at the
+ * resend interval, since repeated refusals have another cause. */
 static void
 request_disarm (struct ash_map_switch *sw, uint32_t rank)
 {
@@ -442,15 +446,17 @@
   switch (sw->phase)
     {
     case ASH_MAP_PREPARE:
-      /* It is still armed with the map before: its step has not begun. If that lasts, it is
-       * another router's version, or a map that does not fit: read anew, tried anew. */
+      /* The rank is still armed with the previous map, whose step has not begun. If refusals
+       * continue, it is armed with another router's version or the map does not fit: the change is
+       * aborted, the state is read again, and a new change can begin. */
       if (++sw->ranks[rank].refusals >= PREPARE_REFUSALS_MAX)
         end (sw, now, ASH_MAP_ABORTED);
       break;
     case ASH_MAP_HOLD:
-      /* The step has begun, or another router holds one; reports will tell which. */
+      /* The step has begun, or another router holds a step at the rank; later reports show which.
+       */
       sw->refused = sw->step;
-      /* What was to be finished is: its step has begun. */
+      /* A taken-over change needs no more orders: its step has begun. */
       if (sw->finishing)
         end (sw, now, ASH_MAP_ABORTED);
       else if (sw->holds >= HOLDS_MAX || sw->foreign_held)
@@ -459,18 +465,19 @@
         begin_hold (sw, now);
       break;
     case ASH_MAP_GO:
-      /* It holds nothing any more: another router has let it go. */
+      /* The rank holds nothing any more: another router has released the step. */
     case ASH_MAP_DISARM:
-      /* It is not armed. */
+      /* The rank is not armed. */
       sw->ranks[rank].answered = true;
       break;
     case ASH_MAP_ARM:
-      sw->ranks[rank].refusals++; /* sent again, until it is clear that it can't */
+      sw->ranks[rank].refusals++; /* sent again until cannot_arm() */
       break;
     case ASH_MAP_FENCE:
-      /* It had something newer; or it is armed, by an arm that came after the disarm. */
+      /* The rank has had a newer version, or it is armed by an order that arrived after the disarm.
+       */
       if (sw->ranks[rank].disarm_first)
-        sw->ranks[rank].disarm_first = false; /* that was refused: it is in use */
+        sw->ranks[rank].disarm_first = false; /* the disarm order was refused: the map is in use */
       else
         request_disarm (sw, rank);
       break;
@@ -501,7 +508,7 @@
   return ASH_RANK_PREPARE;
 }
 
-/* What that rank is to be told now. */
+/* The present phase's order for that rank. */
 static struct ash_rank_order
 current_order (const struct ash_map_switch *sw, uint32_t rank)
 {
@@ -516,7 +523,7 @@
   };
 }
 
-/* Whether the answer is to what is still to be done there. */
+/* Whether the answered order is still the rank's present order. */
 static bool
 is_current_order (const struct ash_map_switch *sw, const struct ash_rank_order *order)
 {
@@ -552,10 +559,11 @@
                               const struct ash_rank_order *order,
                               uint16_t status)
 {
-  /* An answer to something that is over. */
+  /* The order is outdated. */
   if (!is_current_order (sw, order))
     return;
-  /* To a prepare, 202 says that it has begun to copy, 200 that all is there. */
+  /* A prepare order is answered by 202 when copying has begun, and 200 when all experts are copied.
+   */
   if (status == 200 || status == 202)
     handle_success (sw, now, order->rank, status == 202);
   else if (status == 409)
@@ -574,8 +582,8 @@
   return slowest_ms;
 }
 
-/* How long an order waits for its effect before it is sent again. A rank that copies is
- * asked whether it has all when it should. */
+/* Time until an order is sent again. A rank that is copying gets the prepare order again, as a
+ * poll, when it should have finished. */
 static int64_t
 resend_ms (const struct ash_map_switch *sw, const struct ash_map_rank *rank, struct ash_time now)
 {
@@ -585,13 +593,13 @@
     return RESEND_MS;
   if (!rank->copying)
     return PREPARE_RESEND_MS;
-  /* The slowest is asked; its answer stands for those that had less to copy. */
+  /* Only the rank with the most copies is polled, see mark_copied(). */
   if (left_ms > 0 || rank->copy_ms < slowest_copy_ms (sw))
     return INT64_MAX;
   return PREPARE_POLL_MS;
 }
 
-/* Whether the present phase's order is for that rank. */
+/* Whether the present phase sends orders to that rank. */
 static bool
 is_addressed (const struct ash_map_switch *sw, uint32_t rank)
 {
@@ -637,7 +645,7 @@
   return count;
 }
 
-/* Requests are at work, and yet no step begins: some rank may be held. */
+/* Whether requests are being executed but no step begins: some rank may hold a step. */
 static bool
 is_stalled (const struct ash_map_switch *sw, struct ash_time now)
 {
--- a/controllers/map_switch.h
+++ b/controllers/map_switch.h
@@ -1,29 +1,33 @@
 /**
  * @file
- * The change of a group's map, ordered from outside the group by whichever router
- * leads: every rank prepares the map; one rank holds a step that has not begun,
- * so that the group can't go past it; all ranks are armed for that step; then it is
- * let go. No step begins while ranks differ in what they take at it.
+ * A change of a group's map, coordinated by the leading router: every rank prepares the
+ * map, that is, copies its new experts; one rank holds a step that has not begun, so that
+ * the group cannot pass it; all ranks are armed to switch to the map at that step; then
+ * the step is released with a go order. No step begins while some ranks would switch at
+ * it and others would not.
  *
- * Orders may be lost, passed by later ones, or carried out seconds late. So:
- *  - a version is armed for one step only: once all ranks have it prepared, arming goes
- *    forward until all have taken it, also while a rank still copies. Where one never will
- *    (another router's preparation came between), or takes too long, the change goes back;
- *  - going back, all are disarmed, and then fenced: each prepares a newer version with the
- *    map in use. The answer to a disarm does not say that no arm comes after it; a rank that
- *    has another version prepared refuses every late arm of the dead one, for good. A fence
- *    that is refused tells that an arm came between: disarmed and fenced again;
- *  - a late hold or arm finds its step begun and is refused;
- *  - versions are never used twice, also not by two routers (ash_map_switch_new_version());
- *  - each router holds at a rank of its own, so that one can't let go what another holds, and
- *    no step twice.
+ * Orders may be lost, overtaken by later ones, or executed seconds late. So:
+ *  - a version is armed for one step only. Once all ranks have prepared it, arm orders are
+ *    repeated until all ranks have accepted them, even if a rank is still copying. If a rank
+ *    can never accept (another router had it prepare a newer version), or takes too long,
+ *    the change is reverted;
+ *  - to revert, all ranks are disarmed and then fenced: each prepares a newer version that
+ *    has the map in use. The answer to a disarm does not exclude that an arm order arrives
+ *    after it, but a rank that has prepared another version refuses every later arm order
+ *    for the abandoned one. If a rank refuses the fence, an arm order came in between: the
+ *    rank is disarmed and fenced again;
+ *  - a delayed hold or arm order is refused because its step has begun;
+ *  - a version is never used twice, not even by two routers (ash_map_switch_new_version());
+ *  - each router holds steps at a rank of its own, so that it cannot release another router's
+ *    hold, and never holds the same step twice.
  *
- * A router that dies between hold and go leaves the group standing. Whoever sees a
- * hold that is not its own finishes: it holds the step as well, takes back what is armed
- * or prepared somewhere, fenced as above, and lets go. It doesn't arm on: ranks don't tell
- * for which step they are armed, and an arm for another one may still be under way.
+ * A router that fails between hold and go leaves the group stalled. A leading router that
+ * observes a hold of another router takes over: it holds the step as well, disarms and
+ * fences whatever version is armed or prepared, and releases the step. It does not complete
+ * the change, since ranks do not report the step that they are armed for, and an arm order
+ * for another step may still be under way.
  *
- * No I/O: it says which orders are due and is told how they were answered.
+ * Does no I/O: it returns the orders that are due and is passed the answers.
  */
 #ifndef ASH_MAP_SWITCH_H
 #define ASH_MAP_SWITCH_H
@@ -31,123 +35,129 @@
 #include "common/clock.h"
 #include "controllers/rank_state.h"
 
-/** Where a change stands. */
+/** Phase of a change. */
 enum ash_map_phase
 {
   ASH_MAP_IDLE,
-  ASH_MAP_PREPARE, /**< ranks copy what is new to them */
-  ASH_MAP_HOLD,    /**< a step is being held */
-  ASH_MAP_ARM,     /**< all ranks are told to take the map at that step */
-  ASH_MAP_DISARM,  /**< a rank can't: all are told to forget it */
-  ASH_MAP_FENCE,   /**< all prepare a newer version, so that none takes a late arm */
-  ASH_MAP_GO,      /**< the step is let go */
+  ASH_MAP_PREPARE, /**< ranks copy the experts that are new to them */
+  ASH_MAP_HOLD,    /**< one rank is ordered to hold a step */
+  ASH_MAP_ARM,     /**< all ranks are ordered to switch to the map at that step */
+  ASH_MAP_DISARM,  /**< reverting: all ranks are ordered to disarm the map */
+  ASH_MAP_FENCE,   /**< all ranks prepare a newer version, so that they refuse late arm orders */
+  ASH_MAP_GO,      /**< the held step is released */
 };
 
-/** How the last change ended. */
+/** Result of the last change. */
 enum ash_map_result
 {
   ASH_MAP_NONE,
-  ASH_MAP_CHANGED,
-  ASH_MAP_FINISHED,       /**< what another router had begun */
-  ASH_MAP_ABORTED,        /**< before a rank had taken it */
-  ASH_MAP_GROUP_REFORMED, /**< the group formed anew */
+  ASH_MAP_CHANGED,        /**< the new map is in use */
+  ASH_MAP_FINISHED,       /**< another router's change was taken over */
+  ASH_MAP_ABORTED,        /**< the change ended before any rank used the new map */
+  ASH_MAP_GROUP_REFORMED, /**< the group formed again, which ended the change */
 };
 
-/** What is known of a rank. */
+/** State of a rank. */
 struct ash_map_rank
 {
   struct ash_rank_report report;
-  struct ash_time reported;
-  bool known;
-  uint64_t prepared;               /**< as its lists told, without the lag of reports */
-  struct ash_time lists_requested; /**< when the question was sent that those answered */
-  bool answered;                   /**< the present phase's order is carried out there */
-  bool copying;                    /**< it has begun to prepare */
-  bool disarm_first;               /**< it has refused the fence: to be disarmed first */
+  struct ash_time reported; /**< when the last report arrived */
+  bool known;               /**< the rank has reported */
+  uint64_t prepared;        /**< version that is prepared, from its lists, which do not lag */
+  struct ash_time lists_requested; /**< when the request for those lists was sent */
+  bool answered;                   /**< the rank has executed the present phase's order */
+  bool copying;                    /**< the rank has begun to copy experts */
+  bool disarm_first; /**< it has refused the fence and must be disarmed before the next attempt */
   struct ash_time copying_since;
-  struct ash_time sent;   /**< the present phase's order; 0: not yet */
-  uint64_t released_step; /**< the last step for which it was told to go */
-  uint32_t refusals;      /**< of the present phase's order */
-  uint32_t copy_ms;       /**< how long it is expected to copy for the present change */
+  struct ash_time sent;   /**< when the present phase's order was last sent; 0: not yet */
+  uint64_t released_step; /**< last step for which it was sent a go order */
+  uint32_t refusals;      /**< number of refusals of the present phase's order */
+  uint32_t copy_ms;       /**< expected copying time for the present change, in milliseconds */
 };
 
-/** One group. */
+/** State of the changes of one group's map. */
 struct ash_map_switch
 {
   uint32_t rank_count;
   uint64_t epoch;
-  uint32_t lag_ms; /**< how old a report is when it comes */
+  uint32_t lag_ms; /**< age of a report when it arrives, in milliseconds */
   enum ash_map_phase phase;
   enum ash_map_result result;
-  uint64_t version;  /**< being changed to */
-  uint64_t fence;    /**< version with the map in use that ranks prepare, going back */
-  bool fence_is_set; /**< for the present change */
-  uint64_t step;     /**< being held */
-  uint32_t own_rank; /**< where this router holds steps */
-  uint32_t holder;   /**< rank that holds it */
-  bool finishing;    /**< what another router had begun */
-  uint32_t holds;    /**< tried in this change */
-  uint64_t refused;  /**< the last step that could not be held; it may not have begun */
+  uint64_t version;  /**< version of the new map; 0: none */
+  uint64_t fence;    /**< version that has the map in use, prepared as a fence */
+  bool fence_is_set; /**< @ref fence was set for the present change */
+  uint64_t step;     /**< step that is being held */
+  uint32_t own_rank; /**< rank at which this router holds steps */
+  uint32_t holder;   /**< rank at which the present step is held */
+  bool finishing;    /**< the present change was begun by another router */
+  uint32_t holds;    /**< number of steps that the present change tried to hold */
+  uint64_t refused;  /**< last step whose hold was refused, although it may not have begun */
   struct ash_time began;
   struct ash_time phase_began;
-  double pass_ms;        /**< time of a pass, as streams of this router show it; 0: not known */
-  double step_ms;        /**< the same, as the steps that ranks told show it */
-  uint64_t sampled_step; /**< the last one told without lag */
-  struct ash_time sampled_at; /**< when */
-  uint64_t last_step;
-  struct ash_time last_step_at; /**< when it was reported, less the lag */
-  uint64_t released;            /**< the last step let go here */
+  double pass_ms;        /**< duration of a pass, from streams of this router; 0: unknown */
+  double step_ms;        /**< duration of a pass, from the steps that ranks report; 0: unknown */
+  uint64_t sampled_step; /**< last step from a source without lag */
+  struct ash_time sampled_at;   /**< when it was received */
+  uint64_t last_step;           /**< highest step reported */
+  struct ash_time last_step_at; /**< when it was reported, minus the lag */
+  uint64_t released;            /**< last step that this router released */
   struct ash_time released_at;
-  uint64_t foreign_held; /**< a hold that is not this router's */
-  uint32_t foreign_rank; /**< where */
-  struct ash_time foreign_since;
+  uint64_t foreign_held;         /**< step that another router holds; 0: none */
+  uint32_t foreign_rank;         /**< rank at which it is held */
+  struct ash_time foreign_since; /**< when the hold was first observed */
   struct ash_map_rank ranks[ASH_LAYER_RANKS_MAX];
 };
 
 /**
- * @param own_rank where this router holds steps. A rank does not tell whose hold it has;
- * so no two routers that may lead should hold at the same one.
+ * Initializes the state.
+ * @param lag_ms age of a report when it arrives, in milliseconds.
+ * @param own_rank rank at which this router holds steps. It should differ between routers that may
+ * lead, since a rank does not report which router's hold it has.
  */
 void ash_map_switch_init (struct ash_map_switch *sw,
                           uint32_t rank_count,
                           uint32_t lag_ms,
                           uint32_t own_rank);
 
-/** A rank has told how it stands. */
+/** Handles a report of a rank. */
 void ash_map_switch_report (struct ash_map_switch *sw,
                             struct ash_time now,
                             const struct ash_rank_report *report);
 
-/** @return whether all ranks are known, in one epoch, and nothing is under way. */
+/** @return whether a change can begin: the state of all ranks in the present epoch is known, and no
+ * change is in progress. */
 bool ash_map_switch_ready (const struct ash_map_switch *sw, struct ash_time now);
 
-/** @return a version above all that any rank is known to have had. @param draw random bits. */
+/**
+ * @param draw random bits, which keep versions of different routers apart.
+ * @return a version higher than all that any rank is known to have had.
+ */
 uint64_t ash_map_switch_new_version (const struct ash_map_switch *sw, uint64_t draw);
 
 /**
- * Begins a change to a map of that version.
- * @param copy_ms of each rank: how long it is expected to copy.
+ * Begins a change to the map of that version.
+ * @param copy_ms expected copying time of each rank, in milliseconds.
  */
 void ash_map_switch_begin (struct ash_map_switch *sw,
                            struct ash_time now,
                            uint64_t version,
                            const uint32_t copy_ms[ASH_LAYER_RANKS_MAX]);
 
-/** @return whether a change goes back and needs a version with the map in use. */
+/** @return whether a change is being reverted and waits for ash_map_switch_set_fence(). */
 bool ash_map_switch_needs_fence (const struct ash_map_switch *sw);
 
-/** The map in use can be prepared as that version, drawn by ash_map_switch_new_version(). */
+/** Sets the version, from ash_map_switch_new_version(), as which ranks prepare the map in use. */
 void ash_map_switch_set_fence (struct ash_map_switch *sw, uint64_t version);
 
-/** A rank is known to use that map, whatever its reports still tell. */
+/** Records that a rank uses that version, even if its lagging reports show an older one. */
 void ash_map_switch_set_active (struct ash_map_switch *sw,
                                 uint32_t rank,
                                 uint64_t epoch,
                                 uint64_t version);
 
 /**
- * A rank's lists have told what it has prepared.
- * @param asked when the question was sent: the answer is of no earlier moment.
+ * Records the version that a rank has prepared, from its lists.
+ * @param asked when the lists were requested; their state is not older than that.
  */
 void ash_map_switch_set_prepared (struct ash_map_switch *sw,
                                   uint32_t rank,
@@ -155,30 +165,30 @@
                                   uint64_t version,
                                   struct ash_time asked);
 
-/** @return whether a rank's lists are needed to finish what another router holds. */
+/** @return whether a rank's lists are needed to take over another router's change. */
 bool ash_map_switch_needs_lists (const struct ash_map_switch *sw, uint32_t rank);
 
-/** @return whether a step is held by another router, as far as is known. */
+/** @return whether another router is known to hold a step. */
 bool ash_map_switch_has_foreign_hold (const struct ash_map_switch *sw);
 
-/** A pass takes so long now, as the pauses of streams show. */
+/** Sets the present duration of a pass, measured by the pauses of streams. */
 void ash_map_switch_set_pass_ms (struct ash_map_switch *sw, double pass_ms);
 
-/** A rank has told its present step, without the lag of reports. */
+/** Records a rank's present step from a source that does not lag. */
 void ash_map_switch_sample_step (struct ash_map_switch *sw, struct ash_time now, uint64_t step);
 
-/** An order was answered. @param status of HTTP; 0: not answered. */
+/** Handles the answer to an order. @param status HTTP status; 0: the order was not answered. */
 void ash_map_switch_handle_answer (struct ash_map_switch *sw,
                                    struct ash_time now,
                                    const struct ash_rank_order *order,
                                    uint16_t status);
 
-/** Time goes on. Fills what is to be sent now. @return how many orders. */
+/** Runs the timers. @param orders receives the orders to send now. @return number of orders. */
 uint32_t ash_map_switch_orders (struct ash_map_switch *sw,
                                 struct ash_time now,
                                 struct ash_rank_order orders[ASH_LAYER_RANKS_MAX]);
 
-/** @return whether a report of that rank is awaited: soon, or in good time. */
+/** @return whether a report of that rank is due to be requested. */
 bool
 ash_map_switch_needs_report (const struct ash_map_switch *sw, struct ash_time now, uint32_t rank);
 
