--- a/controllers/pass_model.c
+++ b/controllers/pass_model.c
@@ -1,23 +1,23 @@
 #include "controllers/pass_model.h"
 
-/* Skew of a map that was made for another demand. Of six engines with 8 to 32 ranks and 3 to 16
- * layers, 2.3 to 3.7 where 50 to 80 in 100 of the demand had changed. */
+/* Skew of a map just after the demand has shifted. On six engines with 8 to 32 ranks and 3 to 16
+ * layers it was 2.3 to 3.7 when 50 to 80 % of the demand had changed. */
 #define SHIFTED_SKEW 3.5
 
-/* Skew that maps leave once they have followed; 1.2 to 1.4 on the same engines. */
+/* Skew of a map that is adapted to the demand; 1.2 to 1.4 on the same engines. */
 #define USUAL_SKEW 1.3
 
-/* Part of the streams that are under way during a shift: one each 3 to 4 s, 0.5 to 1 s until the
- * map has followed, and a stream lasts 1 to 2 s. */
+/* Fraction of the streams that are running during a shift: the demand shifts every 3 to 4 s, the
+ * map is adapted after 0.5 to 1 s, and a stream lasts 1 to 2 s. */
 #define SHIFTED_STREAM_FRACTION 0.6
 
-/* What a stream that pauses too long once loses of its worth. */
+/* Fraction of a stream's value that is lost if one of its pauses is too long. */
 #define LATE_STREAM_LOSS 0.5
 
 #define BITS_PER_MB 8.0
 #define MS_PER_S 1000.0
 
-/* Milliseconds that a stream adds to a step: its own part, and its experts'. */
+/* Milliseconds that a stream adds to a step: a fixed part and a part that grows with the skew. */
 static double
 stream_ms (const struct ash_engine_facts *engine, double skew)
 {
@@ -49,7 +49,7 @@
   return engine->link_mbps > 0 ? engine->expert_mb * BITS_PER_MB * MS_PER_S / engine->link_mbps : 0;
 }
 
-/* Milliseconds that a rank takes to read a usual prompt. */
+/* Milliseconds that a rank takes to read a prompt of usual length. */
 static double
 prompt_ms (const struct ash_engine_facts *engine)
 {
@@ -57,7 +57,8 @@
                                    : 0;
 }
 
-/* What callers get of a rank with so many streams, in streams a millisecond of a pass. */
+/* Useful output of a rank with so many streams: streams, less the value lost to late ones, per
+ * millisecond of a pass. */
 static double
 useful_rate (const struct ash_engine_facts *engine, uint32_t pause_aim_ms, uint32_t streams)
 {
--- a/controllers/pass_watch.c
+++ b/controllers/pass_watch.c
@@ -2,20 +2,21 @@
 
 #include "controllers/pass_model.h"
 
-/* Part of the newest pause: the mean follows within about a dozen pauses, a pass or two of
- * a few streams. */
+/* Weight of the newest pause: the smoothed duration follows within about 12 pauses, which a few
+ * streams have in one or two passes. */
 #define NEW_PAUSE_WEIGHT 0.12
 
-/* Pauses that it takes to know anything. */
+/* Number of pauses needed before passes can be reported as slow. */
 #define PAUSES_MIN 12
 
-/* Passes are too long above this, against what is explained. Prompts that are read add about
- * 10 in 100; a shift adds 40 and more. A false alarm has the price of a look at the counts,
- * which fewer streams share where there are fewer ranks: 1.3 for 16 of them, 1.22 for 64. */
+/* Passes are slow if they take more than SLOW_RATIO + SLOW_RATIO_RANKS / ranks times the explained
+ * duration: 1.3 times with 16 ranks, 1.22 times with 64. Prompts add about 10 % to a pass, a shift
+ * at least 40 %. A false alarm costs a sample of the counts, which weighs more in a group with few
+ * ranks and streams. */
 #define SLOW_RATIO 1.2
 #define SLOW_RATIO_RANKS 1.6
 
-/* A pause beyond this is no pass: the stream stood still for another reason. */
+/* A longer pause is not the duration of a pass: the stream stalled for another reason. */
 #define PAUSE_MAX_MS 600
 
 void
--- a/controllers/pass_watch.h
+++ b/controllers/pass_watch.h
@@ -1,43 +1,43 @@
 /**
  * @file
- * Sees from the pauses between events of streams that a group's passes take longer
- * than its map explains: other experts are asked for than it is made for. Costs
- * nothing, unlike asking the engines.
+ * Detects, from the pauses between the events of streams, that a group's passes take longer than
+ * the skew of its map explains: the demand has shifted to other experts. Unlike querying the
+ * engines, this costs no requests.
  */
 #ifndef ASH_PASS_WATCH_H
 #define ASH_PASS_WATCH_H
 
 #include "controllers/route_table.h"
 
-/** One group's passes. */
+/** Smoothed pauses of the streams of one group. */
 struct ash_pass_watch
 {
-  double pass_ms;  /**< mean of the last few pauses */
-  double ratio;    /**< the same over a pass whose ranks are all even */
-  double accepted; /**< the lowest ratio since a look at the counts found no shift; 0: none did */
-  double expert_fraction; /**< of an even pass: what grows with skew */
-  uint32_t seen;          /**< pauses since it was reset */
+  double pass_ms;  /**< smoothed duration of a pass */
+  double ratio;    /**< smoothed duration, relative to a pass with evenly loaded ranks */
+  double accepted; /**< lowest ratio since the counts last showed no shift; 0: they never did */
+  double expert_fraction; /**< fraction of a pass with evenly loaded ranks that grows with skew */
+  uint32_t seen;          /**< number of pauses since the last reset */
 };
 
-/** Forgets what was seen: the map has changed. */
+/** Discards all pauses, after a change of the map. */
 void ash_pass_watch_reset (struct ash_pass_watch *watch);
 
 /**
- * A stream has paused so long between two events.
- * @param streams that each rank of the group has, in the mean.
+ * Adds the pause between two events of a stream.
+ * @param streams mean number of streams per rank of the group.
  */
 void ash_pass_watch_add_pause (struct ash_pass_watch *watch,
                                const struct ash_engine_facts *engine,
                                double streams,
                                int64_t pause_ms);
 
-/** Counts show that passes are so long without a shift: only longer ones are too long. */
+/** Accepts the present duration as normal, because the counts show no shift of the demand. */
 void ash_pass_watch_accept_ratio (struct ash_pass_watch *watch);
 
 /**
- * @param ranks of all groups that a look at the counts serves.
- * @param skew that the map in use is believed to have.
- * @return whether passes take much longer than that explains.
+ * @param ranks number of ranks of all groups whose demand one sample of the counts covers.
+ * @param skew estimated skew of the map in use.
+ * @return whether passes take much longer than the skew explains.
  */
 bool ash_pass_watch_is_slow (const struct ash_pass_watch *watch, uint32_t ranks, double skew);
 
--- a/controllers/prompt_gate.c
+++ b/controllers/prompt_gate.c
@@ -2,39 +2,44 @@
 
 #include "controllers/pass_model.h"
 
-/* Passes this much longer than usual are a shift's; prompts and copies add less. */
+/* The gate closes when passes take this many times the usual duration, as after a shift. Prompts
+ * and copies lengthen passes by less. */
 #define CLOSE_RATIO 1.25
 
-/* They are as usual again below this. */
+/* The gate opens when passes take less than this many times the usual duration. */
 #define OPEN_RATIO 1.15
 
-/* Shorter passes leave enough of the good pause for prompts, against that pause. */
+/* The gate does not close for passes shorter than this fraction of the target pause: they leave
+ * enough time for prompts. */
 #define LONG_PASS_FRACTION 0.6
 
-/* A pause beyond this is no pass: the stream stood still for another reason. */
+/* A longer pause is not the duration of a pass: the stream stalled for another reason. */
 #define PAUSE_MAX_MS 600
 
-/* By then the maps have followed; longer passes that stay are the usual ones from now on. */
+/* Maximum time that the gate stays closed. The maps are adapted by then; if passes are still long,
+ * their duration becomes the usual one. */
 #define CLOSED_MAX_MS 450
 
-/* Part of the newest pass in the mean: some seconds of a few streams. */
+/* Weight of the newest pass in the usual duration, which is smoothed over some seconds with a few
+ * streams. */
 #define NEW_PAUSE_WEIGHT 0.03
 
-/* Of the aim: what is left is enough for a first event once passes are as usual. */
+/* Fraction of the target time to the first event for which a prompt may be held. The rest is enough
+ * for the first event once passes have their usual duration. */
 #define HOLD_FRACTION 0.4
 
-/* The same for a stream that broke before: when many routers or links were lost, all that were
- * under way come back at once, and those that come new would be late with them. */
+/* The same for a stream that broke before. When many routers or links fail, all their streams
+ * return at once; without the longer hold, new requests would miss their targets as well. */
 #define HOLD_RESUMED_FRACTION 1.5
 
-/* Of the time for which a prompt may be kept: what the copy of one expert takes at most. A change
- * has several, after a look at the counts. */
+/* Maximum time to copy one expert, as a fraction of the time for which a prompt may be held. A
+ * change copies several experts, after the counts were sampled. */
 #define COPY_FRACTION 0.25
 
-/* Of the good pause: what the reading of prompts may take of each pass. */
+/* Fraction of the target pause that reading prompts may take in each pass. */
 #define READING_FRACTION 0.1
 
-/* Prompts that come by chance together go at once. */
+/* Minimum burst of prompts: a few that arrive together by chance are sent at once. */
 #define BURST_MIN 2.0
 
 #define MS_PER_S 1000.0
@@ -99,7 +104,7 @@
   return gate->closed && ash_time_diff (gate->closed_at, now) <= CLOSED_MAX_MS;
 }
 
-/* Adds what has become allowed since this was last looked at. */
+/* Refills the number of allowed prompts for the time since the last update. */
 static void
 refill (struct ash_prompt_gate *gate, double per_pass, struct ash_time now)
 {
@@ -119,7 +124,7 @@
 {
   double hold_fraction = terms->resumed ? HOLD_RESUMED_FRACTION : HOLD_FRACTION;
   struct ash_time most = ash_time_add (came, (int64_t) (hold_fraction * terms->aim_ms));
-  double needed = terms->resumed ? 2 : 1; /* one is left to those that come new */
+  double needed = terms->resumed ? 2 : 1; /* leaves one for new requests */
   struct ash_time until;
 
   if (!terms->pause_aim_ms || !ash_time_before (now, most))
--- a/controllers/prompt_gate.h
+++ b/controllers/prompt_gate.h
@@ -1,13 +1,14 @@
 /**
  * @file
- * When a router lets new prompts go to the engines of a service. Ranks make their passes together,
- * and what each prompt adds to a pass makes the events of all streams under way come later:
- *  - while passes have just become long, prompts are kept back for a moment. When demand for
- *    experts shifts, passes take twice as long until the maps have followed, and what is read
- *    meanwhile is read at the most loaded ranks' pace;
- *  - many that come at once, as when callers return together, go a few a pass.
- * A caller that waits a little for its first event loses nothing; one whose stream pauses too long
- * has lost it.
+ * Delays new prompts of a service. Ranks run their passes together, so the time that reading a
+ * prompt adds to a pass delays the events of all running streams:
+ *  - when passes have just become long, prompts are held for a moment. After a shift of the demand
+ *    for experts, passes take twice as long until the maps are adapted, and prompts are read at the
+ *    speed of the most loaded ranks;
+ *  - prompts that arrive at once, for example when callers reconnect together, are sent a few per
+ *    pass.
+ * A short wait for the first event costs a caller little, but a stream with too long a pause has
+ * missed its target.
  */
 #ifndef ASH_PROMPT_GATE_H
 #define ASH_PROMPT_GATE_H
@@ -15,31 +16,32 @@
 #include "common/clock.h"
 #include "controllers/route_table.h"
 
-/** One service's gate; all zero: open, nothing seen yet. */
+/** The gate of one service. Valid and open when zeroed. */
 struct ash_prompt_gate
 {
-  double usual_ms; /**< mean of passes while it was open; 0: not known */
-  bool closed;
+  double usual_ms; /**< smoothed duration of a pass while the gate is open; 0: unknown */
+  bool closed;     /**< prompts are held since passes have become long */
   struct ash_time closed_at;
-  double allowed; /**< prompts that may go at once */
-  struct ash_time allowed_at;
+  double allowed;             /**< number of prompts that may be sent now */
+  struct ash_time allowed_at; /**< when @ref allowed was last updated */
 };
 
-/** What this router may send. */
+/** Limits for the prompts that this router sends. */
 struct ash_prompt_terms
 {
-  double per_pass;         /**< prompts that may go each pass; 0: any number */
+  double per_pass;         /**< prompts per pass; 0: unlimited */
   bool maps_adapt_in_time; /**< see ash_prompt_gate_maps_adapt_in_time() */
-  uint32_t pause_aim_ms;   /**< longest pause of a stream that is good; 0: none is kept back */
-  uint32_t aim_ms;         /**< in which a caller is to see the first event */
-  bool resumed;            /**< the stream broke before: its caller has paused too long already */
+  uint32_t pause_aim_ms;   /**< target for the longest pause of a stream; 0: prompts are not held */
+  uint32_t aim_ms;         /**< target for the time to the first event */
+  bool resumed;            /**< the stream broke before: it has already missed its target */
 };
 
 /**
- * @param ranks that read prompts.
- * @param routers that send them.
- * @return prompts that one of the routers may send each pass, so that passes stay within what is
- * good; 0: the engine's figures don't tell.
+ * @param pause_aim_ms target for the longest pause of a stream.
+ * @param ranks number of ranks that read prompts.
+ * @param routers number of routers that send prompts.
+ * @return prompts that each router may send per pass so that passes stay within the target; 0: the
+ * engine's figures are unknown.
  */
 double ash_prompt_gate_per_pass (const struct ash_engine_facts *engine,
                                  uint32_t pause_aim_ms,
@@ -47,14 +49,15 @@
                                  uint32_t routers);
 
 /**
- * @return whether ranks copy experts so fast that a map has followed a shift before a prompt that
- * waits for it would be late: else it is not kept back for that.
+ * @param aim_ms target for the time to the first event.
+ * @return whether ranks copy experts fast enough that the map is adapted to a shift before a held
+ * prompt misses its target; otherwise prompts are not held after a shift.
  */
 bool ash_prompt_gate_maps_adapt_in_time (const struct ash_engine_facts *engine, uint32_t aim_ms);
 
 /**
- * A stream has paused so long between two events.
- * @param pause_aim_ms longest pause that is good.
+ * Adds the pause between two events of a stream, and closes or opens the gate.
+ * @param pause_aim_ms target for the longest pause of a stream.
  * @return whether the gate has just closed or opened.
  */
 bool ash_prompt_gate_add_pause (struct ash_prompt_gate *gate,
@@ -63,15 +66,15 @@
                                 uint32_t pause_aim_ms);
 
 /**
- * @param came when the request came.
- * @return when it may go: now, or when it is to be looked at again.
+ * @param came when the request arrived.
+ * @return @p now if the prompt may be sent, otherwise the time at which to check again.
  */
 struct ash_time ash_prompt_gate_send_time (struct ash_prompt_gate *gate,
                                            const struct ash_prompt_terms *terms,
                                            struct ash_time came,
                                            struct ash_time now);
 
-/** A prompt goes. */
+/** Records that a prompt is sent. */
 void ash_prompt_gate_record_sent (struct ash_prompt_gate *gate);
 
 #endif
