--- a/daemon/map_manager.c
+++ b/daemon/map_manager.c
@@ -11,42 +11,47 @@
 
 #define TICK_S 0.02
 
-/* Counts that have not come by then are done without. */
+/* Time after which a sample continues without the counts that have not arrived. */
 #define COUNTS_TIMEOUT_MS 150
 
-/* A router that has just come to lead waits: the one before may still be finishing, which takes
- * two passes or three. */
+/* Time for which a new leader waits before it decides on maps: the previous leader may still be
+ * completing a change, which takes two or three passes. */
 #define LEAD_WAIT_MS 350
 
-/* From one look at the counts to the next after passes have become longer: one or two passes,
- * each with some tokens of every stream. */
+/* Time between the two queries of a sample: one or two passes, each with some tokens of every
+ * stream. */
 #define COUNTS_INTERVAL_MS 100
 
-/* From a decision to the next look because of long passes: two passes or three, so that the next
- * one has shown something. A look costs a router and two ranks two questions; a second without one
- * costs most of a second at a skew of about 3. */
+/* Minimum time from a sample to the next one because of slow passes: two or three passes, so that
+ * the effect of the last decision has been measured. A sample costs the router and two ranks two
+ * requests each. Each second by which a needed sample is late is mostly lost, at a skew of about 3.
+ */
 #define SAMPLE_AGAIN_MS 300
 
-/* Within so many passes of an epoch all counts are of what is asked for now. */
+/* If a group has run at most this many passes since it formed, all its counts reflect the present
+ * demand. */
 #define FIRST_PASSES 40
 
-/* Looks without any answer that are taken again at once, at other ranks. */
+/* Maximum number of consecutive samples without any answer that are repeated at once, on other
+ * ranks. */
 #define EMPTY_SAMPLES_MAX 3
 
-/* Several words within the time after which others take it that this router is stuck. */
+/* Interval at which the next leaders are notified of a change in progress: several times within the
+ * time after which they consider this router stuck. */
 #define CHANGING_RESEND_MS 60
 
-/* Part of a pass that experts take, from which a slow rank is worth a change: it costs orders to
- * all ranks, and a group with few streams is slow by the rank's own part. */
+/* Minimum fraction of a pass that the experts take for the slowness of a rank to be considered in
+ * decisions. A change costs orders to all ranks; in a group with few streams, moving experts off a
+ * slow rank hardly shortens the passes. */
 #define SLOW_EXPERT_FRACTION_MIN 0.1
 
-/* How often a rank that is slow is asked whether it still is. */
+/* Interval at which reports are requested from a slow rank. */
 #define REPORT_SLOW_MS 400
 
-/* How often an endpoint that is in no group as yet is asked. */
+/* Interval at which reports are requested from an endpoint that is not in a group yet. */
 #define REPORT_UNGROUPED_MS 1000
 
-/* ---- what others are told ---- */
+/* ---- notifications to other routers ---- */
 
 bool
 ash_map_manager_is_changing (const struct ash_map_manager *manager)
@@ -57,8 +62,8 @@
   return false;
 }
 
-/* Those that would lead next hear of a change before its first order leaves, and then often, so
- * that they notice soon if this router stops in the midst of it. */
+/* Notifies the routers that would lead next of a change before its first order is sent, and
+ * frequently while it is in progress, so that they notice soon if this router fails during it. */
 static void
 report_changing (struct ash_map_manager *manager, struct ash_time now)
 {
@@ -74,7 +79,7 @@
 
 /* ---- decisions ---- */
 
-/* How long each rank will copy what is new to it. */
+/* Computes the time that each rank will take to copy the experts that are new to it. */
 static void
 expect_copies (const struct ash_rank_group *group,
                const struct ash_engine_facts *engine,
@@ -94,7 +99,7 @@
     }
 }
 
-/* Streams of a rank of the group, in the mean. */
+/* Mean number of streams per rank of the group. */
 static double
 mean_streams (const struct ash_rank_group *group)
 {
@@ -134,7 +139,7 @@
     .expert_fraction = ash_pass_model_expert_fraction (&service->engine, mean_streams (group)),
     .remaining_ms = ash_shift_times_remaining_ms (&manager->shifts, now),
   };
-  /* What slow ranks hold matters only where experts do. */
+  /* Consider slow ranks only if the experts take a relevant part of a pass. */
   if (terms.expert_fraction >= SLOW_EXPERT_FRACTION_MIN)
     terms.pace = pace;
   for (uint32_t rank = 0; rank < group->sw.rank_count; rank++)
@@ -170,7 +175,8 @@
   manager->counts_since = now;
 }
 
-/* Some ranks: their requests are a sample of all, and each number has a price. */
+/* Queries the counts of some ranks only: their requests are representative, and each count costs
+ * processing time. */
 static void
 query_counts (struct ash_map_manager *manager)
 {
@@ -190,7 +196,7 @@
       }
 }
 
-/* What is asked for from now on is counted. */
+/* Starts a sample of the demand from now on. */
 static void
 query_baseline (struct ash_map_manager *manager, struct ash_time now)
 {
@@ -200,7 +206,8 @@
   set_counts_state (manager, ASH_COUNTS_BASELINE, now);
 }
 
-/* The ranks were asked already: their answers are of all since the last look, or the start. */
+/* Makes the query that was just sent the final one: the sample covers all tokens since the previous
+ * sample or the engines' start. */
 static void
 use_counts_so_far (struct ash_map_manager *manager, struct ash_time now)
 {
@@ -213,8 +220,8 @@
 {
   uint32_t wanted = manager->policy->layer_count * manager->policy->expert_count;
 
-  /* All answers were lost. That was taken for a look that found no shift: with answers of 43 of 72
-   * endpoints lost, a shift was seen 4.9 s late. */
+  /* Without any answer the sample is repeated. It must not pass for one that shows no shift: with
+   * the answers of 43 of 72 endpoints lost, a shift was then detected 4.9 s late. */
   if (!manager->counts_used && manager->empty_samples < EMPTY_SAMPLES_MAX)
     {
       manager->empty_samples++;
@@ -227,7 +234,7 @@
   manager->counts_awaited = 0;
   manager->decided = now;
   ash_layer_policy_report (manager->policy, manager->counts);
-  /* In some layers alone, it may be a few counts' chance. */
+  /* A shift in fewer than half of the layers may be noise of small counts. */
   if (manager->policy->reports > 1 && manager->policy->shifts * 2 > manager->policy->layer_count)
     ash_shift_times_record (&manager->shifts, now);
   memset (manager->counts, 0, wanted * sizeof *manager->counts);
@@ -242,7 +249,8 @@
   manager->slow_passes = false;
 }
 
-/* A group that stands counts nothing: a look would take that for no demand at all. */
+/* Whether any group is running steps. A stalled group counts no tokens, which a sample would
+ * mistake for a lack of demand. */
 static bool
 is_running (const struct ash_map_manager *manager)
 {
@@ -253,7 +261,7 @@
   return false;
 }
 
-/* All that was counted so far is of the last seconds. */
+/* Whether all groups have formed so recently that all their counts reflect the present demand. */
 static bool
 is_newly_formed (const struct ash_map_manager *manager)
 {
@@ -272,7 +280,8 @@
   return false;
 }
 
-/* Passes are long: demand has shifted, or a rank has turned slow. */
+/* Requests reports from all ranks: passes are slow because the demand has shifted or because a rank
+ * has become slow. */
 static void
 query_reports (struct ash_map_manager *manager, struct ash_time now)
 {
@@ -312,7 +321,7 @@
   return true;
 }
 
-/* Whether to look at the counts now, and from which moment on to count. */
+/* Starts a sample if one is due, and decides at which time it starts. */
 static void
 begin_sample (struct ash_map_manager *manager, struct ash_time now)
 {
@@ -386,9 +395,10 @@
     }
 }
 
-/* ---- watching ---- */
+/* ---- monitoring of ranks ---- */
 
-/* Of the map in use, to draw the next one; or to finish what another router holds. */
+/* Whether a rank's lists of experts are needed: as part of the map in use, from which the next map
+ * is computed, or to take over another router's change. */
 static bool
 needs_lists (const struct ash_rank_group *group,
              const struct ash_rank_endpoint *endpoint,
@@ -421,7 +431,7 @@
   if (needs_lists (group, endpoint, now) &&
       ash_time_diff (endpoint->queried_at[ASH_RANK_LISTS], now) >= ASH_RANK_CALL_TIMEOUT_MS)
     ash_rank_query (endpoint, ASH_RANK_LISTS);
-  /* A part of a map that is not the one in use any more. */
+  /* The lists are of a map that the rank does not use any more. */
   if (group->has_lists[endpoint->rank] &&
       (group->sw.phase == ASH_MAP_IDLE || ash_map_switch_needs_fence (&group->sw)) &&
       group->sw.ranks[endpoint->rank].report.map != group->map.version &&
@@ -470,7 +480,7 @@
     ash_rank_endpoint_free (manager, endpoint);
 }
 
-/* ---- leading ---- */
+/* ---- leadership ---- */
 
 static void
 free_groups (struct ash_map_manager *manager)
@@ -509,7 +519,7 @@
 {
   if (leads == manager->leads)
     return;
-  /* A group that stands still because of this router is let go first. */
+  /* Release held steps first: their groups are stalled until then. */
   if (!leads && ash_map_manager_holds_step (manager))
     return;
   manager->leads = leads;
--- a/daemon/map_manager.h
+++ b/daemon/map_manager.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * Groups of ranks in lock-step: the router that leads watches them, learns what
- * experts are asked for, and changes their maps. All others keep nothing of it.
+ * Manages the expert maps of groups of ranks that run in lock-step. Only the leading router
+ * does so: it monitors the groups, samples how many tokens each expert processes, and changes
+ * the maps. The other routers keep no state of the groups.
  */
 #ifndef ASH_MAP_MANAGER_H
 #define ASH_MAP_MANAGER_H
@@ -15,16 +16,19 @@
 struct ash_rank_endpoint;
 struct ash_rank_group;
 
-/** How far a look at the counts has come. */
+/**
+ * State of a sample of the token counts. Engines count the tokens of each expert since their start;
+ * a sample is the difference between two queries of some ranks.
+ */
 enum ash_counts_state
 {
-  ASH_COUNTS_IDLE,
-  ASH_COUNTS_BASELINE, /**< asked, to count from here: what came before is of another time */
-  ASH_COUNTS_INTERVAL, /**< until there is enough to count */
-  ASH_COUNTS_FINAL,    /**< asked, to decide on what came since */
+  ASH_COUNTS_IDLE,     /**< no sample is in progress */
+  ASH_COUNTS_BASELINE, /**< queried the counts from which the sample starts */
+  ASH_COUNTS_INTERVAL, /**< waiting for enough tokens to be counted */
+  ASH_COUNTS_FINAL,    /**< queried the counts at which the sample ends */
 };
 
-/** The task. */
+/** The map manager of a router. */
 struct ash_map_manager
 {
   struct ash_router *router;
@@ -33,47 +37,51 @@
   struct ash_time leads_since;
   struct ash_rank_endpoint *endpoints; /**< endpoints with an engine, by hash of their id */
   struct ash_rank_group *groups;       /**< by name */
-  struct ash_layer_policy *policy;
+  struct ash_layer_policy *policy;     /**< NULL: the service has no experts, or not leading */
   enum ash_counts_state counts_state;
   struct ash_time counts_since;          /**< when this state began */
-  struct ash_time baseline_requested_at; /**< the look's first question; counts are from there on */
-  bool counts_from_baseline;             /**< else from the last look on, or from the start */
-  uint32_t sample_offset;                /**< ranks that are asked: every so manieth from here on */
-  uint32_t counts_awaited;
-  uint32_t counts_used;   /**< answers of this look that counted */
-  uint32_t empty_samples; /**< in a row, without such an answer */
-  bool slow_passes;       /**< the look under way was begun because of long passes */
-  double *counts;         /**< new since the last decision */
-  struct ash_time decided;
-  struct ash_shift_times shifts;
-  bool changes; /**< as those that would lead next were last told */
+  struct ash_time baseline_requested_at; /**< when the first query of the sample was sent */
+  bool counts_from_baseline; /**< the sample starts at that query; else at the previous sample, or
+                         at the engines' start */
+  uint32_t sample_offset;    /**< rank, modulo the stride between queried ranks, that is queried */
+  uint32_t counts_awaited;   /**< queries that are not answered yet */
+  uint32_t counts_used;      /**< answers that are part of the present sample */
+  uint32_t empty_samples;    /**< number of consecutive samples without such an answer */
+  bool slow_passes;          /**< the present sample was started because passes are slow */
+  double *counts;            /**< tokens of each expert in the present sample, ordered by layer */
+  struct ash_time decided;   /**< when the last sample was completed */
+  struct ash_shift_times shifts; /**< times of shifts of the demand */
+  bool changes; /**< whether a change is in progress, as last sent to the next leaders */
   struct ash_time changing_sent_at;
-  uint64_t orders;           /**< sent */
-  uint64_t reads;            /**< numbers read */
-  uint64_t beyond_bounds;    /**< reports of groups that are larger than what is kept here */
-  bool beyond_bounds_logged; /**< while this router leads */
+  uint64_t orders;           /**< number of orders sent */
+  uint64_t reads;            /**< number of counts read */
+  uint64_t beyond_bounds;    /**< number of reports of groups that exceed the maximum sizes */
+  bool beyond_bounds_logged; /**< logged since this router leads */
 };
 
+/** Starts the manager's timer. */
 void ash_map_manager_open (struct ash_map_manager *manager, struct ash_router *router);
 
+/** Stops the timer and frees all groups and endpoints. */
 void ash_map_manager_close (struct ash_map_manager *manager);
 
-/** The process was paused: all that it knows is old. */
+/** Discards all state, which is outdated after the process was suspended. */
 void ash_map_manager_resumed (struct ash_map_manager *manager);
 
-/** @return whether a group stands still until this router lets it go. */
+/** @return whether this router may hold a step of a group, which then is stalled until it is
+ * released. */
 bool ash_map_manager_holds_step (const struct ash_map_manager *manager);
 
-/** @return whether a change of a map is under way here: if this router is lost, a group may stand.
+/** @return whether a change of a map is in progress. If this router fails now, a group may stall.
  */
 bool ash_map_manager_is_changing (const struct ash_map_manager *manager);
 
-/** A stream at that endpoint has paused so long between two events. */
+/** Adds the pause between two events of a stream of that endpoint. */
 void ash_map_manager_add_pause (struct ash_map_manager *manager,
                                 uint64_t endpoint_hash,
                                 int64_t pause_ms);
 
-/** An endpoint is about to be freed. */
+/** Removes an endpoint that is about to be freed. */
 void ash_map_manager_remove_endpoint (struct ash_map_manager *manager, uint64_t endpoint_hash);
 
 #endif
--- a/daemon/rank_client.c
+++ b/daemon/rank_client.c
@@ -7,7 +7,6 @@
 #include <string.h>
 #include <utlist.h>
 
-/* The engine's facts of the one service that has experts; NULL if there is none. */
 const struct ash_route_service *
 ash_rank_service (const struct ash_map_manager *manager)
 {
@@ -19,7 +18,7 @@
   return NULL;
 }
 
-/* ---- maps as they are in use ---- */
+/* ---- maps in use ---- */
 
 static void
 invalidate_map (struct ash_rank_group *group)
@@ -27,7 +26,6 @@
   memset (group->has_lists, 0, sizeof group->has_lists);
 }
 
-/* All ranks have told their part, and it is of the map that they use. */
 bool
 ash_rank_group_map_is_known (const struct ash_rank_group *group)
 {
@@ -44,10 +42,10 @@
          engine->rank_slots <= ASH_LAYER_SLOTS_MAX;
 }
 
-/* ---- what comes back ---- */
+/* ---- answers ---- */
 
-/* A group beyond what is kept here stays on the map it has. Told once a while of leading: each of
- * its ranks reports again and again. */
+/* Counts and logs a group that exceeds the maximum sizes, and therefore keeps its map. Logs it only
+ * once while this router leads, since every rank of the group reports repeatedly. */
 static void
 record_beyond_bounds (struct ash_map_manager *manager,
                       const struct ash_engine_facts *engine,
@@ -124,7 +122,7 @@
     {
       ash_layer_map_copy (&group->map, &group->next_map);
       group->skew = group->next_map_skew;
-      /* What the ranks report will lag behind; this router knows better. */
+      /* The ranks' reports lag: they will still show the previous map for a while. */
       for (uint32_t i = 0; i < sw->rank_count; i++)
         ash_map_switch_set_active (sw, i, sw->epoch, group->map.version);
       ash_pass_watch_reset (&group->watch);
@@ -138,8 +136,9 @@
   sw->result = ASH_MAP_NONE;
 }
 
-/* Callers' requests spare an endpoint that is slow, here and at the peers. @return whether it has
- * turned slow, or is as usual again. */
+/* Updates the pace of an endpoint, here and at the peers, which send fewer requests to slow
+ * endpoints.
+ * @return whether the endpoint has become slow, or normal again. */
 static bool
 update_pace (struct ash_rank_endpoint *endpoint, struct ash_time now, double pace)
 {
@@ -190,8 +189,9 @@
   handle_result (group, manager, now);
 }
 
-/* Whether a endpoint's new counts are of the time that the look is about. Without its answer to the
- * look's first question they are of all its life. */
+/* Whether an endpoint's new counts are part of the present sample. They are not if its answer to
+ * the sample's first query is missing: the difference would then cover an earlier time.
+ * @param is_continuous the endpoint's previous counts are of the same epoch. */
 static bool
 is_in_sample (const struct ash_rank_endpoint *endpoint, bool is_continuous)
 {
@@ -204,7 +204,7 @@
   return is_continuous && !ash_time_before (endpoint->counts_read, manager->baseline_requested_at);
 }
 
-/* Adds what is new since the endpoint was last asked. */
+/* Adds the difference to the endpoint's previous counts to the sample. */
 static void
 add_counts (struct ash_rank_endpoint *endpoint, const struct ash_rank_counts *counts)
 {
@@ -273,12 +273,12 @@
       invalidate_map (group);
       return;
     }
-  /* Parts of two maps do not make one. */
+  /* Lists of different maps must not be combined. */
   if (version != group->map.version || lists.epoch != group->listed_epoch)
     invalidate_map (group);
   group->listed_epoch = lists.epoch;
   group->has_lists[endpoint->rank] = true;
-  /* Lists do not lag as reports do. */
+  /* Unlike reports, lists do not lag. */
   ash_map_switch_set_active (&group->sw, endpoint->rank, lists.epoch, group->map.version);
   ash_map_switch_set_prepared (&group->sw, endpoint->rank, lists.epoch, lists.prepared, call->sent);
 }
@@ -360,14 +360,14 @@
   else if (status == 200)
     handle_answer (call);
   free_call (call);
-  /* The next orders of a change leave at once: the group may be held. */
+  /* Send the next orders of a change at once: the group may be stalled. */
   if (endpoint->group)
     ash_rank_group_send_orders (endpoint->group, endpoint->manager);
 }
 
 static const struct ash_call_handler call_handler = { on_head, on_body, on_end };
 
-/* ---- what goes out ---- */
+/* ---- queries and orders ---- */
 
 static struct ash_rank_call *
 start_call (struct ash_rank_endpoint *endpoint, const struct ash_buffer *request)
@@ -403,7 +403,7 @@
   ash_buffer_finish (&request);
 }
 
-/* An order's text: written once for all ranks, as that of a map is long. */
+/* The body of an order's request. Encoded once for all ranks, since a map is long. */
 static const struct ash_buffer *
 order_body (struct ash_rank_group *group, const struct ash_rank_order *order)
 {
@@ -443,7 +443,7 @@
   ash_buffer_finish (&request);
 }
 
-/* A change that goes back has its ranks prepare the map in use under a newer version. */
+/* If a change is being reverted, sets its fence: the map in use with a newer version. */
 static void
 set_fence (struct ash_rank_group *group, struct ash_map_manager *manager)
 {
--- a/daemon/rank_client.h
+++ b/daemon/rank_client.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Ranks and groups as the router that leads sees them: the questions and orders that
- * it has under way at each rank, and what their answers tell.
+ * The leading router's client for the engines of ranks: sends queries and orders, handles the
+ * answers, and keeps the state of ranks and groups.
  */
 #ifndef ASH_RANK_CLIENT_H
 #define ASH_RANK_CLIENT_H
@@ -17,7 +17,7 @@
 
 struct ash_rank_call;
 
-/** A question or order under way. */
+/** A query or order that is not answered yet. */
 struct ash_rank_call
 {
   struct ash_http_call call;
@@ -39,63 +39,63 @@
   uint64_t hash;
   char address[ASH_DIRECT_NAME_BYTES];
   struct ash_http_pool pool;
-  struct ash_rank_group *group; /* NULL: not known, or in none */
+  struct ash_rank_group *group; /* NULL: unknown, or in no group */
   uint32_t rank;
-  struct ash_time queried_at[3]; /* by question */
+  struct ash_time queried_at[3]; /* when each kind of query was last sent */
   struct ash_rank_call *calls;
-  double pace; /* as it last told; 0: it has not */
+  double pace; /* time per pass compared to normal, as last reported; 0: unknown */
   bool has_counts;
   uint64_t counts_epoch;
-  struct ash_time counts_read;
-  uint64_t *counts; /* as last read, of each expert of each layer; NULL: none yet */
+  struct ash_time counts_read; /* when the counts were received */
+  uint64_t *counts; /* last token counts of each expert, ordered by layer; NULL: none yet */
   UT_hash_handle hh;
 };
 
-/** A group. */
+/** A group of ranks that run in lock-step. */
 struct ash_rank_group
 {
   char name[ASH_GROUP_NAME_BYTES];
   struct ash_map_switch sw;
   struct ash_rank_endpoint *endpoints[ASH_LAYER_RANKS_MAX];
-  struct ash_layer_map map; /* in use */
-  bool has_lists[ASH_LAYER_RANKS_MAX];
-  uint64_t listed_epoch;
-  struct ash_layer_map next_map;       /* that it is being changed to */
-  struct ash_rank_order encoded_order; /* the order that the text below is of, whatever its rank */
+  struct ash_layer_map map;            /* in use */
+  bool has_lists[ASH_LAYER_RANKS_MAX]; /* the map contains that rank's lists */
+  uint64_t listed_epoch;               /* epoch of these lists */
+  struct ash_layer_map next_map;       /* target of the present change, or fence */
+  struct ash_rank_order encoded_order; /* order whose body is in order_body, for any rank */
   struct ash_buffer order_body;
   struct ash_pass_watch watch;
-  double skew;          /* that the map in use is believed to have */
-  double next_map_skew; /* that the next one is */
-  bool needs_decision;  /* there is something to decide on */
+  double skew;          /* estimated skew of the map in use */
+  double next_map_skew; /* estimated skew of the next map */
+  bool needs_decision;  /* the demand or a rank's pace was updated since the last decision */
   UT_hash_handle hh;
 };
 
-/** A question or order without an answer is given up after this; orders are then sent again.
- * Engines answer within a round trip, a few milliseconds. */
+/** Timeout of queries and orders in milliseconds; orders are then sent again. Engines answer within
+ * a round trip, a few milliseconds. */
 #define ASH_RANK_CALL_TIMEOUT_MS 400
 
-/** @return the one service whose engine has experts, or NULL. */
+/** @return the first service whose engine has experts, or NULL if there is none. */
 const struct ash_route_service *ash_rank_service (const struct ash_map_manager *manager);
 
-/** @return whether the engine's layers, experts and slots are within what is kept here. */
+/** @return whether the engine's layers, experts and slots are within the maximum sizes. */
 bool ash_rank_engine_fits (const struct ash_engine_facts *engine);
 
-/** @return whether all ranks have told their part of the map that they use. */
+/** @return whether the map in use is known completely, from the lists of all ranks. */
 bool ash_rank_group_map_is_known (const struct ash_rank_group *group);
 
-/** Asks a rank. */
+/** Sends a query to a rank. */
 void ash_rank_query (struct ash_rank_endpoint *endpoint, enum ash_rank_question question);
 
-/** Sends the orders that are due. */
+/** Runs the timers of a group's change and sends the orders that are due. */
 void ash_rank_group_send_orders (struct ash_rank_group *group, struct ash_map_manager *manager);
 
-/** Gives up what was not answered in time. */
+/** Cancels the queries and orders of an endpoint that have timed out. */
 void ash_rank_expire_calls (struct ash_rank_endpoint *endpoint, struct ash_time now);
 
 /** Frees a group; its endpoints stay. */
 void ash_rank_group_free (struct ash_map_manager *manager, struct ash_rank_group *group);
 
-/** Frees a endpoint with all that is under way at it. */
+/** Frees an endpoint and cancels its queries and orders. */
 void ash_rank_endpoint_free (struct ash_map_manager *manager, struct ash_rank_endpoint *endpoint);
 
 #endif
