--- a/controllers/change_plan.c
+++ b/controllers/change_plan.c
@@ -31,7 +31,7 @@
 }
 
 static double
-least (double a, double b)
+min_ms (double a, double b)
 {
   return a < b ? a : b;
 }
@@ -60,8 +60,8 @@
                uint32_t copies,
                uint32_t rest)
 {
-  double first_ms = least (change_ms (terms, copies), terms->remaining_ms);
-  double second_ms = rest ? least (change_ms (terms, rest), terms->remaining_ms - first_ms) : 0;
+  double first_ms = min_ms (change_ms (terms, copies), terms->remaining_ms);
+  double second_ms = rest ? min_ms (change_ms (terms, rest), terms->remaining_ms - first_ms) : 0;
   double left_ms = terms->remaining_ms - first_ms - second_ms;
   double loss = first_ms * loss_rate (terms, skew) + copy_loss (terms, skew, copies) +
                 (second_ms + left_ms) * loss_rate (terms, 1 + OVERFIT_SKEW);
@@ -76,13 +76,13 @@
 ash_change_plan_copies (const struct ash_change_terms *terms,
                         double skew,
                         const double *after,
-                        uint32_t most)
+                        uint32_t copies_max)
 {
   double best = terms->remaining_ms * loss_rate (terms, skew);
   uint32_t best_copies = 0;
 
-  for (uint32_t copies = 1; copies <= most; copies++)
-    for (uint32_t rest = 0; copies + rest <= most; rest++)
+  for (uint32_t copies = 1; copies <= copies_max; copies++)
+    for (uint32_t rest = 0; copies + rest <= copies_max; rest++)
       {
         double loss = expected_loss (terms, skew, after, copies, rest);
 
@@ -99,11 +99,11 @@
 {
   double since_ms = (double) ash_time_diff (times->last, now);
 
-  if (times->any)
+  if (times->has_last)
     times->interval_ms +=
         times->interval_ms > 0 ? NEW_INTERVAL_WEIGHT * (since_ms - times->interval_ms) : since_ms;
   times->last = now;
-  times->any = true;
+  times->has_last = true;
 }
 
 double
--- a/controllers/change_plan.h
+++ b/controllers/change_plan.h
@@ -27,20 +27,20 @@
 
 /**
  * @param skew skew of the map in use: load of the most loaded rank divided by the mean load.
- * @param after skew of the map after 1, 2 ... @p most copies per rank.
+ * @param after skew of the map after 1, 2 ... @p copies_max copies per rank.
  * @return copies per rank in the first change; 0: no change is worth its cost.
  */
 uint32_t ash_change_plan_copies (const struct ash_change_terms *terms,
                                  double skew,
                                  const double *after,
-                                 uint32_t most);
+                                 uint32_t copies_max);
 
 /** The times of shifts of the demand. Valid when zeroed. */
 struct ash_shift_times
 {
-  struct ash_time last;
-  double interval_ms; /**< smoothed time between two shifts; 0: unknown */
-  bool any;
+  struct ash_time last; /**< time of the last shift */
+  double interval_ms;   /**< smoothed time between two shifts; 0: unknown */
+  bool has_last;        /**< @ref last is set */
 };
 
 /** Records that the demand has shifted. */
--- a/controllers/expert_change.h
+++ b/controllers/expert_change.h
@@ -35,7 +35,7 @@
 /** An expert map: the placement and the digest that identifies it. */
 struct ash_expert_map
 {
-  uint64_t digest; /**< 0: none */
+  uint64_t digest; /**< 0: there is no map */
   uint32_t length;
   uint8_t placement[ASH_EXPERT_PLACEMENT_BYTES];
 };
--- a/controllers/expert_history.h
+++ b/controllers/expert_history.h
@@ -26,14 +26,14 @@
 struct ash_expert_note
 {
   enum ash_expert_note_kind kind;
-  struct ash_time at; /**< the last time, if the same decision was made several times */
-  uint32_t times;     /**< number of equal decisions in a row */
-  bool forecast;      /**< based on the loads forecast for a declared event */
-  uint64_t ballot;    /**< 0: no change */
-  uint64_t step;      /**< first step that is run with the map */
-  uint32_t moves;
-  double skew_before;
-  double skew_after;
+  struct ash_time at;  /**< the last time, if the same decision was made several times */
+  uint32_t times;      /**< number of equal decisions in a row */
+  bool forecast;       /**< based on the loads forecast for a declared event */
+  uint64_t ballot;     /**< ballot of the change; 0: no change was begun */
+  uint64_t step;       /**< first step that is run with the map */
+  uint32_t moves;      /**< number of moves in the decision */
+  double skew_before;  /**< predicted skew without the moves */
+  double skew_after;   /**< predicted skew with the moves */
   double refused_gain; /**< of the best move that was not worth its cost */
 };
 
--- a/controllers/expert_policy.c
+++ b/controllers/expert_policy.c
@@ -172,10 +172,10 @@
                const struct ash_expert_move *move)
 {
   uint16_t other = placement->slots[move->slot];
-  double shares = loads->replicas[move->expert];
-  double others = loads->replicas[other];
-  double relief = loads->tokens[move->expert] * (1 / shares - 1 / (shares + 1));
-  double burden = loads->tokens[other] * (1 / (others - 1) - 1 / others);
+  double replicas = loads->replicas[move->expert];
+  double other_replicas = loads->replicas[other];
+  double relief = loads->tokens[move->expert] * (1 / replicas - 1 / (replicas + 1));
+  double burden = loads->tokens[other] * (1 / (other_replicas - 1) - 1 / other_replicas);
   uint32_t to = move->slot / placement->rank_slots;
 
   for (uint32_t s = 0; s < slot_count (placement); s++)
@@ -188,7 +188,8 @@
         ranks[rank] += burden / speeds[rank];
     }
   ranks[to] +=
-      (loads->tokens[move->expert] / (shares + 1) - loads->tokens[other] / others) / speeds[to];
+      (loads->tokens[move->expert] / (replicas + 1) - loads->tokens[other] / other_replicas) /
+      speeds[to];
 }
 
 /* Updates the ranks' loads for an exchange of the experts of two slots. */
--- a/controllers/expert_policy.h
+++ b/controllers/expert_policy.h
@@ -21,7 +21,7 @@
 /** Maximum number of moves of one decision. */
 #define ASH_EXPERT_MOVES_MAX 16
 
-/** Which expert each slot of each rank holds, in one layer. */
+/** A placement: the expert in each slot of each rank, for one layer. */
 struct ash_expert_placement
 {
   uint32_t rank_count;
--- a/controllers/layer_policy.c
+++ b/controllers/layer_policy.c
@@ -104,7 +104,7 @@
 {
   double *demand = policy->demand[layer];
   double total = 0;
-  double kept = policy->weights.decay;
+  double weight = policy->weights.decay;
 
   for (uint32_t expert = 0; expert < policy->expert_count; expert++)
     total += counts[expert];
@@ -112,11 +112,11 @@
     return;
   if (cosine (demand, counts, policy->expert_count) < policy->weights.similarity_min)
     {
-      kept = 0;
+      weight = 0;
       policy->shifts++;
     }
   for (uint32_t expert = 0; expert < policy->expert_count; expert++)
-    demand[expert] = kept * demand[expert] + (1 - kept) * counts[expert] / total;
+    demand[expert] = weight * demand[expert] + (1 - weight) * counts[expert] / total;
 }
 
 void
@@ -305,7 +305,7 @@
 /* ---- moves ---- */
 
 static void
-try_rank (const struct layer *layer, uint16_t expert, uint32_t rank, double now, struct move *best)
+try_rank (const struct layer *layer, uint16_t expert, uint32_t rank, double norm, struct move *best)
 {
   const struct ash_layer_map *map = layer->map;
 
@@ -317,7 +317,7 @@
       /* Keep the last replica of an expert, and slots that were assigned in this change. */
       if (layer->is_assigned[rank][slot] || (old != ASH_NO_EXPERT && layer->replicas[old] < 2))
         continue;
-      gain = now - norm_after (layer, rank, old, expert);
+      gain = norm - norm_after (layer, rank, old, expert);
       if (gain > best->gain)
         *best = (struct move){ rank, slot, expert, gain };
       /* The other empty slots of the rank would give the same gain. */
@@ -332,7 +332,7 @@
 {
   const struct ash_layer_weights *weights = &layer->policy->weights;
   const struct ash_layer_map *map = layer->map;
-  double now = eighth_root (layer->power);
+  double norm = eighth_root (layer->power);
   uint32_t most = most_loaded (layer);
   struct move best = { .expert = ASH_NO_EXPERT };
 
@@ -346,7 +346,7 @@
         if (!has_rank (&layer->holders[expert], rank) &&
             layer->new_count[rank] < weights->layer_moves &&
             change->rank_moves[rank] < change->rank_limit)
-          try_rank (layer, expert, rank, now, &best);
+          try_rank (layer, expert, rank, norm, &best);
     }
   return best;
 }
@@ -465,7 +465,7 @@
 {
   const struct ash_layer_map *map = layer->map;
   struct move best = { .rank = rank, .expert = ASH_NO_EXPERT };
-  double now = eighth_root (layer->power);
+  double norm = eighth_root (layer->power);
 
   for (uint32_t slot = 0; slot < map->slot_count; slot++)
     {
@@ -474,7 +474,7 @@
 
       if (old == ASH_NO_EXPERT || layer->replicas[old] < 2)
         continue;
-      gain = now - norm_after (layer, rank, old, ASH_NO_EXPERT);
+      gain = norm - norm_after (layer, rank, old, ASH_NO_EXPERT);
       if (gain > best.gain)
         best = (struct move){ rank, slot, ASH_NO_EXPERT, gain };
     }
--- a/controllers/layer_policy.h
+++ b/controllers/layer_policy.h
@@ -49,8 +49,7 @@
   uint32_t expert_count;
   uint64_t reports; /**< number of reports so far */
   uint32_t shifts;  /**< number of layers whose demand shifted in the last report */
-  double demand[ASH_LAYERS_MAX][ASH_LAYER_EXPERTS_MAX]; /**< each expert's share of its layer's
- tokens */
+  double demand[ASH_LAYERS_MAX][ASH_LAYER_EXPERTS_MAX]; /**< share of the layer's tokens */
 };
 
 /** A decision and the numbers behind it. */
--- a/controllers/map_switch.c
+++ b/controllers/map_switch.c
@@ -173,12 +173,12 @@
                              uint32_t rank,
                              uint64_t epoch,
                              uint64_t version,
-                             struct ash_time asked)
+                             struct ash_time requested)
 {
   if (epoch != sw->epoch)
     return;
   sw->ranks[rank].prepared = version;
-  sw->ranks[rank].lists_requested = asked;
+  sw->ranks[rank].lists_requested = requested;
 }
 
 bool
--- a/controllers/map_switch.h
+++ b/controllers/map_switch.h
@@ -157,13 +157,13 @@
 
 /**
  * Records the version that a rank has prepared, from its lists.
- * @param asked when the lists were requested; their state is not older than that.
+ * @param requested when the lists were requested; their state is not older than that.
  */
 void ash_map_switch_set_prepared (struct ash_map_switch *sw,
                                   uint32_t rank,
                                   uint64_t epoch,
                                   uint64_t version,
-                                  struct ash_time asked);
+                                  struct ash_time requested);
 
 /** @return whether a rank's lists are needed to take over another router's change. */
 bool ash_map_switch_needs_lists (const struct ash_map_switch *sw, uint32_t rank);
--- a/controllers/pass_watch.c
+++ b/controllers/pass_watch.c
@@ -37,27 +37,27 @@
   if (pause_ms < 1 || pause_ms > PAUSE_MAX_MS || even_ms <= 0)
     return;
   watch->expert_fraction = ash_pass_model_expert_fraction (engine, streams);
-  watch->pass_ms +=
-      watch->seen ? NEW_PAUSE_WEIGHT * ((double) pause_ms - watch->pass_ms) : (double) pause_ms;
-  watch->ratio += watch->seen ? NEW_PAUSE_WEIGHT * (ratio - watch->ratio) : ratio;
-  watch->seen++;
-  if (watch->ratio < watch->accepted)
-    watch->accepted = watch->ratio;
+  watch->pass_ms += watch->pause_count ? NEW_PAUSE_WEIGHT * ((double) pause_ms - watch->pass_ms)
+                                       : (double) pause_ms;
+  watch->ratio += watch->pause_count ? NEW_PAUSE_WEIGHT * (ratio - watch->ratio) : ratio;
+  watch->pause_count++;
+  if (watch->ratio < watch->accepted_ratio)
+    watch->accepted_ratio = watch->ratio;
 }
 
 void
 ash_pass_watch_accept_ratio (struct ash_pass_watch *watch)
 {
-  watch->accepted = watch->ratio;
+  watch->accepted_ratio = watch->ratio;
 }
 
 bool
 ash_pass_watch_is_slow (const struct ash_pass_watch *watch, uint32_t ranks, double skew)
 {
-  double times = SLOW_RATIO + SLOW_RATIO_RANKS / (ranks ? ranks : 1);
-  double explained = 1 + watch->expert_fraction * (skew - 1);
+  double limit = SLOW_RATIO + SLOW_RATIO_RANKS / (ranks ? ranks : 1);
+  double expected = 1 + watch->expert_fraction * (skew - 1);
 
-  if (explained < watch->accepted)
-    explained = watch->accepted;
-  return watch->seen > PAUSES_MIN && watch->ratio > times * explained;
+  if (expected < watch->accepted_ratio)
+    expected = watch->accepted_ratio;
+  return watch->pause_count > PAUSES_MIN && watch->ratio > limit * expected;
 }
--- a/controllers/pass_watch.h
+++ b/controllers/pass_watch.h
@@ -12,11 +12,12 @@
 /** Smoothed pauses of the streams of one group. */
 struct ash_pass_watch
 {
-  double pass_ms;  /**< smoothed duration of a pass */
-  double ratio;    /**< smoothed duration, relative to a pass with evenly loaded ranks */
-  double accepted; /**< lowest ratio since the counts last showed no shift; 0: they never did */
+  double pass_ms; /**< smoothed duration of a pass */
+  double ratio;   /**< smoothed duration, relative to a pass with evenly loaded ranks */
+  double
+      accepted_ratio; /**< lowest ratio since the counts last showed no shift; 0: they never did */
   double expert_fraction; /**< fraction of a pass with evenly loaded ranks that grows with skew */
-  uint32_t seen;          /**< number of pauses since the last reset */
+  uint32_t pause_count;   /**< number of pauses since the last reset */
 };
 
 /** Discards all pauses, after a change of the map. */
--- a/controllers/rank_state.h
+++ b/controllers/rank_state.h
@@ -22,7 +22,7 @@
 /** Maximum size of a group's name in bytes, including the terminating zero. */
 #define ASH_GROUP_NAME_BYTES 64
 
-/** A slot that holds no expert. */
+/** Value of a slot that holds no expert. */
 #define ASH_NO_EXPERT UINT16_MAX
 
 /** State of a rank, as reported by its engine. */
@@ -88,8 +88,8 @@
   ASH_RANK_PREPARE, /**< copy the experts of a map that the rank does not hold */
   ASH_RANK_HOLD,    /**< prevent the group from beginning that step */
   ASH_RANK_ARM,     /**< switch to a prepared map when that step begins */
-  ASH_RANK_DISARM,  /**< forget an armed map */
-  ASH_RANK_GO,      /**< the group may begin the held step */
+  ASH_RANK_DISARM,  /**< cancel an arm order: do not switch maps */
+  ASH_RANK_GO,      /**< release the hold, so that the group may begin the step */
 };
 
 struct ash_rank_order
--- a/daemon/map_manager.h
+++ b/daemon/map_manager.h
@@ -17,8 +17,9 @@
 struct ash_rank_group;
 
 /**
- * State of a sample of the token counts. Engines count the tokens of each expert since their start;
- * a sample is the difference between two queries of some ranks.
+ * State of a sample of the token counts. Each engine counts the tokens that its requests have
+ * routed to each expert since its start. A sample is the difference between two queries of some
+ * ranks.
  */
 enum ash_counts_state
 {
@@ -36,10 +37,10 @@
   bool leads;
   struct ash_time leads_since;
   struct ash_rank_endpoint *endpoints; /**< endpoints with an engine, by hash of their id */
-  struct ash_rank_group *groups;       /**< by name */
+  struct ash_rank_group *groups;       /**< groups by name */
   struct ash_layer_policy *policy;     /**< NULL: the service has no experts, or not leading */
   enum ash_counts_state counts_state;
-  struct ash_time counts_since;          /**< when this state began */
+  struct ash_time counts_since;          /**< when counts_state last changed */
   struct ash_time baseline_requested_at; /**< when the first query of the sample was sent */
   bool counts_from_baseline; /**< the sample starts at that query; else at the previous sample, or
                          at the engines' start */
