--- a/controllers/map_switch.h
+++ b/controllers/map_switch.h
@@ -52,7 +52,7 @@
 {
   ASH_MAP_NONE,
   ASH_MAP_CHANGED,        /**< the new map is in use */
-  ASH_MAP_FINISHED,       /**< another router's change was taken over */
+  ASH_MAP_TAKEN_OVER,     /**< another router's change was taken over */
   ASH_MAP_ABORTED,        /**< the change ended before any rank used the new map */
   ASH_MAP_GROUP_REFORMED, /**< the group formed again, which ended the change */
 };
@@ -89,7 +89,7 @@
   uint64_t step;     /**< step that is being held */
   uint32_t own_rank; /**< rank at which this router holds steps */
   uint32_t holder;   /**< rank at which the present step is held */
-  bool finishing;    /**< the present change was begun by another router */
+  bool taking_over;  /**< the present change was begun by another router */
   uint32_t holds;    /**< number of steps that the present change tried to hold */
   uint64_t refused;  /**< last step whose hold was refused, although it may not have begun */
   struct ash_time began;
--- a/controllers/map_finish.h
+++ b/controllers/map_takeover.h
@@ -3,8 +3,8 @@
  * Taking over a change of a map that another router left with a held step: what this router must
  * know before it completes or reverts the change, and at which rank it can hold the step itself.
  */
-#ifndef ASH_MAP_FINISH_H
-#define ASH_MAP_FINISH_H
+#ifndef ASH_MAP_TAKEOVER_H
+#define ASH_MAP_TAKEOVER_H
 
 #include "controllers/map_switch.h"
 
@@ -14,13 +14,13 @@
  * have been armed.
  * @return the version that ranks may be armed with at the step that another router holds; 0: none.
  */
-uint64_t ash_map_finish_version (const struct ash_map_switch *sw);
+uint64_t ash_map_takeover_version (const struct ash_map_switch *sw);
 
 /** @return whether the known state of all ranks is newer than @p since, the time when another
  * router's hold was first observed. */
-bool ash_map_finish_state_is_current (const struct ash_map_switch *sw, struct ash_time since);
+bool ash_map_takeover_state_is_current (const struct ash_map_switch *sw, struct ash_time since);
 
 /** @return a rank at which this router can hold @p step in addition to the present holds. */
-uint32_t ash_map_finish_rank (const struct ash_map_switch *sw, uint64_t step);
+uint32_t ash_map_takeover_rank (const struct ash_map_switch *sw, uint64_t step);
 
 #endif
--- a/daemon/map_manager.c
+++ b/daemon/map_manager.c
@@ -256,7 +256,7 @@
 {
   for (const struct ash_rank_group *group = manager->groups; group; group = group->hh.next)
     if (group->sw.last_step && !ash_map_switch_has_foreign_hold (&group->sw) &&
-        !group->sw.finishing)
+        !group->sw.taking_over)
       return true;
   return false;
 }
