--- a/controllers/map_steps.c
+++ b/controllers/map_steps.c
@@ -5,7 +5,8 @@
 #define SAMPLES_APART_MS 80
 
 /* Fraction of the expected passes since the last report that the estimate counts. If the estimate
- * is too low, a hold is refused and tried again; if it is too high, the change waits for passes. */
+ * is too low, a hold is refused and tried again; if it is too high, the change waits until
+ * the group reaches the held step. */
 #define ELAPSED_FRACTION 0.8
 
 /* A group whose last new step was observed within this time is running steps. Reports are requested
--- a/controllers/map_steps.h
+++ b/controllers/map_steps.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * Estimates the step that a group is running, from the steps that its ranks report and the duration
- * of its passes. Internal to map_switch and map_finish.
+ * of its passes. Internal to map_switch and map_takeover.
  */
 #ifndef ASH_MAP_STEPS_H
 #define ASH_MAP_STEPS_H
--- a/controllers/map_takeover.h
+++ b/controllers/map_takeover.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Taking over a change of a map that another router left with a held step: what this router must
- * know before it completes or reverts the change, and at which rank it can hold the step itself.
+ * Taking over a change of a map that another router left with a held step: the state that this
+ * router must know before it reverts the change, and the rank at which it can hold the step itself.
  */
 #ifndef ASH_MAP_TAKEOVER_H
 #define ASH_MAP_TAKEOVER_H
@@ -12,7 +12,8 @@
  * Finds the version of another router's change. A version that is only prepared may be armed by
  * orders that are still under way. Of several prepared versions, the lowest is the one that may
  * have been armed.
- * @return the version that ranks may be armed with at the step that another router holds; 0: none.
+ * @return the version that some rank may already be armed with, and that no rank may switch to any
+ * more; 0: there is none.
  */
 uint64_t ash_map_takeover_version (const struct ash_map_switch *sw);
 
--- a/daemon/map_manager.c
+++ b/daemon/map_manager.c
@@ -24,8 +24,7 @@
 
 /* Minimum time from a sample to the next one because of slow passes: two or three passes, so that
  * the effect of the last decision has been measured. A sample costs the router and two ranks two
- * requests each. Each second by which a needed sample is late is mostly lost, at a skew of about 3.
- */
+ * requests each. At a skew of about 3, most of each second without a needed sample is wasted. */
 #define SAMPLE_AGAIN_MS 300
 
 /* If a group has run at most this many passes since it formed, all its counts reflect the present
