--- a/daemon/map_manager.c
+++ b/daemon/map_manager.c
@@ -451,7 +451,8 @@
     {
       struct ash_rank_endpoint *endpoint;
 
-      if (direct->presence == ASH_DIRECT_GONE || strcmp (direct->facts.service, service->name) != 0)
+      if (direct->presence == ASH_DIRECT_REMOVED ||
+          strcmp (direct->facts.service, service->name) != 0)
         continue;
       HASH_FIND (hh, manager->endpoints, &direct->hash, sizeof direct->hash, endpoint);
       if (endpoint)
--- a/daemon/rank_client.c
+++ b/daemon/rank_client.c
@@ -149,7 +149,7 @@
   if (!direct)
     return false;
   before = ash_direct_pace (direct, now);
-  ash_direct_slow (direct, now, pace);
+  ash_direct_set_pace (direct, now, pace);
   endpoint->pace = ash_direct_pace (direct, now);
   if (endpoint->pace > 1 || before > 1)
     ash_fleet_loads_changed (&router->fleet);
