--- a/daemon/map_manager.c
+++ b/daemon/map_manager.c
@@ -73,7 +73,7 @@
     return;
   manager->changes = changes;
   manager->changing_sent_at = now;
-  ash_fleet_tell_successors (&manager->router->fleet);
+  ash_fleet_notify_successors (&manager->router->fleet);
 }
 
 /* ---- decisions ---- */
