--- a/daemon/rank_client.c
+++ b/daemon/rank_client.c
@@ -353,7 +353,7 @@
 {
   struct ash_rank_call *call = http_call->owner;
   struct ash_rank_endpoint *endpoint = call->endpoint;
-  uint16_t status = end == ASH_CALL_WHOLE ? call->status : 0;
+  uint16_t status = end == ASH_CALL_COMPLETE ? call->status : 0;
 
   if (call->is_order)
     finish_order (call, status);
@@ -390,13 +390,13 @@
 }
 
 void
-ash_rank_query (struct ash_rank_endpoint *endpoint, enum ash_rank_question question)
+ash_rank_query (struct ash_rank_endpoint *endpoint, enum ash_rank_query_type question)
 {
   struct ash_buffer request = { 0 };
   struct ash_rank_call *call;
 
   endpoint->queried_at[question] = ash_clock_now ();
-  ash_platform_rank_ask (&request, endpoint->address, question);
+  ash_platform_rank_query (&request, endpoint->address, question);
   call = start_call (endpoint, &request);
   if (call)
     call->question = question;
