--- a/controllers/pass_watch.c
+++ b/controllers/pass_watch.c
@@ -2,20 +2,21 @@
 
 #include "controllers/pass_model.h"
 
-/* Part of the newest pause: the mean follows within about a dozen pauses, a pass or two of
- * a few streams. */
+/* Weight of the newest pause: the smoothed duration follows within about 12 pauses, which a few
+ * streams have in one or two passes. */
 #define NEW_PAUSE_WEIGHT 0.12
 
-/* Pauses that it takes to know anything. */
+/* Number of pauses needed before passes can be reported as slow. */
 #define PAUSES_MIN 12
 
-/* Passes are too long above this, against what is explained. Prompts that are read add about
- * 10 in 100; a shift adds 40 and more. A false alarm has the price of a look at the counts,
- * which fewer streams share where there are fewer ranks: 1.3 for 16 of them, 1.22 for 64. */
+/* Passes are slow if they take more than SLOW_RATIO + SLOW_RATIO_RANKS / ranks times the explained
+ * duration: 1.3 times with 16 ranks, 1.22 times with 64. Prompts add about 10 % to a pass, a shift
+ * at least 40 %. A false alarm costs a sample of the counts, which weighs more in a group with few
+ * ranks and streams. */
 #define SLOW_RATIO 1.2
 #define SLOW_RATIO_RANKS 1.6
 
-/* A pause beyond this is no pass: the stream stood still for another reason. */
+/* A longer pause is not the duration of a pass: the stream stalled for another reason. */
 #define PAUSE_MAX_MS 600
 
 void
@@ -36,27 +37,27 @@
   if (pause_ms < 1 || pause_ms > PAUSE_MAX_MS || even_ms <= 0)
     return;
   watch->expert_fraction = ash_pass_model_expert_fraction (engine, streams);
-  watch->pass_ms +=
-      watch->seen ? NEW_PAUSE_WEIGHT * ((double) pause_ms - watch->pass_ms) : (double) pause_ms;
-  watch->ratio += watch->seen ? NEW_PAUSE_WEIGHT * (ratio - watch->ratio) : ratio;
-  watch->seen++;
-  if (watch->ratio < watch->accepted)
-    watch->accepted = watch->ratio;
+  watch->pass_ms += watch->pause_count ? NEW_PAUSE_WEIGHT * ((double) pause_ms - watch->pass_ms)
+                                       : (double) pause_ms;
+  watch->ratio += watch->pause_count ? NEW_PAUSE_WEIGHT * (ratio - watch->ratio) : ratio;
+  watch->pause_count++;
+  if (watch->ratio < watch->accepted_ratio)
+    watch->accepted_ratio = watch->ratio;
 }
 
 void
 ash_pass_watch_accept_ratio (struct ash_pass_watch *watch)
 {
-  watch->accepted = watch->ratio;
+  watch->accepted_ratio = watch->ratio;
 }
 
 bool
 ash_pass_watch_is_slow (const struct ash_pass_watch *watch, uint32_t ranks, double skew)
 {
-  double times = SLOW_RATIO + SLOW_RATIO_RANKS / (ranks ? ranks : 1);
-  double explained = 1 + watch->expert_fraction * (skew - 1);
+  double limit = SLOW_RATIO + SLOW_RATIO_RANKS / (ranks ? ranks : 1);
+  double expected = 1 + watch->expert_fraction * (skew - 1);
 
-  if (explained < watch->accepted)
-    explained = watch->accepted;
-  return watch->seen > PAUSES_MIN && watch->ratio > times * explained;
+  if (expected < watch->accepted_ratio)
+    expected = watch->accepted_ratio;
+  return watch->pause_count > PAUSES_MIN && watch->ratio > limit * expected;
 }
