--- a/controllers/prompt_gate.c
+++ b/controllers/prompt_gate.c
@@ -35,7 +35,7 @@
 #define READING_PART 0.1
 
 /* Prompts that come by chance together go at once. */
-#define BURST_LEAST 2.0
+#define BURST_BASE 2.0
 
 #define MS_PER_S 1000.0
 
@@ -103,7 +103,7 @@
 static void
 allow (struct ash_prompt_gate *gate, double per_pass, struct ash_time now)
 {
-  double most = per_pass > BURST_LEAST ? per_pass : BURST_LEAST;
+  double most = per_pass > BURST_BASE ? per_pass : BURST_BASE;
 
   gate->allowed += per_pass * (double) ash_time_diff (gate->allowed_at, now) / gate->usual_ms;
   gate->allowed_at = now;
--- a/daemon/groups.c
+++ b/daemon/groups.c
@@ -433,7 +433,7 @@
     {
       struct ash_rank_box *box;
 
-      if (endpoint->presence == ASH_DIRECT_GONE ||
+      if (endpoint->presence == ASH_DIRECT_REMOVED ||
           strcmp (endpoint->facts.service, service->name) != 0)
         continue;
       HASH_FIND (hh, groups->boxes, &endpoint->hash, sizeof endpoint->hash, box);
