--- a/controllers/direct.c
+++ b/controllers/direct.c
@@ -5,57 +5,60 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An endpoint that failed is ejected over for this long, doubled with each failure
- * in a row up to the longest: short, since most troubles last seconds, and each try
- * costs a request at most. */
+/* A failed endpoint is ejected (other endpoints are preferred) for this long, doubled with each
+ * consecutive failure up to the maximum. The maximum is short because most faults last seconds and
+ * a probe costs at most one request. */
 #define EJECT_FIRST_MS 250
 #define EJECT_MAX_MS 4000
 
-/* Failures in a row before it is ejected over, by what was seen: an answer that says
- * it failed may be the request's own fault, silence hardly. */
+/* Consecutive error answers that an endpoint may give before it is ejected, since an error answer
+ * may be caused by the request itself. A timeout or a broken connection ejects at once. */
 #define FAILURES_ALLOWED 2
 
-/* Nothing listens there: most likely it has ended, and the list will say so. */
+/* Ejection after a failed connect. The process has most likely ended; the endpoint list will drop
+ * it soon. */
 #define UNREACHABLE_EJECT_MS 1500
 
-/* It is full: others may have room, and it will have room soon. One that turns requests away again
- * and again has the least work of all, and would be sent the most: it is ejected over for twice as
- * long each time, up to the longest. */
+/* Ejection of an endpoint that rejected a request for lack of capacity, doubled with each rejection
+ * up to the maximum. Without the doubling, an endpoint that rejects everything would have the least
+ * load and so be sent the most requests. */
 #define REJECT_EJECT_FIRST_MS 120
 #define REJECT_EJECT_MAX_MS 2000
 #define REJECTIONS_MAX 5
 
-/* Part of the newest pause in the mean: a dozen of them, a pass or two of some streams. */
+/* Weight of the newest pause in the moving average, which so covers about a dozen pauses: one or
+ * two forward passes of a few streams. */
 #define PAUSE_WEIGHT 0.1
 
-/* Pauses seen so long ago tell nothing any more. */
+/* The average is ignored if the last pause was measured longer ago than this. */
 #define PAUSE_MAX_AGE_MS 1500
 
-/* An endpoint that reported so long ago that it is slow counts as usual again: it is asked, and
- * peers are reported, several times as often while it is. */
+/* A reported pace expires after this time. A slow endpoint is polled, and its pace sent to peers,
+ * several times in that period. */
 #define PACE_MAX_AGE_MS 1500
 
-/* Below that nothing is gained by sparing an endpoint. */
+/* Paces up to this count as normal speed: sending such an endpoint less gains nothing. */
 #define PACE_SLOW_MIN 1.2
 
-/* An endpoint in another hall is taken only if it has more than so many requests less: bytes
- * between halls have a price. With a wider margin ranks of a group become uneven. */
+/* Requests added to the load of an endpoint in another hall when loads are compared, since traffic
+ * between halls has a cost. A wider margin makes the load of a group's ranks uneven. */
 #define OTHER_HALL_WORK 2.0
 
-/* Any odd number with bits all over, and a shift to its upper ones. */
+/* Multiplicative hashing: the product's upper bits are used. */
 #define MIX_FACTOR UINT64_C (0x9e3779b97f4a7c15)
 #define MIX_SHIFT 33
 
-/* Part of an endpoint's places that a router of another hall leaves, where there are so many that
- * loads are reported to other halls less often. If all took the last places of ranks whose load
- * they know late, ranks would have far more streams than their cap. */
+/* Fraction of an endpoint's cap that routers of other halls leave unused where there are so many
+ * routers that loads are sent to other halls less often. If all of them took the last free slots of
+ * ranks whose load they learn late, the ranks would get far more streams than their cap. */
 #define REMOTE_RESERVE_PART 0.5
 
-/* The cap is for passes that take this part of the longest good pause: passes vary, and one
- * that is too long spoils a stream. */
+/* Caps are set for forward passes that take this fraction of the target pause. Passes vary in
+ * length, and a single one that exceeds the target makes the stream miss it. */
 #define PAUSE_PART 0.75
 
-/* A cap falls to this part at most: then waiting longer costs more than it helps. */
+/* Lower bound of a reduced cap, as a fraction of the full one. Below it, requests lose more by
+ * waiting than streams gain. */
 #define CAP_MIN_PART 0.5
 
 void
@@ -66,7 +69,7 @@
 }
 
 static void
-drop (struct ash_direct_set *set, struct ash_direct_endpoint *endpoint)
+free_endpoint (struct ash_direct_set *set, struct ash_direct_endpoint *endpoint)
 {
   if (set->before_free)
     set->before_free (set->data, endpoint);
@@ -82,7 +85,7 @@
   struct ash_direct_endpoint *next;
 
   HASH_ITER (hh, set->endpoints, endpoint, next)
-    drop (set, endpoint);
+    free_endpoint (set, endpoint);
 }
 
 struct ash_direct_endpoint *
@@ -103,7 +106,8 @@
   return endpoint;
 }
 
-/* Whether another one that is listed has its address: nothing else can listen there. */
+/* Whether another listed endpoint has the same address, so that this one can no longer listen
+ * there. */
 static bool
 is_replaced (const struct ash_direct_set *set, const struct ash_direct_endpoint *endpoint)
 {
@@ -114,8 +118,9 @@
   return false;
 }
 
-/* Those that may just have lapsed, and whose address a new one has, have ended. Of the requests
- * that go to either life half would be turned away, and after two such a request is refused. */
+/* Removes lapsed endpoints whose address a new endpoint has taken over: their processes have ended.
+ * If both stayed in use, half of the requests sent to that address would be rejected for naming the
+ * wrong endpoint, and a request is refused after two rejections. */
 static void
 remove_replaced (struct ash_direct_set *set)
 {
@@ -125,7 +130,7 @@
       endpoint->presence = ASH_DIRECT_REMOVED;
 }
 
-/* The list tells of another life. */
+/* Whether the list entry is that of another incarnation. */
 static bool
 is_restarted (const struct ash_direct_endpoint *endpoint, const struct ash_direct_facts *facts)
 {
@@ -135,7 +140,8 @@
          (facts->born_ms && endpoint->facts.born_ms && facts->born_ms != endpoint->facts.born_ms);
 }
 
-/* What the former life did says nothing of this one. Requests under way there end by themselves. */
+/* Discards what was learned from the previous incarnation. Its requests in flight end when their
+ * connections close. */
 static void
 reset_state (struct ash_direct_endpoint *endpoint)
 {
@@ -197,7 +203,7 @@
     return false;
   if (endpoint->presence == ASH_DIRECT_LAPSED && !trusted)
     return false;
-  /* One that said it was before_free has left. */
+  /* An endpoint that announced its shutdown has now shut down, also if the list is not trusted. */
   if (trusted || is_leaving (endpoint) || is_replaced (set, endpoint))
     endpoint->presence = ASH_DIRECT_REMOVED;
   else
@@ -219,7 +225,7 @@
       if (endpoint->presence == ASH_DIRECT_LAPSED && ash_time_before (endpoint->lapsed_until, now))
         endpoint->presence = ASH_DIRECT_REMOVED;
       if (endpoint->presence == ASH_DIRECT_REMOVED && !endpoint->in_flight)
-        drop (set, endpoint);
+        free_endpoint (set, endpoint);
     }
 }
 
@@ -245,7 +251,7 @@
   eject (endpoint, now, ms);
 }
 
-/* Those that were sent before it was ejected over tell nothing more. */
+/* Requests that were sent before the ejection add no information if they are rejected too. */
 static void
 count_rejection (struct ash_direct_endpoint *endpoint, struct ash_time now)
 {
@@ -286,9 +292,9 @@
 void
 ash_direct_note_result (struct ash_direct_endpoint *endpoint,
                         struct ash_time now,
-                        enum ash_direct_result evidence)
+                        enum ash_direct_result result)
 {
-  switch (evidence)
+  switch (result)
     {
     case ASH_DIRECT_ANSWERED:
       endpoint->failures = 0;
@@ -369,10 +375,10 @@
   return false;
 }
 
-/* How many requests it may have now: fewer where streams flow too slowly, or the endpoint itself is
- * slow, since all ranks wait for the slowest. Not more where
- * they flow fast: what is asked for may shift at any moment, and then passes take twice as
- * long until the map has followed. */
+/* The number of requests that the endpoint may have now. It is reduced where the pauses of streams
+ * are too long, or the endpoint reports that it is slow, since all ranks of a group wait for the
+ * slowest. It is not raised where pauses are short: the mix of prompts may change at any moment,
+ * and passes then take twice as long until the expert map is adapted. */
 static uint32_t
 effective_cap (const struct ash_direct_endpoint *endpoint,
                const struct ash_direct_criteria *criteria,
@@ -393,11 +399,11 @@
   return cap > criteria->cap ? criteria->cap : (uint32_t) (cap + 0.5);
 }
 
-/* What a choice goes by; the first difference decides. */
+/* Sort key of a candidate: lower is better, members compared in this order. */
 struct rank
 {
   bool ejected;
-  double work; /* the next request's part of what the endpoint does */
+  double work; /* load with the next request, weighted by hall and speed */
 };
 
 static int
@@ -416,7 +422,8 @@
   return criteria->hall && strcmp (endpoint->facts.hall, criteria->hall) != 0;
 }
 
-/* Other routers have other parts, and a part stays the same whoever comes and goes. */
+/* Whether the endpoint is in the part of the remote endpoints that this router uses. Each router
+ * hashes to its own part, which does not change when routers join or leave. */
 static bool
 is_in_own_part (const struct ash_direct_endpoint *endpoint,
                 const struct ash_direct_criteria *criteria)
@@ -433,7 +440,8 @@
          !is_excluded (criteria, endpoint->hash);
 }
 
-/* Where loads of other halls are old, some places there are left for what is not known yet. */
+/* Where the load of remote endpoints is known late, a part of their cap is reserved for requests
+ * that this router does not know of yet. */
 static bool
 has_room (const struct ash_direct_endpoint *endpoint,
           const struct ash_direct_criteria *criteria,
@@ -446,7 +454,8 @@
   return load < effective_cap (endpoint, criteria, now);
 }
 
-/* In how many ms the endpoint takes a request by its own word; below 0: not from this router. */
+/* @return ms until the endpoint's back-off and rate limit allow a request; below 0 if this router
+ * has no share of the rate. */
 static int64_t
 wait_ms (const struct ash_direct_endpoint *endpoint, struct ash_time now)
 {
@@ -473,7 +482,7 @@
   return rank;
 }
 
-/* Looks at the endpoints that the criteria leaves. */
+/* Chooses among the endpoints that match the criteria. */
 static enum ash_direct_choice
 search (struct ash_direct_set *set,
         struct ash_time now,
@@ -482,7 +491,7 @@
 {
   struct rank best = { true, 0 };
   uint32_t equals = 0;
-  enum ash_direct_choice otherwise = ASH_DIRECT_NONE;
+  enum ash_direct_choice fallback = ASH_DIRECT_NONE;
 
   *chosen = NULL;
   for (struct ash_direct_endpoint *endpoint = set->endpoints; endpoint;
@@ -494,11 +503,11 @@
       if (!is_eligible (endpoint, criteria) ||
           (is_remote (endpoint, criteria) && !is_in_own_part (endpoint, criteria)))
         continue;
-      if (otherwise == ASH_DIRECT_NONE)
-        otherwise = ASH_DIRECT_ALL_FULL;
+      if (fallback == ASH_DIRECT_NONE)
+        fallback = ASH_DIRECT_ALL_FULL;
       if (!has_room (endpoint, criteria, now))
         continue;
-      otherwise = ASH_DIRECT_THROTTLED;
+      fallback = ASH_DIRECT_THROTTLED;
       if (wait_ms (endpoint, now))
         continue;
       rank = rank_of (endpoint, criteria, now);
@@ -510,7 +519,7 @@
           *chosen = endpoint;
         }
     }
-  return *chosen ? ASH_DIRECT_CHOSEN : otherwise;
+  return *chosen ? ASH_DIRECT_CHOSEN : fallback;
 }
 
 enum ash_direct_choice
@@ -520,12 +529,12 @@
                    struct ash_direct_endpoint **chosen)
 {
   enum ash_direct_choice choice = search (set, now, criteria, chosen);
-  struct ash_direct_criteria all = *criteria;
+  struct ash_direct_criteria unrestricted = *criteria;
 
   if (choice == ASH_DIRECT_CHOSEN || choice == ASH_DIRECT_ALL_FULL || criteria->remote_parts <= 1)
     return choice;
-  all.remote_parts = 1;
-  return search (set, now, &all, chosen);
+  unrestricted.remote_parts = 1;
+  return search (set, now, &unrestricted, chosen);
 }
 
 int64_t
--- a/controllers/direct.h
+++ b/controllers/direct.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * Endpoints that are reached directly, without an agent before them: what is
- * known of each, and which one a request goes to. What they did with requests
- * counts more than what they say of themselves.
+ * Endpoints that are reached directly, without an agent in front of them: what is known of each,
+ * and the choice of one for a request. The results of requests count more than what endpoints
+ * report about themselves.
  */
 #ifndef ASH_DIRECT_H
 #define ASH_DIRECT_H
@@ -14,83 +14,85 @@
 
 #include <uthash.h>
 
-/** Bytes of an endpoint's id and of other names of it, the closing zero included. */
+/** Size in bytes of an endpoint's id and other names, including the terminating NUL. */
 #define ASH_DIRECT_NAME_BYTES 64
 
-/** Endpoints that a request has been sent to and that are not tried again. */
+/** Maximum number of endpoints that are excluded from further attempts of a request because they
+ * were already tried. */
 #define ASH_DIRECT_TRIED_MAX 8
 
-/** Peers that are reported of loads at different times: of the own hall, and of the others. */
+/** Groups of peers that get load reports at different periods: routers of the own hall, and those
+ * of other halls. */
 #define ASH_DIRECT_AUDIENCES 2
 
-/** What the published list says of an endpoint. */
+/** An endpoint as published in the endpoint list. */
 struct ash_direct_facts
 {
-  char id[ASH_DIRECT_NAME_BYTES]; /**< a later life may have the same */
+  char id[ASH_DIRECT_NAME_BYTES]; /**< may be reused after a restart */
   char service[ASH_DIRECT_NAME_BYTES];
   char address[ASH_DIRECT_NAME_BYTES]; /**< IP:PORT */
   char hall[ASH_DIRECT_NAME_BYTES];
-  uint32_t slots; /**< requests that it works on at once */
+  uint32_t slots; /**< requests processed concurrently */
   bool draining;
-  int64_t born_ms; /**< when this life of it began, by its own time of day; 0: it does not say */
+  int64_t born_ms; /**< start of this incarnation, by the endpoint's wall clock; 0: not published */
 };
 
-/** Where an endpoint stands in the list. */
+/** An endpoint's state with respect to the list. */
 enum ash_direct_presence
 {
   ASH_DIRECT_LISTED,
-  ASH_DIRECT_LAPSED,  /**< missing while the list could not be trusted; still used for a while */
-  ASH_DIRECT_REMOVED, /**< gets nothing new; kept until its work has ended */
+  ASH_DIRECT_LAPSED,  /**< missing from a list that could not be trusted; still used for a while */
+  ASH_DIRECT_REMOVED, /**< gets no new requests; freed when its requests have ended */
 };
 
-/** An endpoint. */
+/** An endpoint and the state that this router keeps of it. */
 struct ash_direct_endpoint
 {
   struct ash_direct_facts facts;
-  uint64_t hash; /**< of the id, as peers name it */
+  uint64_t hash; /**< of the id; identifies the endpoint in messages to peers */
   enum ash_direct_presence presence;
   struct ash_time lapsed_until;
-  uint32_t in_flight;                      /**< of this process */
-  uint32_t reported[ASH_DIRECT_AUDIENCES]; /**< of these, what each audience was last reported */
-  uint32_t elsewhere;                      /**< of its peers, as they last said */
-  uint32_t failures;                       /**< in a row */
-  uint32_t rejections;                     /**< requests turned away, less answers */
-  struct ash_time ejected_until;           /**< others are taken until then */
-  double pause_ms;            /**< between events of streams there, smoothed; 0: not known */
-  struct ash_time pause_seen; /**< when a pause was last seen */
-  double pace;                /**< it takes so many times as long as usual; see pace_seen */
-  struct ash_time pace_seen;  /**< when it last reported so; a while later it counts as usual */
-  bool announced_leaving;     /**< in an answer: it never takes that back in its life */
+  uint32_t in_flight;                      /**< requests from this router */
+  uint32_t reported[ASH_DIRECT_AUDIENCES]; /**< in_flight as last sent to each audience */
+  uint32_t elsewhere;            /**< requests from other routers, as they last reported */
+  uint32_t failures;             /**< consecutive */
+  uint32_t rejections;           /**< requests rejected for lack of capacity, minus answered ones */
+  struct ash_time ejected_until; /**< other endpoints are preferred until then */
+  double pause_ms;            /**< moving average of the time between stream events; 0: not known */
+  struct ash_time pause_seen; /**< when a pause was last measured */
+  double pace; /**< processing time relative to normal; expires some time after pace_seen */
+  struct ash_time pace_seen; /**< when the pace was last reported */
+  bool announced_leaving;    /**< announced in an answer; holds for the incarnation */
   struct ash_rate_limit limit;
-  struct ash_time backoff_until; /**< it asked this router for rest until then */
-  void *owner;                   /**< of the task that has connections to it */
+  struct ash_time backoff_until; /**< it asked this router to send no requests until then */
+  void *owner;                   /**< user data of the code that holds its connections */
   UT_hash_handle hh;             /**< by id */
   UT_hash_handle by_hash;
 };
 
-/** All endpoints known here. */
+/** All endpoints known to this router. */
 struct ash_direct_set
 {
   struct ash_direct_endpoint *endpoints; /**< by id */
-  struct ash_direct_endpoint *by_hash;   /**< the same */
+  struct ash_direct_endpoint *by_hash;   /**< the same endpoints, by hash */
   struct ash_random random;
   uint64_t revision; /**< of the list */
-  /** Tells the owner that one is about to be freed; its connections go first. */
+  /** Called before an endpoint is freed, so that its connections can be closed. May be NULL. */
   void (*before_free) (void *data, struct ash_direct_endpoint *endpoint);
-  /** Tells the owner that one has started anew, perhaps at another address. */
+  /** Called when an endpoint has restarted, maybe at another address. May be NULL. */
   void (*restarted) (void *data, struct ash_direct_endpoint *endpoint);
   void *data;
 };
 
-/** How a request at an endpoint ended, as evidence about the endpoint. */
+/** Result of a request, as far as it indicates the endpoint's health. */
 enum ash_direct_result
 {
   ASH_DIRECT_ANSWERED,
-  ASH_DIRECT_FULL,        /**< it turned the request away for want of room */
-  ASH_DIRECT_FAILED,      /**< an answer that says that it failed */
-  ASH_DIRECT_BROKEN,      /**< the connection broke, or the answer was spoiled */
-  ASH_DIRECT_TIMED_OUT,   /**< nothing came for too long */
-  ASH_DIRECT_UNREACHABLE, /**< nothing accepts connections there, or another endpoint does */
+  ASH_DIRECT_FULL,        /**< rejected for lack of capacity */
+  ASH_DIRECT_FAILED,      /**< answered with an error */
+  ASH_DIRECT_BROKEN,      /**< the connection broke, or the answer was malformed */
+  ASH_DIRECT_TIMED_OUT,   /**< nothing was received for too long */
+  ASH_DIRECT_UNREACHABLE, /**< connect failed, or another endpoint listens at the address */
 };
 
 void ash_direct_init (struct ash_direct_set *set, uint64_t seed);
@@ -99,85 +101,91 @@
 struct ash_direct_endpoint *ash_direct_find (const struct ash_direct_set *set, const char *id);
 struct ash_direct_endpoint *ash_direct_find_hash (const struct ash_direct_set *set, uint64_t hash);
 
-/** The list has this entry. @return whether something changed. */
+/** Adds or updates an endpoint from its list entry. @return whether anything changed. */
 bool ash_direct_update (struct ash_direct_set *set, const struct ash_direct_facts *facts);
 
 /**
- * The list no longer has it.
- * @param trusted whether the list was sound all the time: if so it is gone at once,
- * else it is used on until @p until unless it comes back.
+ * Handles the removal of an endpoint from the list.
+ * @param trusted whether the list was reliable throughout. If so the endpoint is removed at once;
+ * otherwise it is used until @p until, unless it is listed again before.
+ * @return whether its state changed.
  */
 bool
 ash_direct_remove (struct ash_direct_set *set, const char *id, bool trusted, struct ash_time until);
 
-/** Time goes on: lapsed ones go, and those that are gone and idle are freed. */
+/** Runs the timers: removes lapsed endpoints when their time is over, frees removed ones that have
+ * no requests. */
 void ash_direct_tick (struct ash_direct_set *set, struct ash_time now);
 
-/** A request leaves for the endpoint. */
+/** Counts a request that is being sent to the endpoint. */
 void ash_direct_note_sent (struct ash_direct_endpoint *endpoint, struct ash_time now);
 
-/** It has turned a request away and wants no others from this router for so long. */
+/**
+ * Sends the endpoint nothing for @p ms: it rejected a request and asked this router to back off.
+ */
 void ash_direct_back_off (struct ash_direct_endpoint *endpoint, struct ash_time now, int64_t ms);
 
-/** @return for how long it still wants nothing from this router. */
+/** @return remaining ms of the back-off; 0 if there is none. */
 int64_t ash_direct_backoff_ms (const struct ash_direct_endpoint *endpoint, struct ash_time now);
 
-/** Takes in how a request ended there. */
+/** Updates the endpoint's ejection state with the result of a request. */
 void ash_direct_note_result (struct ash_direct_endpoint *endpoint,
                              struct ash_time now,
-                             enum ash_direct_result evidence);
+                             enum ash_direct_result result);
 
-/** A stream there has paused so long between two events. */
+/** Adds a measured time between two events of a stream to the endpoint's average. */
 void
 ash_direct_note_pause (struct ash_direct_endpoint *endpoint, struct ash_time now, int64_t pause_ms);
 
-/** It tells that it takes so many times as long as usual; up to 1 as usual. */
+/** Sets the reported pace: processing time relative to normal. Values up to 1 mean normal. */
 void ash_direct_set_pace (struct ash_direct_endpoint *endpoint, struct ash_time now, double pace);
 
-/** @return how many times as long as usual it takes now; 1 if nothing is known. */
+/** @return processing time relative to normal; 1 if normal or not known. */
 double ash_direct_pace (const struct ash_direct_endpoint *endpoint, struct ash_time now);
 
-/** @return how many endpoints of that service may be sent new work. */
+/** @return the number of usable endpoints of a service. */
 uint32_t ash_direct_count (const struct ash_direct_set *set, const char *service);
 
-/** @return whether it may be sent new work. */
+/** @return whether the endpoint may get new requests: listed or lapsed, and not leaving. */
 bool ash_direct_usable (const struct ash_direct_endpoint *endpoint);
 
-/** What a search for an endpoint found. */
+/** Result of ash_direct_choose(). */
 enum ash_direct_choice
 {
   ASH_DIRECT_CHOSEN,
-  ASH_DIRECT_ALL_FULL,  /**< there are some, each with as much as it may have */
-  ASH_DIRECT_THROTTLED, /**< some have room, but want no request from here now: see
-                             ash_direct_wait_ms() */
-  ASH_DIRECT_NONE,      /**< there is none */
+  ASH_DIRECT_ALL_FULL,  /**< every endpoint has reached its cap */
+  ASH_DIRECT_THROTTLED, /**< some are below their cap, but back-off or rate limits forbid a request
+                           now: see ash_direct_wait_ms() */
+  ASH_DIRECT_NONE,      /**< no endpoint matches */
 };
 
-/** What a request asks of an endpoint. */
+/** Criteria for choosing an endpoint. Nothing is owned. */
 struct ash_direct_criteria
 {
   const char *service;
-  const char *hall; /**< where the request is */
-  uint64_t own;     /**< any number that tells this router from the others */
-  uint32_t
-      remote_parts; /**< of the endpoints of other halls, one part in so many is taken; 0: all */
-  uint32_t cap;     /**< requests that one endpoint may have at once */
-  uint32_t pause_aim_ms; /**< longest pause that is good; 0: the cap holds as it is */
-  const uint64_t *tried; /**< hashes of those not to be taken */
+  const char *hall;      /**< hall of this router; NULL: halls don't matter */
+  uint64_t own;          /**< hash that identifies this router */
+  uint32_t remote_parts; /**< this router uses one in so many of the endpoints of other halls; 0 or
+                            1: all of them */
+  uint32_t cap;          /**< maximum concurrent requests of one endpoint, over all routers */
+  uint32_t pause_aim_ms; /**< target time between stream events; 0: the cap is fixed */
+  const uint64_t *tried; /**< hashes of endpoints not to choose */
   uint32_t tried_count;
 };
 
 /**
- * Takes the one with the least work; among equals, one at random. Endpoints of other halls beyond
- * this router's part are taken only if it knows of no other that takes requests.
+ * Chooses the endpoint with the lowest weighted load; among equals, one at random. Endpoints of
+ * other halls outside this router's part are used only if none of the others matches, or those
+ * below their cap are all throttled.
+ * @param chosen set to the endpoint, or NULL.
  */
 enum ash_direct_choice ash_direct_choose (struct ash_direct_set *set,
                                           struct ash_time now,
                                           const struct ash_direct_criteria *criteria,
                                           struct ash_direct_endpoint **chosen);
 
-/** @return in how many ms one that has room takes a request again, by what it said of how it wants
- * to be used; below 0: there is none such. */
+/** @return ms until the back-off and rate limit of some endpoint below its cap allow a request;
+ * below 0 if there is no such endpoint. */
 int64_t ash_direct_wait_ms (const struct ash_direct_set *set,
                             struct ash_time now,
                             const struct ash_direct_criteria *criteria);
--- a/controllers/endpoint_terms.h
+++ b/controllers/endpoint_terms.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * What an endpoint says in an answer about how it wants to be used from then on.
+ * Usage terms that an endpoint sends with an answer: rate limit, back-off and shutdown notice.
  */
 #ifndef ASH_ENDPOINT_TERMS_H
 #define ASH_ENDPOINT_TERMS_H
@@ -8,15 +8,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Of one answer. */
+/** The terms sent with one answer. */
 struct ash_endpoint_terms
 {
-  /** Requests a second that it takes from all routers together, in thousandths; 0: it names none.
-   */
+  /** Rate limit over all routers, in thousandths of a request per second; 0: none given. */
   uint32_t limit_milli;
-  /** Turned away: it wants nothing from this router for so long; 0: it does not say. */
+  /** The request was rejected: how long this router is to send nothing; 0: not given. */
   uint32_t rest_ms;
-  bool leaving; /**< it will end, whatever the list says of it */
+  bool leaving; /**< the endpoint is shutting down, even if the list does not show it */
 };
 
 #endif
--- a/controllers/peer_period.h
+++ b/controllers/peer_period.h
@@ -1,30 +1,31 @@
 /**
  * @file
- * How often routers talk to each other. Those of one hall talk as often as the settings say. To
- * those of other halls a router sends a bounded number of messages a second, however many they are:
- * each hears from it the less often, the more there are.
+ * Periods of the messages between routers. Within a hall, the periods are those of the settings. To
+ * routers of other halls, a router sends a bounded number of messages per second in total, so the
+ * period for each grows with their number.
  */
 #ifndef ASH_PEER_PERIOD_H
 #define ASH_PEER_PERIOD_H
 
 #include <stdint.h>
 
-/** @return ms between two heartbeats to a router of another hall. @param remote_count of these. */
+/** @param remote_count number of routers in other halls. @return ms between two heartbeats to one
+ * of them. */
 uint32_t ash_peer_period_remote_heartbeat_ms (uint32_t heartbeat_ms, uint32_t remote_count);
 
-/** @return ms between two messages of loads to a router of another hall. */
+/** @return ms between two load messages to a router of another hall. */
 uint32_t ash_peer_period_remote_load_ms (uint32_t load_period_ms, uint32_t remote_count);
 
 /**
- * What routers of other halls do at an endpoint is known the later, the more they are: all that
- * saw the same free place would send there meanwhile.
- * @return parts that the endpoints of other halls are dealt into, each router taking one: 1 where
- * loads are told as often as in the own hall.
+ * The more routers there are in other halls, the later a router learns their load on an endpoint,
+ * and all that see the same free slot would send a request to it. Each router therefore uses only a
+ * part of the endpoints of other halls.
+ * @return number of parts; 1 if loads are sent to other halls as often as within a hall.
  */
 uint32_t ash_peer_period_remote_parts (uint32_t load_period_ms, uint32_t remote_count);
 
-/** @return how long a link may be silent whose peer says that a heartbeat comes every
- * @p period_ms; 0: it does not say. */
+/** @param period_ms heartbeat period announced by the peer; 0: not announced. @return ms for which
+ * the link to the peer may be silent. */
 uint32_t
 ash_peer_period_silence_ms (uint32_t link_silence_ms, uint32_t heartbeat_ms, uint32_t period_ms);
 
--- a/controllers/peer_version.c
+++ b/controllers/peer_version.c
@@ -1,6 +1,6 @@
 #include "controllers/peer_version.h"
 
-/* What came in the meantime shows that the own source speaks: the wait begins anew. */
+/* A new own version shows that the own source works: the waiting time starts anew. */
 static void
 note_own (struct ash_peer_version *tracker, struct ash_time now, uint64_t own)
 {
--- a/controllers/peer_version.h
+++ b/controllers/peer_version.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * What peers say that they have and this process lacks: a newer configuration, or a newer
- * list of endpoints. Usually its own source brings the same within milliseconds; when it
- * does not, the source is silent here, whatever it looks like.
+ * Detects by the versions that peers report that this process misses a newer configuration or
+ * endpoint list. Usually the own source delivers the same version within milliseconds. If it does
+ * not, the source is stuck for this process, even if its connection looks healthy.
  */
 #ifndef ASH_PEER_VERSION_H
 #define ASH_PEER_VERSION_H
@@ -12,28 +12,30 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** One thing that has versions. Zeroed memory is a valid start. */
+/** State for one versioned object. Zeroed memory is a valid start. */
 struct ash_peer_version
 {
-  uint64_t newest;       /**< that a peer has reported, with something that may be lacking here */
-  uint64_t same;         /**< newest that says no more than the own one */
-  uint64_t own;          /**< what this process had when it was last looked at */
-  struct ash_time since; /**< since when it has had no more than that, with newer ones reported */
+  uint64_t newest;       /**< newest version reported by a peer whose content may be missing here */
+  uint64_t same;         /**< newest version known to have the same content as the own one */
+  uint64_t own;          /**< own version at the last call */
+  struct ash_time since; /**< since when the own version has not advanced */
 };
 
-/** A peer tells which version it has. */
+/** Handles a version reported by a peer. @param own version that this process has. */
 void ash_peer_version_reported (struct ash_peer_version *tracker,
                                 struct ash_time now,
                                 uint64_t reported,
                                 uint64_t own);
 
-/** A peer tells that its version says the same as the own one: nothing up to it is lacking. */
+/** Handles a peer's report that its version has the same content as the own one, so nothing up to
+ * that version is missing here. */
 void ash_peer_version_equal (struct ash_peer_version *tracker,
                              struct ash_time now,
                              uint64_t reported,
                              uint64_t own);
 
-/** @return whether a newer version has been known for so long without any coming. */
+/** @return whether a newer version has been known for at least @p for_ms without the own one
+ * advancing. */
 bool ash_peer_version_is_behind (struct ash_peer_version *tracker,
                                  struct ash_time now,
                                  uint64_t own,
--- a/controllers/pollers.c
+++ b/controllers/pollers.c
@@ -10,7 +10,8 @@
   return strcmp (a.box, b.box) < 0;
 }
 
-/* How many of its hall come before it. Itself among the others does not count. */
+/* @return how many of the other routers of its hall are ordered before the poller. If it is in @p
+ * others itself, that does not count. */
 static uint32_t
 rank_in_hall (struct ash_poller poller, const struct ash_poller *others, size_t count)
 {
@@ -27,19 +28,20 @@
                        size_t count,
                        uint32_t wanted)
 {
-  uint32_t own_place = rank_in_hall (own, others, count);
+  uint32_t own_rank = rank_in_hall (own, others, count);
   uint32_t before = 0;
 
-  /* Stops at the first few: of 400 routers all but those few are done soon. */
-  for (size_t i = 0; i < count && own_place < wanted && before < wanted; i++)
+  /* Stops once the result is known, which is early for nearly all routers of a large fleet.
+   */
+  for (size_t i = 0; i < count && own_rank < wanted && before < wanted; i++)
     {
       struct ash_poller other = others[i];
-      uint32_t place = rank_in_hall (other, others, count);
+      uint32_t rank = rank_in_hall (other, others, count);
 
-      place += ash_pollers_before (own, other) && strcmp (own.hall, other.hall) == 0;
-      before += place < own_place || (place == own_place && ash_pollers_before (other, own));
+      rank += ash_pollers_before (own, other) && strcmp (own.hall, other.hall) == 0;
+      before += rank < own_rank || (rank == own_rank && ash_pollers_before (other, own));
     }
-  return own_place < wanted && before < wanted;
+  return own_rank < wanted && before < wanted;
 }
 
 bool
--- a/controllers/pollers.h
+++ b/controllers/pollers.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * Which routers ask the store: a few of each hall, which tell the others of their hall what is new;
- * and which of all routers ask often: a few, spread over halls, since what cuts a hall off cuts off
- * all routers in it. Nobody is appointed: each goes by who it sees, and those that see the same
- * choose the same.
+ * Selects the routers that poll the store. A few in each hall poll it and forward changes to the
+ * others of their hall. A few of all routers, spread over the halls because a network partition
+ * affects all routers of a hall, poll at a short period. There is no election: each router decides
+ * from the routers that it sees, and routers that see the same set decide alike.
  */
 #ifndef ASH_POLLERS_H
 #define ASH_POLLERS_H
@@ -12,24 +12,26 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** A router that may ask. Its texts are the caller's. */
+/** A router that can poll the store. The strings are not owned. */
 struct ash_poller
 {
   const char *box;
   const char *hall;
-  uint32_t link_mbps; /**< what its box can send; 0: not known */
+  uint32_t link_mbps; /**< bandwidth of its box in Mbit/s; 0: not known */
 };
 
 /**
- * The order in which routers take on what is done for all: the faster link first, then by name. A
- * map for 192 ranks is 3.5 MB, 0.7 s on the link of a small box and 0.14 s on that of a large one.
+ * Order in which routers take on tasks for the fleet: faster link first, then by name. An expert
+ * map for 192 ranks is 3.5 MB, which takes 0.7 s on the link of a small box and 0.14 s on that of a
+ * large one.
+ * @return whether @p a is before @p b.
  */
 bool ash_pollers_before (struct ash_poller a, struct ash_poller b);
 
 /**
- * By place within the hall, then in the order above: the first of each hall, then the second
- * ones, and so on.
- * @param others all but this router; those that can't ask are left out.
+ * Orders all routers by their position within their hall, then by ash_pollers_before(): the first
+ * of each hall, then the second of each, and so on.
+ * @param others all other routers that can poll.
  * @return whether this router is one of the first @p wanted.
  */
 bool ash_pollers_is_chosen (struct ash_poller own,
--- a/controllers/quarantine.c
+++ b/controllers/quarantine.c
@@ -3,27 +3,31 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How long a request is kept away after the last end under it. A caller that repeats it does so
- * within seconds or minutes; one that was kept away wrongly is not lost for the day. */
+/* Duration of a quarantine, counted from the last process exit during a run of the request. Callers
+ * repeat a request within seconds or minutes, and a request that was quarantined wrongly is not
+ * blocked for the day. */
 #define QUARANTINE_MS (10 * 60 * 1000)
 
-/* Afterwards it may run again, and one more end keeps it away as before. Forgotten after so long
- * without one: by then the endpoints' software is likely another. */
+/* After the quarantine the request may run again, and one more exit quarantines it again. Its
+ * evidence is dropped if there is no exit for this long: by then the endpoints probably run newer
+ * software. */
 #define FORGET_MS (60 * 60 * 1000)
 
-/* So many ends prove it where no part of the answer had come: requests that only happened to be
- * there have mostly begun to answer, and are cleared by their next run. The third end would stop a
- * group of ranks for seconds to prove what two have shown. */
+/* Exits that confirm a request if none of its runs had begun to answer; ASH_QUARANTINE_RUNS
+ * otherwise. Uninvolved requests have mostly begun to answer when the process exits, and are
+ * cleared by their next run. A third exit would stop a group of ranks for seconds more.
+ */
 #define EXITS_WITHOUT_ANSWER 2
 
-/* How long before a proof a connection may have ended for the same reason. Who is asked at once
- * answers within a tenth of a second; the list hears of a new life once it has started, some
- * seconds later. */
+/* How long before the evidence of an exit a connection may have broken because of that exit. A
+ * connect attempt right after the break gives its result within 0.1 s; a restarted process is
+ * listed once it is up, some seconds later. */
 #define CONNECT_REFUSED_MS 1000
 #define RESTARTED_MS 8000
 
-/* A run is sent on in the millisecond in which the one before is seen to end, and peers' word of
- * an end is some milliseconds old. Runs that were under way side by side overlap by more. */
+/* Tolerance in ms when two runs are checked for overlap. A retry is sent in the same millisecond in
+ * which the previous run ends, and times reported by peers are off by some milliseconds; runs that
+ * really were concurrent overlap by more. */
 #define OVERLAP_MS 20
 
 static struct ash_quarantine_suspect *
@@ -36,7 +40,7 @@
 }
 
 static void
-drop (struct ash_quarantine *quarantine, struct ash_quarantine_suspect *suspect)
+remove_suspect (struct ash_quarantine *quarantine, struct ash_quarantine_suspect *suspect)
 {
   HASH_DEL (quarantine->suspects, suspect);
   free (suspect);
@@ -49,7 +53,7 @@
   struct ash_quarantine_suspect *next;
 
   HASH_ITER (hh, quarantine->suspects, suspect, next)
-    drop (quarantine, suspect);
+    remove_suspect (quarantine, suspect);
 }
 
 static const struct ash_quarantine_run *
@@ -61,15 +65,15 @@
 static bool
 is_confirmed (const struct ash_quarantine_suspect *suspect)
 {
-  bool spoke = false;
+  bool any_answer_begun = false;
 
   for (uint32_t i = 0; i < suspect->count; i++)
-    spoke = spoke || suspect->runs[i].spoke;
-  return suspect->count >= (spoke ? ASH_QUARANTINE_RUNS : EXITS_WITHOUT_ANSWER);
+    any_answer_begun = any_answer_begun || suspect->runs[i].spoke;
+  return suspect->count >= (any_answer_begun ? ASH_QUARANTINE_RUNS : EXITS_WITHOUT_ANSWER);
 }
 
-/* Room for one more: of those that are not proved the one with the oldest evidence goes, else the
- * oldest of all. */
+/* Makes room for one more suspect: removes the unconfirmed one with the oldest evidence, or the
+ * oldest of all if all are confirmed. */
 static void
 make_room (struct ash_quarantine *quarantine)
 {
@@ -79,7 +83,7 @@
     return;
   while (suspect && is_confirmed (suspect))
     suspect = suspect->hh.next;
-  drop (quarantine, suspect ? suspect : quarantine->suspects);
+  remove_suspect (quarantine, suspect ? suspect : quarantine->suspects);
 }
 
 void
@@ -92,12 +96,12 @@
 size_t
 ash_quarantine_note_exit (struct ash_quarantine *quarantine,
                           uint64_t endpoint,
-                          enum ash_quarantine_evidence proof,
+                          enum ash_quarantine_evidence evidence,
                           struct ash_time now,
                           struct ash_quarantine_run *found)
 {
   struct ash_time since = ash_time_add (
-      now, proof == ASH_QUARANTINE_CONNECT_REFUSED ? -CONNECT_REFUSED_MS : -RESTARTED_MS);
+      now, evidence == ASH_QUARANTINE_CONNECT_REFUSED ? -CONNECT_REFUSED_MS : -RESTARTED_MS);
   uint32_t kept = quarantine->disconnect_count < ASH_QUARANTINE_DISCONNECTS
                       ? quarantine->disconnect_count
                       : ASH_QUARANTINE_DISCONNECTS;
@@ -111,7 +115,7 @@
         continue;
       if (ash_quarantine_add_run (quarantine, run))
         found[count++] = *run;
-      /* Told once. */
+      /* Each disconnect is returned once only. */
       run->endpoint = 0;
     }
   return count;
@@ -122,8 +126,9 @@
 {
   struct ash_quarantine_suspect *suspect = find (quarantine, run->request);
 
-  /* Runs side by side end together where many endpoints end at once, whoever caused that: of these
-   * one counts. A request that is asked often would be kept away by one lost rack otherwise. */
+  /* Concurrent runs of a request end together when many endpoints exit at once for another reason,
+   * so only one of them counts. Otherwise the loss of a rack would quarantine a frequent request.
+   */
   if (suspect && ash_time_before (ash_time_add (run->sent, OVERLAP_MS), newest_of (suspect)->ended))
     return false;
   if (suspect)
@@ -171,7 +176,7 @@
   struct ash_quarantine_suspect *suspect = find (quarantine, request);
 
   if (suspect)
-    drop (quarantine, suspect);
+    remove_suspect (quarantine, suspect);
   return suspect != NULL;
 }
 
@@ -183,9 +188,9 @@
 
   HASH_ITER (hh, quarantine->suspects, suspect, next)
     {
-      /* All that follow have newer evidence. */
+      /* The list is sorted by age of evidence: all further suspects are newer. */
       if (ash_time_diff (newest_of (suspect)->ended, now) < FORGET_MS)
         break;
-      drop (quarantine, suspect);
+      remove_suspect (quarantine, suspect);
     }
 }
--- a/controllers/quarantine.h
+++ b/controllers/quarantine.h
@@ -1,12 +1,12 @@
 /**
  * @file
- * Requests under which endpoints end are kept away from all others. A request is known by what is
- * asked (ash_id_from_request()), not by the id of a submission, so that it is known again when it
- * comes anew. The evidence is a run of it that began after the one before had ended and during
- * which the endpoint's process ended too; a whole answer clears the request.
+ * Quarantine of requests that make endpoint processes exit. A request is identified by a digest of
+ * its content (ash_id_from_request()), not by the id of a submission, so that a repeated one is
+ * recognized. The evidence is a series of runs, each begun after the previous one had ended, during
+ * each of which the endpoint's process exited. A complete answer clears the request.
  *
- * Each end costs the endpoint's other requests, and a whole group of ranks stands still until it
- * has formed anew.
+ * Each exit loses the endpoint's other requests, and stops a whole group of ranks until the group
+ * has formed again.
  */
 #ifndef ASH_QUARANTINE_H
 #define ASH_QUARANTINE_H
@@ -16,82 +16,88 @@
 
 #include <uthash.h>
 
-/** Runs that are kept of one request: what proves it in any case. */
+/** Runs kept per request. That many exits confirm a request in any case. */
 #define ASH_QUARANTINE_RUNS 3
 
-/** Runs whose connection has ended, kept until it is known whether the endpoint has. */
+/** Runs whose connection broke that are kept until it is known whether the endpoint's process
+ * exited. */
 #define ASH_QUARANTINE_DISCONNECTS 128
 
-/** Requests that are suspected at most. */
+/** Maximum number of suspected requests. */
 #define ASH_QUARANTINE_SUSPECTS_MAX 512
 
-/** What shows that an endpoint's process has ended. */
+/** Evidence that an endpoint's process has exited. */
 enum ash_quarantine_evidence
 {
-  ASH_QUARANTINE_CONNECT_REFUSED, /**< nothing listens there, asked at once */
-  ASH_QUARANTINE_RESTARTED,       /**< the list tells of a later life under its id */
+  ASH_QUARANTINE_CONNECT_REFUSED, /**< a connect attempt right after the break was refused */
+  ASH_QUARANTINE_RESTARTED, /**< the endpoint list shows a newer incarnation under the same id */
 };
 
-/** A run of a request under which its connection, or the endpoint itself, ended. */
+/** A run of a request that ended with a broken connection or the exit of the endpoint's process. */
 struct ash_quarantine_run
 {
-  struct ash_id request; /**< what was asked */
-  uint64_t endpoint;     /**< hash of its id */
+  struct ash_id request; /**< digest of the request's content */
+  uint64_t endpoint;     /**< hash of the endpoint's id */
   struct ash_time sent;
   struct ash_time ended;
-  bool spoke; /**< a part of its answer had come */
+  bool spoke; /**< a part of the answer had been received */
 };
 
-/** A request under which endpoints have ended. */
+/** A request during whose runs endpoint processes have exited. */
 struct ash_quarantine_suspect
 {
   struct ash_id request;
-  struct ash_quarantine_run runs[ASH_QUARANTINE_RUNS]; /**< the oldest first */
+  struct ash_quarantine_run runs[ASH_QUARANTINE_RUNS]; /**< oldest first */
   uint32_t count;
   UT_hash_handle hh;
 };
 
-/** All that are suspected or kept away. */
+/** All suspected and quarantined requests. */
 struct ash_quarantine
 {
-  struct ash_quarantine_suspect *suspects; /**< the one with the newest evidence last */
+  struct ash_quarantine_suspect *suspects; /**< ordered by evidence, newest last */
   struct ash_quarantine_run disconnects[ASH_QUARANTINE_DISCONNECTS];
-  uint32_t disconnect_count; /**< since the start; the newest is the one before */
+  uint32_t disconnect_count; /**< total since the start; the newest is at (disconnect_count - 1) %
+                                ASH_QUARANTINE_DISCONNECTS */
 };
 
 void ash_quarantine_finish (struct ash_quarantine *quarantine);
 
-/** A connection ended under a run; whether the endpoint did is not known yet. */
+/**
+ * Records a run whose connection broke; it is not known yet whether the endpoint's process exited.
+ */
 void ash_quarantine_note_disconnect (struct ash_quarantine *quarantine,
                                      const struct ash_quarantine_run *run);
 
 /**
- * An endpoint has ended; the runs whose connections there ended shortly before are evidence.
- * @param found those that are new evidence; room for ASH_QUARANTINE_DISCONNECTS.
- * @return how many.
+ * Records the exit of an endpoint's process: runs whose connections to it broke shortly before
+ * become evidence.
+ * @param found the runs that are new evidence; room for ASH_QUARANTINE_DISCONNECTS.
+ * @return the number of runs in @p found.
  */
 size_t ash_quarantine_note_exit (struct ash_quarantine *quarantine,
                                  uint64_t endpoint,
-                                 enum ash_quarantine_evidence proof,
+                                 enum ash_quarantine_evidence evidence,
                                  struct ash_time now,
                                  struct ash_quarantine_run *found);
 
-/** Takes a run as evidence. @return false if it tells nothing new, or memory is short. */
+/** Adds a run as evidence against its request. @return false if it overlaps the previous run, or
+ * memory is short. */
 bool ash_quarantine_add_run (struct ash_quarantine *quarantine,
                              const struct ash_quarantine_run *run);
 
-/** @return how many endpoints' ends are known under this request, up to ASH_QUARANTINE_RUNS. */
+/** @return the number of endpoint exits recorded for the request, up to ASH_QUARANTINE_RUNS. */
 uint32_t ash_quarantine_exits (const struct ash_quarantine *quarantine, struct ash_id request);
 
-/** @return for how many ms more the request is kept away from endpoints; 0: it is not. */
+/** @return remaining ms of the request's quarantine; 0 if it is not quarantined. */
 int64_t ash_quarantine_left_ms (const struct ash_quarantine *quarantine,
                                 struct ash_id request,
                                 struct ash_time now);
 
-/** The request got its whole answer: it is not the cause. @return whether it was suspected. */
+/** Clears a request that got its complete answer. @return whether it was suspected. */
 bool ash_quarantine_clear (struct ash_quarantine *quarantine, struct ash_id request);
 
-/** Time goes on: old evidence goes. */
+/** Runs the timers: drops old evidence. */
 void ash_quarantine_tick (struct ash_quarantine *quarantine, struct ash_time now);
 
 #endif
--- a/controllers/rate_limit.c
+++ b/controllers/rate_limit.c
@@ -2,19 +2,21 @@
 
 #include "common/random.h"
 
-/* A rate that differs by less than this part of it is no news. */
+/* A rate counts as changed if it differs by more than 1/CHANGE_MIN_DIVISOR of the old one. */
 #define CHANGE_MIN_DIVISOR 10
 
-/* An endpoint that names less gets so much all the same: else nobody would hear for long that it
- * names none any more. */
+/* Lower bound of the rate used. With less, it would take long to learn that an endpoint has lifted
+ * or raised its limit, since that is sent with answers. */
 #define RATE_MIN_PER_S 0.25
 
-/* Routers that hold a part: few at a small rate, since each may send one request at once. For a
- * while some may see more routers than others, and both hold what is one part. */
+/* Number of routers that share a rate: HOLDERS_BASE plus HOLDERS_PER_S for each request per second.
+ * At low rates there are few, since each may send one request at once. While routers see different
+ * members, two of them may hold the same share. */
 #define HOLDERS_BASE 2.0
 #define HOLDERS_PER_S 1.5
 
-/* Requests that may go at once, over all that hold a part, beside the rate itself. */
+/* Burst in requests over all routers that share the rate: BURST_BASE plus BURST_PER_S for each
+ * request per second. */
 #define BURST_BASE 3.0
 #define BURST_PER_S 1.0
 
@@ -32,19 +34,19 @@
 bool
 ash_rate_limit_update (struct ash_rate_limit *limit,
                        uint32_t milli_per_s,
-                       struct ash_time said,
-                       struct ash_time asked)
+                       struct ash_time answered,
+                       struct ash_time sent)
 {
   uint32_t before = limit->milli_per_s;
 
   if (!before && !milli_per_s)
     return false;
-  if (!ash_time_before (limit->updated, said))
+  if (!ash_time_before (limit->updated, answered))
     return false;
-  if (!milli_per_s && ash_time_before (asked, limit->updated))
+  if (!milli_per_s && ash_time_before (sent, limit->updated))
     return false;
   limit->milli_per_s = milli_per_s;
-  limit->updated = said;
+  limit->updated = answered;
   if (before != milli_per_s)
     limit->routers_digest = 0;
   if (!before)
@@ -61,9 +63,8 @@
   return ash_random_next (&random);
 }
 
-/* What is tokens by now. */
 static double
-tokens (const struct ash_rate_limit *limit, struct ash_time now)
+current_tokens (const struct ash_rate_limit *limit, struct ash_time now)
 {
   double more = limit->share_per_s * (double) ash_time_diff (limit->refilled, now) / MS_PER_S;
   double sum = limit->tokens + (more > 0 ? more : 0);
@@ -88,7 +89,7 @@
       limit->routers_digest = routers_digest;
       return;
     }
-  limit->tokens = tokens (limit, now);
+  limit->tokens = current_tokens (limit, now);
   limit->refilled = now;
   limit->routers_digest = routers_digest;
   limit->share_per_s = (per_s < RATE_MIN_PER_S ? RATE_MIN_PER_S : per_s) / holders;
@@ -113,7 +114,7 @@
 
   if (!limit->milli_per_s)
     return 0;
-  missing = 1 - tokens (limit, now);
+  missing = 1 - current_tokens (limit, now);
   if (missing <= 0)
     return 0;
   return limit->share_per_s > 0 ? (int64_t) (missing / limit->share_per_s * MS_PER_S) + 1 : -1;
@@ -124,6 +125,6 @@
 {
   if (!limit->milli_per_s)
     return;
-  limit->tokens = tokens (limit, now) - 1;
+  limit->tokens = current_tokens (limit, now) - 1;
   limit->refilled = now;
 }
--- a/controllers/rate_limit.h
+++ b/controllers/rate_limit.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * A rate that an endpoint names: the requests a second that it takes from all routers together. A
- * few routers hold a part of it each, chosen by all in the same way from those that they see; the
- * others send the endpoint nothing. So a fleet of any size keeps to the rate without asking
- * anybody, and parts are large enough to be of use.
+ * Rate limits set by endpoints: the requests per second that an endpoint accepts from all routers
+ * together. A few routers each get a share of the rate; the others send the endpoint nothing. All
+ * routers select the sharing ones by the same function of the routers that they see, so a fleet of
+ * any size keeps to the rate without coordination, and the shares are large enough to be useful.
  */
 #ifndef ASH_RATE_LIMIT_H
 #define ASH_RATE_LIMIT_H
@@ -13,43 +13,42 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** An endpoint's rate and this router's part of it. Zeroed memory is a valid start: none is named.
+/**
+ * An endpoint's rate limit and a token bucket with this router's share of it. All zero: no limit.
  */
 struct ash_rate_limit
 {
-  uint32_t milli_per_s;    /**< in thousandths; 0: none */
-  struct ash_time updated; /**< when the endpoint last named one, or no longer did */
-  uint64_t
-      routers_digest; /**< a digest of the routers among which the part was dealt; 0: it was not */
-  double share_per_s;
-  double burst;             /**< requests of the part that may go at once */
-  double tokens;            /**< of these, as of the next */
-  struct ash_time refilled; /**< when it was worked out */
+  uint32_t milli_per_s;     /**< limit in thousandths of a request per second; 0: none */
+  struct ash_time updated;  /**< time of the newest answer that was evaluated */
+  uint64_t routers_digest;  /**< routers that the share was computed for; 0: not computed yet */
+  double share_per_s;       /**< this router's share, in requests per second */
+  double burst;             /**< bucket size in requests */
+  double tokens;            /**< requests in the bucket at the time of refilled */
+  struct ash_time refilled; /**< when tokens was last computed */
 };
 
 /**
- * The endpoint names a rate in an answer, or none.
- * @param milli_per_s 0: none.
- * @param said when the answer came.
- * @param asked when its request was sent: an answer to one that was sent before a rate was named
- * does not take that back.
- * @return whether that is new: a rate where there was none, none where there was one, or one that
- * differs by more than a tenth.
+ * Updates the limit from an answer of the endpoint.
+ * @param milli_per_s thousandths of a request per second; 0: the answer sets no limit.
+ * @param answered when the answer was received.
+ * @param sent when its request was sent. An answer without a limit does not lift one that was set
+ * after the request was sent.
+ * @return whether the limit has changed: set, lifted, or different by more than a tenth.
  */
 bool ash_rate_limit_update (struct ash_rate_limit *limit,
                             uint32_t milli_per_s,
-                            struct ash_time said,
-                            struct ash_time asked);
+                            struct ash_time answered,
+                            struct ash_time sent);
 
-/** @return where a router stands among those that may hold a part of an endpoint's rate: the lowest
- * are the first to hold one. Both are named by hashes. */
+/** @return a router's sort key among those that may get a share of an endpoint's rate; the lowest
+ * get one first. Both arguments are hashes of names. */
 uint64_t ash_rate_limit_order (uint64_t endpoint, uint64_t router);
 
 /**
- * Deals the rate out anew.
- * @param routers_digest digest of the routers that are dealt to, any number but 0.
- * @param count how many they are.
- * @param before how many of them come before this one.
+ * Computes this router's share of the rate anew.
+ * @param routers_digest digest of the candidate routers, not 0.
+ * @param count number of candidates, this router included.
+ * @param before number of candidates that are sorted before this router.
  */
 void ash_rate_limit_assign (struct ash_rate_limit *limit,
                             struct ash_time now,
@@ -57,13 +56,13 @@
                             uint32_t count,
                             uint32_t before);
 
-/** This router gets no part any more. */
+/** Gives up this router's share. */
 void ash_rate_limit_release (struct ash_rate_limit *limit);
 
-/** @return in how many ms the endpoint may get a request; 0: now; below 0: it may not. */
+/** @return ms until the share allows a request; 0: now; below 0: this router has no share. */
 int64_t ash_rate_limit_wait_ms (const struct ash_rate_limit *limit, struct ash_time now);
 
-/** A request leaves for the endpoint. */
+/** Takes one request off the share. */
 void ash_rate_limit_spend (struct ash_rate_limit *limit, struct ash_time now);
 
 #endif
--- a/controllers/tombstones.c
+++ b/controllers/tombstones.c
@@ -2,8 +2,8 @@
 
 #include <stddef.h>
 
-/* An entry that nobody renews lapses after three heartbeats, some 4 s, and is missed a second
- * later. One that is still there belongs to an endpoint that lives. */
+/* An entry that is not renewed lapses after three heartbeats (4 s), which routers notice a second
+ * later. An entry that is still listed after this time belongs to a running endpoint. */
 #define LAPSE_MS 6000
 
 static struct ash_tombstone *
@@ -16,24 +16,25 @@
 }
 
 void
-ash_tombstones_add (struct ash_tombstones *tombstones, const struct ash_tombstone *one)
+ash_tombstones_add (struct ash_tombstones *tombstones, const struct ash_tombstone *added)
 {
-  struct ash_tombstone *found = find (tombstones, one->endpoint);
-  bool draining = found && found->draining && found->born_ms == one->born_ms;
+  struct ash_tombstone *found = find (tombstones, added->endpoint);
+  bool draining = found && found->draining && found->born_ms == added->born_ms;
 
   if (!found)
     found = &tombstones->items[tombstones->next++ % ASH_TOMBSTONES_MAX];
-  *found = *one;
-  /* One that said that it was leaving and is then missing has said it all the same. */
+  *found = *added;
+  /* An endpoint that announced its shutdown and is then missing from the list remains marked as
+   * draining. */
   found->draining = found->draining || draining;
 }
 
-/* Born is another machine's time of day, which may jump: it tells two lives apart, not which came
- * first. */
+/* Start times are from another box's wall clock, which may jump: they only show whether two
+ * incarnations differ, not which came first. */
 static bool
-is_other_incarnation (const struct ash_tombstone *one, int64_t born_ms)
+is_other_incarnation (const struct ash_tombstone *tombstone, int64_t born_ms)
 {
-  return born_ms && one->born_ms && born_ms != one->born_ms;
+  return born_ms && tombstone->born_ms && born_ms != tombstone->born_ms;
 }
 
 bool
@@ -43,22 +44,23 @@
                          int64_t born_ms,
                          uint64_t era)
 {
-  struct ash_tombstone *found = find (tombstones, endpoint);
+  struct ash_tombstone *tombstone = find (tombstones, endpoint);
 
-  if (!found)
+  if (!tombstone)
     return false;
-  /* Within one era an entry that comes back was written again. */
-  if (era <= found->era || is_other_incarnation (found, born_ms))
+  /* In the era of the removal, an entry that is listed again was written again: the endpoint is
+   * running. */
+  if (era <= tombstone->era || is_other_incarnation (tombstone, born_ms))
     {
-      found->endpoint = 0;
+      tombstone->endpoint = 0;
       return false;
     }
-  /* It never takes back that it is leaving. */
-  if (found->draining)
+  /* An announced shutdown is final for the incarnation. */
+  if (tombstone->draining)
     return true;
-  if (!found->listed.ms)
-    found->listed = now;
-  return ash_time_diff (found->listed, now) < LAPSE_MS;
+  if (!tombstone->relisted.ms)
+    tombstone->relisted = now;
+  return ash_time_diff (tombstone->relisted, now) < LAPSE_MS;
 }
 
 uint64_t
@@ -66,13 +68,13 @@
 {
   for (uint32_t i = 0; i < ASH_TOMBSTONES_MAX; i++)
     {
-      struct ash_tombstone *one = &tombstones->items[i];
-      uint64_t endpoint = one->endpoint;
+      struct ash_tombstone *tombstone = &tombstones->items[i];
+      uint64_t endpoint = tombstone->endpoint;
 
-      if (!endpoint || one->draining || !one->listed.ms ||
-          ash_time_diff (one->listed, now) < LAPSE_MS)
+      if (!endpoint || tombstone->draining || !tombstone->relisted.ms ||
+          ash_time_diff (tombstone->relisted, now) < LAPSE_MS)
         continue;
-      one->endpoint = 0;
+      tombstone->endpoint = 0;
       return endpoint;
     }
   return 0;
--- a/controllers/tombstones.h
+++ b/controllers/tombstones.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * Endpoints that were seen leaving. A store that comes back from an older copy lists some of them
- * as if nothing had happened: they get no request until they have said something since.
+ * Tombstones: a record of endpoints that have left the list, or announced their shutdown. A store
+ * that is restored from an older copy may list such an endpoint as ready. The endpoint then gets no
+ * requests until there is newer evidence that it is running.
  */
 #ifndef ASH_TOMBSTONES_H
 #define ASH_TOMBSTONES_H
@@ -11,34 +12,37 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Endpoints that are remembered; the oldest makes room. A copy is some seconds old, and a release
- * replaces some dozens in that time. */
+/** Maximum number of tombstones; the oldest is overwritten. A restored copy is some seconds old, in
+ * which a rolling release replaces some dozens of endpoints. */
 #define ASH_TOMBSTONES_MAX 256
 
-/** One that left, or said that it would. */
+/** An endpoint that left the list, or announced that it would. */
 struct ash_tombstone
 {
-  uint64_t endpoint;      /**< hash of its id; 0: none */
-  int64_t born_ms;        /**< of the life that left; 0: not known */
-  uint64_t era;           /**< of the store that said so */
-  struct ash_time listed; /**< since when an older copy lists it again; 0: none does */
-  bool draining;          /**< it said so itself: that holds for its life */
+  uint64_t endpoint; /**< hash of the endpoint's id; 0: unused */
+  int64_t born_ms; /**< start time of the incarnation that left, by its wall clock; 0: not known */
+  uint64_t era;    /**< era of the store that reported it */
+  struct ash_time relisted; /**< since when a later era lists it again; 0: not listed again */
+  bool draining;            /**< announced by the endpoint; final for its incarnation */
 };
 
-/** Those that are remembered. Zeroed memory is a valid start. */
+/** All tombstones. Zeroed memory is an empty set. */
 struct ash_tombstones
 {
   struct ash_tombstone items[ASH_TOMBSTONES_MAX];
-  uint32_t next; /**< that makes room */
+  uint32_t next; /**< total added; the next one goes to next % ASH_TOMBSTONES_MAX */
 };
 
-/** An endpoint has left the list, or says that it is leaving. */
-void ash_tombstones_add (struct ash_tombstones *tombstones, const struct ash_tombstone *one);
+/** Adds a tombstone, or updates that of the same endpoint. */
+void ash_tombstones_add (struct ash_tombstones *tombstones, const struct ash_tombstone *added);
 
 /**
- * The list has an endpoint that says it is ready.
- * @param era of the store that says so.
- * @return whether that may just be an older copy's word on one that has left.
+ * Checks an endpoint that is listed as ready.
+ * @param endpoint hash of its id.
+ * @param born_ms start time of the listed incarnation; 0: not known.
+ * @param era era of the store that lists it.
+ * @return whether the entry may be stale: from an older copy, with the endpoint gone. If it is
+ * certainly not, the tombstone is deleted.
  */
 bool ash_tombstones_is_stale (struct ash_tombstones *tombstones,
                               struct ash_time now,
@@ -46,8 +50,8 @@
                               int64_t born_ms,
                               uint64_t era);
 
-/** @return the hash of one that has been listed again for so long that it lives; 0: none. Each is
- * named once. */
+/** Deletes one tombstone whose endpoint has been listed again for so long that it must be running.
+ * @return the endpoint's hash; 0: there is none. */
 uint64_t ash_tombstones_pop_expired (struct ash_tombstones *tombstones, struct ash_time now);
 
 #endif
