--- a/controllers/addresses.c
+++ b/controllers/addresses.c
@@ -16,7 +16,7 @@
   return box && ash_box_usable (box);
 }
 
-/* Puts entries of the account's subset in the order of their rank. */
+/* Collects the entries of the account's subset, indexed by rank. @return their number. */
 static uint32_t
 collect (const struct ash_document *document,
          const struct ash_account *account,
@@ -36,8 +36,8 @@
   return count;
 }
 
-/* This box is likely the one that is cut off, or nobody is known to serve: all of
- * the published subset, the others first, which may serve where this one can't. */
+/* Lists the whole published subset, this entry last. Used if this box is probably isolated, or no
+ * entry is known to serve; the others may serve where this one can't. */
 static void
 list_published (struct ash_addresses *addresses,
                 const struct ash_entry_box *const ranked[ASH_ADDRESSES_MAX],
@@ -66,7 +66,7 @@
 {
   const struct ash_entry_box *ranked[ASH_ADDRESSES_MAX] = { 0 };
   uint32_t count = collect (document, account, ranked);
-  /* Each answer starts at another rank, so that an account's callers spread. */
+  /* Starts at a random rank, so that an account's callers are spread over its entries. */
   uint32_t start = ash_random_below (random, count);
 
   addresses->count = 0;
--- a/controllers/addresses.h
+++ b/controllers/addresses.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * The answer to "which address": the first balancer. An account is spread over
- * a subset of the published entries; those of it that are believed to serve
- * are named, each account's in its own order, with a staggered time to keep.
+ * Answers address queries of callers, the first level of load balancing. An account is spread over
+ * a subset of the published entries. The answer lists those of them that are believed to serve,
+ * starting at a random one, with a randomized lifetime.
  */
 #ifndef ASH_ADDRESSES_H
 #define ASH_ADDRESSES_H
@@ -12,15 +12,15 @@
 #include "options/document.h"
 #include "options/settings.h"
 
-/** Entries named at most. */
+/** Maximum number of entries in an answer. */
 #define ASH_ADDRESSES_MAX 16
 
-/** An answer. */
+/** The answer to an address query. */
 struct ash_addresses
 {
-  const struct ash_entry_box *boxes[ASH_ADDRESSES_MAX];
+  const struct ash_entry_box *boxes[ASH_ADDRESSES_MAX]; /**< owned by the document */
   uint32_t count;
-  uint32_t keep_ms;
+  uint32_t keep_ms; /**< how long the caller may use the answer */
 };
 
 /**
--- a/controllers/agent.c
+++ b/controllers/agent.c
@@ -56,13 +56,13 @@
 
 /* ---- Submit ---- */
 
-/* A record for the requester, or NULL if nothing can be written any more. */
+/* Adds a record for the request. @return NULL if the ledger is full or memory is short. */
 static struct ash_record *
 add_record (struct ash_agent *agent, const struct ash_requester *requester)
 {
   struct ash_record *record;
 
-  /* Refusals must be written too, so they may use twice the room. */
+  /* Refusals must be recorded too, so the hard limit is twice that of accepted requests. */
   if (agent->ledger.count >= 2 * agent->settings->ledger_max)
     return NULL;
   record = ash_ledger_add (&agent->ledger, requester->id);
@@ -73,7 +73,7 @@
   return record;
 }
 
-/* A refusal of the record will hold for this requester's attempt too. */
+/* Extends what a refusal of the record covers to this requester's attempt. */
 static void
 extend_refusal (struct ash_record *record, const struct ash_requester *requester)
 {
@@ -81,14 +81,14 @@
     record->refused_upto = ash_requester_covered_attempts (requester);
 }
 
-/* Whether "not run" may be told to the requester with a refusal for that reason. */
+/* Whether the agent knows enough to send the outcome "not run" with a refusal for that reason. */
 static bool
 can_report_outcome (const struct ash_agent *agent,
                     struct ash_time now,
                     const struct ash_requester *requester,
                     int reason)
 {
-  /* Who is not the home can't know what the home has done with other attempts. */
+  /* An agent that is not the home can't know what the home has done with other attempts. */
   if (reason == ASH__REASON__NOT_HOME)
     return requester->caller_attempt == 1;
   return ash_agent_knows_all_attempts (agent, now, requester);
@@ -101,13 +101,13 @@
                 struct ash_record *record,
                 int reason)
 {
-  bool known = can_report_outcome (agent, now, requester, reason);
+  bool outcome_known = can_report_outcome (agent, now, requester, reason);
 
   if (!record)
     record = add_record (agent, requester);
   if (!record)
     {
-      /* A refusal that can't be written must not be told as "not run". */
+      /* A refusal that can't be recorded must not be sent with the outcome "not run". */
       ash_log_event (&agent->log, ASH_EV_LEDGER_FULL, "count=%u", agent->ledger.count);
       ash_agent_send_refused (agent, requester, ASH__REASON__OVERLOAD, ASH__OUTCOME__UNKNOWN);
       return;
@@ -115,12 +115,12 @@
   extend_refusal (record, requester);
   ash_record_watch (record, requester->peer, requester->attempt);
   ash_agent_refuse (agent, now, record, reason,
-                    known ? ASH__OUTCOME__NOT_RUN : ASH__OUTCOME__UNKNOWN);
+                    outcome_known ? ASH__OUTCOME__NOT_RUN : ASH__OUTCOME__UNKNOWN);
 }
 
-/* Tells a refusal that is in the ledger; what it covers grows with each attempt
- * that is told. "Not run" was true for who was told first: this one may have
- * had an attempt in the life before. */
+/* Sends a refusal that is in the ledger already, and extends it to this attempt. The recorded
+ * outcome "not run" was valid for the first requester; this one may have had an attempt in the
+ * previous incarnation. */
 static void
 repeat_refusal (struct ash_agent *agent,
                 struct ash_time now,
@@ -134,7 +134,7 @@
   ash_agent_send_refused (agent, requester, ASH__REASON__REFUSED_BEFORE, outcome);
 }
 
-/* The ledger holds the request: hand over what there is, and what follows. */
+/* Sends the requester what is known of a request in the ledger, and adds it as a watcher. */
 static void
 attach (struct ash_agent *agent,
         struct ash_time now,
@@ -148,7 +148,7 @@
                           ASH__REASON__ANSWER_GONE);
       return;
     }
-  /* Should it have to be refused from the queue, this one is told as well. */
+  /* If the request is refused later from the queue, the outcome is sent to this requester too. */
   if (!ash_agent_knows_all_attempts (agent, now, requester))
     record->outcome = ASH__OUTCOME__UNKNOWN;
   if (record->state != ASH_RECORD_FINISHED)
@@ -176,7 +176,7 @@
   return copy;
 }
 
-/* In a full queue the least urgent makes way. */
+/* Refuses the least urgent request of a full queue in favour of a more urgent one. */
 static void
 evict_least_urgent (struct ash_agent *agent, struct ash_time now, const struct Ash__Submit *submit)
 {
@@ -214,7 +214,7 @@
   record->priority = submit->priority;
   record->arrived = now;
   record->deadline = ash_time_add (now, submit->budget_ms);
-  /* Should it have to be refused from the queue, this is what can be said. */
+  /* The outcome to send if the request is refused from the queue. */
   record->outcome = ash_agent_knows_all_attempts (agent, now, requester) ? ASH__OUTCOME__NOT_RUN
                                                                          : ASH__OUTCOME__UNKNOWN;
   record->refused_upto = ash_requester_covered_attempts (requester);
@@ -242,8 +242,8 @@
 
   if (submit->incarnation != agent->incarnation)
     {
-      /* Every copy names that earlier life, so none can run here: nothing needs
-       * to be written. But the life it was meant for may have run it. */
+      /* Every copy of this message has the earlier incarnation, so none can run here and nothing
+       * needs to be recorded. But the earlier incarnation may have run it. */
       ash_agent_send_refused (agent, &requester, ASH__REASON__STALE_INCARNATION,
                               ASH__OUTCOME__UNKNOWN);
       return;
@@ -255,7 +255,7 @@
     }
   if (record->state != ASH_RECORD_REFUSED)
     {
-      /* The same frame again: its answer is on its way already. */
+      /* A duplicate of the same message: this attempt is a watcher already. */
       if (ash_record_watcher (record, peer, requester.attempt))
         return;
       extend_refusal (record, &requester);
@@ -270,14 +270,14 @@
     repeat_refusal (agent, now, &requester, record);
 }
 
-/* Whether the ledger would still hold the request, had it arrived: an entry
- * that was paused for long may ask for what was done and forgotten. */
+/* Whether the ledger would still have a record of the request if it had arrived. An entry that was
+ * suspended for long may ask to resume a request that has finished and expired. */
 static bool
-remembers (const struct ash_agent *agent, const struct Ash__Resume *resume)
+is_within_lifetime (const struct ash_agent *agent, const struct Ash__Resume *resume)
 {
-  uint32_t life_ms = resume->keyed ? agent->settings->key_life_ms : agent->settings->id_life_ms;
+  uint32_t lifetime_ms = resume->keyed ? agent->settings->key_life_ms : agent->settings->id_life_ms;
 
-  return (uint64_t) resume->age_ms + agent->settings->link_silence_ms < life_ms;
+  return (uint64_t) resume->age_ms + agent->settings->link_silence_ms < lifetime_ms;
 }
 
 static void
@@ -300,7 +300,7 @@
   if (resume->incarnation != agent->incarnation)
     ash_agent_send_refused (agent, &requester, ASH__REASON__STALE_INCARNATION,
                             ASH__OUTCOME__UNKNOWN);
-  else if (!record && !remembers (agent, resume))
+  else if (!record && !is_within_lifetime (agent, resume))
     ash_agent_send_refused (agent, &requester, ASH__REASON__ANSWER_GONE, ASH__OUTCOME__UNKNOWN);
   else if (!record)
     refuse_request (agent, now, &requester, NULL, ASH__REASON__NOT_RECEIVED);
@@ -313,12 +313,14 @@
 /* ---- other messages ---- */
 
 static bool
-may_cancel_at_once (const struct ash_record *record)
+can_cancel_at_once (const struct ash_record *record)
 {
-  /* With a key the caller may still come back for it through another entry. */
+  /* The caller of a keyed request may still come for the answer through another entry. */
   return !record->keyed;
 }
 
+/* Handles the loss of a watcher: if it was the last one, the request is cancelled or becomes an
+ * orphan. */
 static void
 handle_unwatched (struct ash_agent *agent,
                   struct ash_time now,
@@ -327,7 +329,7 @@
 {
   if (record->watchers)
     return;
-  if (cancel && may_cancel_at_once (record))
+  if (cancel && can_cancel_at_once (record))
     {
       if (record->state == ASH_RECORD_QUEUED)
         ash_agent_refuse (agent, now, record, ASH__REASON__CANCELLED, record->outcome);
@@ -360,7 +362,10 @@
 }
 
 static void
-drop_peer (struct ash_agent *agent, struct ash_time now, struct ash_record *list, const char *peer)
+unwatch_box (struct ash_agent *agent,
+             struct ash_time now,
+             struct ash_record *list,
+             const char *peer)
 {
   struct ash_record *record;
 
@@ -373,8 +378,8 @@
 handle_link_down (struct ash_agent *agent, struct ash_time now, const char *peer)
 {
   ash_membership_link_down (&agent->membership, peer);
-  drop_peer (agent, now, agent->ledger.queued, peer);
-  drop_peer (agent, now, agent->ledger.running, peer);
+  unwatch_box (agent, now, agent->ledger.queued, peer);
+  unwatch_box (agent, now, agent->ledger.running, peer);
 }
 
 static void
@@ -395,11 +400,12 @@
       if (record)
         ash_agent_refuse (agent, now, record, ASH__REASON__NOT_HOME, ASH__OUTCOME__UNKNOWN);
     }
-  /* Without a record it could still run here: the other home must not. */
+  /* If the refusal could not be recorded, the request could still run here, so the other home must
+   * not run it. */
   disowned.has_it = !record || record->state != ASH_RECORD_REFUSED;
   if (!disowned.has_it)
     {
-      /* From now on it may run at the other home, which is not known here. */
+      /* From now on it may run at the other home, so its outcome is not known here. */
       record->disowned = true;
       record->outcome = ASH__OUTCOME__UNKNOWN;
     }
@@ -462,7 +468,7 @@
       agent->leaving = true;
       break;
     default:
-      /* Everything else is for entries, or the daemon's own. */
+      /* All other messages are handled by entries, or by the daemon itself. */
       break;
     }
 }
--- a/controllers/agent.h
+++ b/controllers/agent.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * The core of the endpoint role: decides what its endpoint runs, keeps the
- * ledger, and hands answers to the entries that ask for them. It does no I/O:
- * messages go in through ash_agent_handle() and come out through its sink.
+ * The core of the endpoint role: decides which requests its endpoint runs, keeps the ledger, and
+ * sends answers to the entries that requested them. It does no I/O: messages go in through
+ * ash_agent_handle() and come out through the sink.
  */
 #ifndef ASH_AGENT_H
 #define ASH_AGENT_H
@@ -17,14 +17,14 @@
 #include "options/settings.h"
 #include "proto/event.h"
 
-/** Priorities of requests; higher numbers count as the last. */
+/** Number of request priorities; higher ones are treated as the last. */
 #define ASH_PRIORITIES 16
 
-/** How long runs take, smoothed. */
+/** Smoothed duration of runs. */
 struct ash_run_time
 {
-  uint32_t mean_us;   /**< 0: not known yet */
-  uint32_t spread_us; /**< how far runs are from that */
+  uint32_t mean_us;   /**< moving average; 0: not known yet */
+  uint32_t spread_us; /**< moving average of the deviation from mean_us */
 };
 
 /** An endpoint's agent. */
@@ -42,16 +42,17 @@
   struct ash_ledger ledger;
   bool leaving;
   struct ash_planned_stop stop;
-  bool stalled;             /**< the engine streams, and has given nothing for stall_ms */
-  struct ash_time progress; /**< when it last gave anything */
-  uint64_t last_run;
-  struct ash_run_time runs[ASH_PRIORITIES]; /**< of each priority: they differ in length */
+  bool stalled;             /**< the engine has begun answers, but sent nothing for stall_ms */
+  struct ash_time progress; /**< when the engine last sent anything */
+  uint64_t last_run;        /**< number of the newest run */
+  struct ash_run_time
+      runs[ASH_PRIORITIES]; /**< per priority, since durations differ between them */
   struct ash_run_time all_runs;
 };
 
 /**
- * Starts a new life.
- * @param incarnation random, never 0.
+ * Initializes the agent with a new incarnation.
+ * @param incarnation random, not 0.
  */
 void ash_agent_init (struct ash_agent *agent,
                      const struct ash_settings *settings,
@@ -61,14 +62,14 @@
 
 void ash_agent_finish (struct ash_agent *agent);
 
-/** Takes in a message; gives out what follows from it. */
+/** Handles a message; the resulting messages go to the sink. */
 void
 ash_agent_handle (struct ash_agent *agent, struct ash_time now, const struct Ash__Event *event);
 
-/** @return whether nothing is queued or running, so that a stop cuts nothing. */
+/** @return whether no request is queued or running, so that a stop breaks none. */
 bool ash_agent_idle (const struct ash_agent *agent);
 
-/** Fills what the next heartbeat to an entry says. */
+/** Fills in the agent's fields of the next heartbeat to an entry. */
 void ash_agent_heartbeat (const struct ash_agent *agent, struct Ash__Heartbeat *heartbeat);
 
 #endif
--- a/controllers/agent_admit.c
+++ b/controllers/agent_admit.c
@@ -5,8 +5,8 @@
 
 #define US_PER_MS 1000
 
-/* A new run counts an eighth in what is expected, a quarter in its spread; nearly
- * all runs end within twice the spread of what is expected. */
+/* A new run has a weight of 1/8 in the mean and of 1/4 in the deviation. Nearly all runs end within
+ * the mean plus twice the deviation. */
 #define MEAN_SHIFT 3
 #define SPREAD_SHIFT 2
 #define SPREADS 2
@@ -17,9 +17,8 @@
   return ash_time_diff (agent->started_at, now);
 }
 
-/* Whether a caller's first attempt may have been sent before this life began:
- * it may be on its way to the entry for guard_ms, and from there for as long
- * as a link may be silent. */
+/* Whether a caller's first attempt that arrives now may have been sent before this incarnation
+ * started: it may take guard_ms to the entry, and from there as long as a link may be silent. */
 bool
 ash_agent_guarded (const struct ash_agent *agent, struct ash_time now)
 {
@@ -27,8 +26,7 @@
          agent->settings->guard_ms + agent->settings->link_silence_ms;
 }
 
-/* Whether this life can know of every earlier attempt of the request. Requests
- * without a key have only the one that is asked about. */
+/* Requests without a key have only one attempt. */
 bool
 ash_agent_knows_all_attempts (const struct ash_agent *agent,
                               struct ash_time now,
@@ -39,9 +37,8 @@
   return ash_agent_age_ms (agent, now) >= agent->settings->key_life_ms;
 }
 
-/* Up to which of the caller's attempts a refusal holds. Where the caller has
- * not said which one this is, any other may be an earlier one that is still
- * under way: then it holds for all, and the key is used up. */
+/* If the caller does not number its attempts, any other attempt may be an earlier one that is still
+ * in flight. The refusal then covers all attempts, and the key can't be used again. */
 uint32_t
 ash_requester_covered_attempts (const struct ash_requester *requester)
 {
@@ -58,7 +55,6 @@
   return endpoint ? endpoint->slots : agent->settings->slots;
 }
 
-/* Priorities above the last count as that. */
 static uint32_t
 run_index (uint32_t priority)
 {
@@ -89,20 +85,20 @@
   return agent->ledger.running_count < ash_agent_slots (agent);
 }
 
-/* As a round-trip time is smoothed, with its deviation (RFC 6298). */
+/* Smoothed like a round-trip time and its variation in RFC 6298. */
 static void
 smooth (struct ash_run_time *time, uint32_t took_us)
 {
-  int64_t off_us = (int64_t) took_us - time->mean_us;
+  int64_t deviation_us = (int64_t) took_us - time->mean_us;
 
   if (!time->mean_us)
     {
       *time = (struct ash_run_time){ took_us, took_us / 2 };
       return;
     }
-  time->mean_us += (int32_t) (off_us / (1 << MEAN_SHIFT));
-  off_us = off_us < 0 ? -off_us : off_us;
-  time->spread_us += (int32_t) ((off_us - (int64_t) time->spread_us) / (1 << SPREAD_SHIFT));
+  time->mean_us += (int32_t) (deviation_us / (1 << MEAN_SHIFT));
+  deviation_us = deviation_us < 0 ? -deviation_us : deviation_us;
+  time->spread_us += (int32_t) ((deviation_us - (int64_t) time->spread_us) / (1 << SPREAD_SHIFT));
 }
 
 void
@@ -125,18 +121,18 @@
 {
   uint32_t mean_us = run_time (agent, record->priority)->mean_us;
 
-  /* The first of its priority may be like any other. */
+  /* Before the first run of its priority has ended, the mean of all runs is used. */
   return mean_us ? mean_us : agent->all_runs.mean_us;
 }
 
-/* A slot gets free after a part of a run, then the work before it is shared. */
+/* Adds one mean run, since the current runs must end first; all work is shared by the slots. */
 int64_t
 ash_agent_wait_ms (const struct ash_agent *agent, int64_t work_us, uint32_t slots)
 {
   return (work_us + agent->all_runs.mean_us) / US_PER_MS / slots;
 }
 
-/* How long a new request would wait, as far as can be told. */
+/* Estimated time in the queue of a new request. */
 static int64_t
 expected_wait_ms (const struct ash_agent *agent, const struct Ash__Submit *submit)
 {
@@ -159,7 +155,6 @@
   return last && last->priority > submit->priority ? last : NULL;
 }
 
-/* Why a request that the ledger does not hold can't be taken, or REASON_NONE. */
 int
 ash_agent_admission (const struct ash_agent *agent,
                      struct ash_time now,
@@ -174,7 +169,7 @@
     {
       if (!ash_agent_knows_all_attempts (agent, now, requester))
         return ASH__REASON__NEW_LIFE;
-      /* A later attempt may have run in the life before. */
+      /* A later attempt may have run in the previous incarnation. */
       if (!requester->minted && ash_agent_guarded (agent, now))
         return ASH__REASON__NEW_LIFE;
       home = agent->config.ready
--- a/controllers/agent_engine.c
+++ b/controllers/agent_engine.c
@@ -71,7 +71,7 @@
   ash_agent_start_queued (agent, now);
 }
 
-/* ---- time ---- */
+/* ---- timers ---- */
 
 static bool
 is_orphan (const struct ash_agent *agent, struct ash_time now, const struct ash_record *record)
@@ -81,8 +81,9 @@
   return !ash_time_before (now, ash_time_add (record->orphan_since, grace_ms));
 }
 
-/* More urgent ones that came later may have pushed a request too far back: it is
- * refused as soon as that shows, not at its deadline. */
+/* Refuses queued requests that have lost all watchers, or can't meet their deadline any more
+ * because more urgent ones arrived later. The refusal is sent as soon as that is known, not at the
+ * deadline. */
 static void
 check_queued (struct ash_agent *agent, struct ash_time now)
 {
@@ -113,8 +114,8 @@
 
   DL_FOREACH_SAFE (agent->ledger.running, record, next)
     {
-      /* Work of a caller's key that nobody waits for gets the orphan's grace
-       * past its deadline: the caller may come for the answer. */
+      /* A keyed request may run past its deadline for the orphan grace period, since the caller may
+       * still come for the answer. */
       struct ash_time late = record->keyed
                                  ? ash_time_add (record->deadline, agent->settings->keyed_orphan_ms)
                                  : record->deadline;
@@ -128,9 +129,9 @@
     }
 }
 
-/* An engine that batches gives something each step to each request that it has
- * begun to answer. Nothing to any of them for many steps: it stands still, and with
- * it its group. A plain service may well be silent. */
+/* A batching engine sends output to every request that it has begun to answer in each step. If none
+ * of them gets any for many steps, the engine has stalled, and its group with it. A plain service
+ * may be silent without having stalled. */
 static bool
 is_stalled (const struct ash_agent *agent, struct ash_time now)
 {
@@ -144,8 +145,8 @@
   return false;
 }
 
-/* Waiting requests may go to another endpoint at once: they certainly did not run.
- * Those that only their home may run stay. */
+/* Refuses queued requests, which certainly did not run, so that entries can send them to another
+ * endpoint. Requests that only their home may run stay queued. */
 static void
 release_queued (struct ash_agent *agent, struct ash_time now)
 {
--- a/controllers/agent_engine.h
+++ b/controllers/agent_engine.h
@@ -1,28 +1,29 @@
 /**
  * @file
- * What the engine and time do to the requests of an agent. Part of the agent's core.
+ * Handling of engine messages and timers for the requests of an agent. Part of the agent's core.
  */
 #ifndef ASH_AGENT_ENGINE_H
 #define ASH_AGENT_ENGINE_H
 
 #include "controllers/agent.h"
 
-/** An answer begins. */
+/** Handles the start of an answer. */
 void ash_agent_engine_head (struct ash_agent *agent,
                             struct ash_time now,
                             const struct Ash__EngineHead *head);
 
-/** A piece of an answer. */
+/** Handles a piece of an answer. */
 void ash_agent_engine_data (struct ash_agent *agent,
                             struct ash_time now,
                             const struct Ash__EngineData *data);
 
-/** A run is over. */
+/** Handles the end of a run. */
 void ash_agent_engine_end (struct ash_agent *agent,
                            struct ash_time now,
                            const struct Ash__EngineEnd *end);
 
-/** Time goes on: deadlines, work that nobody waits for, an engine that stands still. */
+/** Runs the timers: deadlines, requests without watchers, detection of a stalled engine, expiry of
+ * records. */
 void ash_agent_tick (struct ash_agent *agent, struct ash_time now);
 
 #endif
--- a/controllers/agent_run.c
+++ b/controllers/agent_run.c
@@ -12,7 +12,6 @@
                        record->keyed ? agent->settings->key_life_ms : agent->settings->id_life_ms);
 }
 
-/* Writes the refusal into the ledger, then tells every entry that waits. */
 void
 ash_agent_refuse (struct ash_agent *agent,
                   struct ash_time now,
@@ -102,9 +101,8 @@
   ash_log_event (&agent->log, ASH_EV_RUN_STARTED, "id=%s wait_ms=%u", id, record->wait_ms);
 }
 
-/* Why a queued request is not to wait any longer, if it would start after that
- * time: its deadline has passed, or will have when it could end, or the planned stop's
- * last answers will have gone out. */
+/* A queued request is given up if its deadline has passed, if it would end after its deadline, or
+ * if it would end after the final answers of a planned stop. */
 int
 ash_agent_give_up_reason (const struct ash_agent *agent,
                           struct ash_time now,
--- a/controllers/agent_run.h
+++ b/controllers/agent_run.h
@@ -1,38 +1,38 @@
 /**
  * @file
- * Runs of an agent's engine, from the queue to their end. Part of the agent's core.
+ * Runs of an agent's engine: start, end, cancellation and refusal. Part of the agent's core.
  */
 #ifndef ASH_AGENT_RUN_H
 #define ASH_AGENT_RUN_H
 
 #include "controllers/agent.h"
 
-/** Writes a refusal into the ledger, then tells every entry that waits. */
+/** Records a refusal in the ledger, then sends it to every watcher. */
 void ash_agent_refuse (struct ash_agent *agent,
                        struct ash_time now,
                        struct ash_record *record,
                        int reason,
                        int outcome);
 
-/** A run has ended, whole or not: its watchers are told. */
+/** Records the end of a run, complete or not, and notifies its watchers. */
 void ash_agent_finish_run (struct ash_agent *agent,
                            struct ash_time now,
                            struct ash_record *record,
                            bool whole,
                            int reason);
 
-/** Ends a run at the engine. */
+/** Cancels a run at the engine and finishes it as incomplete. */
 void ash_agent_cancel_run (struct ash_agent *agent,
                            struct ash_time now,
                            struct ash_record *record,
                            int reason);
 
-/** Starts what waits, in the queue's order, as long as there are slots. */
+/** Starts queued requests in order while slots are free. */
 void ash_agent_start_queued (struct ash_agent *agent, struct ash_time now);
 
 /**
- * @return why a queued request is not to wait any longer, if it would start after
- * @p wait_ms, or REASON_NONE.
+ * @param wait_ms estimated time until the request could start.
+ * @return why the queued request is to be refused now, or REASON_NONE.
  */
 int ash_agent_give_up_reason (const struct ash_agent *agent,
                               struct ash_time now,
--- a/controllers/agent_send.c
+++ b/controllers/agent_send.c
@@ -1,6 +1,6 @@
 #include "controllers/agent_send.h"
 
-/* Largest piece of an answer in one message. */
+/* Maximum bytes of an answer in one message. */
 #define DATA_MAX_BYTES 65536
 
 void
@@ -18,7 +18,7 @@
   refused.attempt = requester->attempt;
   refused.reason = (Ash__Reason) reason;
   refused.outcome = (Ash__Outcome) outcome;
-  /* Spread, so that those refused together do not return together. */
+  /* Random, so that requests refused together are not retried together. */
   refused.retry_ms = base_ms + ash_random_below (&agent->random, base_ms);
   ash_emit (&agent->sink, requester->peer, ASH__EVENT__KIND_REFUSED, &refused);
 }
@@ -41,7 +41,6 @@
   ash_emit (&agent->sink, peer, ASH__EVENT__KIND_HEAD, &head);
 }
 
-/* Sends the kept bytes from that offset on. */
 void
 ash_agent_send_data (struct ash_agent *agent,
                      const struct ash_record *record,
--- a/controllers/agent_send.h
+++ b/controllers/agent_send.h
@@ -1,14 +1,13 @@
 /**
  * @file
- * What an agent tells entries: refusals, and answers piece by piece. Part of the
- * agent's core.
+ * Messages from an agent to entries: refusals, and answers in pieces. Part of the agent's core.
  */
 #ifndef ASH_AGENT_SEND_H
 #define ASH_AGENT_SEND_H
 
 #include "controllers/agent.h"
 
-/** What Submit and Resume have in common: who asks for which request. */
+/** The common fields of Submit and Resume: the request and the entry that sent the message. */
 struct ash_requester
 {
   const char *peer;
@@ -20,26 +19,26 @@
   bool no_repeat;
 };
 
-/** Tells a refusal, with a time to come back that is spread. */
+/** Sends a refusal, with a randomized retry delay. */
 void ash_agent_send_refused (struct ash_agent *agent,
                              const struct ash_requester *requester,
                              int reason,
                              int outcome);
 
-/** Tells the status of an answer, and that it begins. */
+/** Sends the start of an answer: status and content type. */
 void ash_agent_send_head (struct ash_agent *agent,
                           const struct ash_record *record,
                           const char *peer,
                           uint64_t attempt);
 
-/** Tells the kept bytes of an answer from that offset on. */
+/** Sends the kept bytes of an answer from @p offset on. */
 void ash_agent_send_data (struct ash_agent *agent,
                           const struct ash_record *record,
                           const char *peer,
                           uint64_t attempt,
                           uint64_t offset);
 
-/** Tells that an answer has ended, whole or not. */
+/** Sends the end of an answer. @param whole whether the answer is complete. */
 void ash_agent_send_end (struct ash_agent *agent,
                          const struct ash_record *record,
                          const char *peer,
--- a/controllers/config.c
+++ b/controllers/config.c
@@ -7,7 +7,7 @@
 
 #define MS_PER_S 1000
 
-/* Deltas above this part of the document are not worth their bookkeeping. */
+/* Deltas are used if they take at most 1/DELTAS_PART of the document's size. */
 #define DELTAS_PART 2
 
 void
@@ -61,9 +61,9 @@
   return true;
 }
 
-/* Accounts are most of a document and never asked for again. */
+/* Accounts are most of a document, and those of past documents are not needed. */
 static void
-forget_accounts (struct ash_document *document)
+free_accounts (struct ash_document *document)
 {
   free (document->accounts);
   free (document->account_slots);
@@ -72,8 +72,9 @@
   document->account_count = 0;
 }
 
+/* Adds the active document to the past ones. */
 static void
-remember (struct ash_config *config, struct ash_time now, int64_t keep_ms)
+remember_active (struct ash_config *config, struct ash_time now, int64_t keep_ms)
 {
   struct ash_config_past *past;
 
@@ -81,17 +82,17 @@
     drop_oldest (config);
   if (config->past_count == ASH_CONFIG_HISTORY_MAX)
     {
-      /* More changes than are kept: from here back, homes are not known. */
+      /* The history is full: homes from before the oldest document's end are no longer known. */
       config->known_since = config->past[0].until;
       drop_oldest (config);
     }
   past = &config->past[config->past_count++];
   past->document = config->document;
   past->until = now;
-  forget_accounts (&past->document);
+  free_accounts (&past->document);
 }
 
-/* From the text in force to the one that takes its place. */
+/* Keeps the delta from the active text to the one that replaces it. */
 static void
 keep_delta (struct ash_config *config, uint64_t revision, const char *text, size_t text_bytes)
 {
@@ -170,7 +171,7 @@
   else if (same_endpoints (&config->document, &document))
     ash_document_finish (&config->document);
   else
-    remember (config, now, keep_ms);
+    remember_active (config, now, keep_ms);
   config->document = document;
   config->ready = true;
   return ASH_CONFIG_ACCEPTED;
@@ -183,7 +184,7 @@
                         int64_t unix_s,
                         int64_t life_ms)
 {
-  /* The oldest document that is known here states how far back it holds. */
+  /* The oldest known document states since when its homes have been valid. */
   const struct ash_document *oldest =
       config->past_count ? &config->past[0].document : &config->document;
   const struct ash_service *service = ash_document_service (oldest, service_name);
--- a/controllers/config.h
+++ b/controllers/config.h
@@ -1,9 +1,8 @@
 /**
  * @file
- * Which configuration is in force. Revisions only grow; a document with
- * findings is refused and the last accepted one stays. Earlier sets of
- * endpoints are remembered for a key's life, because a key's home depends on
- * them.
+ * The active configuration of a process. Revisions only grow; a document with findings is refused,
+ * and the last accepted one stays active. Earlier sets of endpoints are kept for the lifetime of a
+ * key, because the home of a key depends on them.
  */
 #ifndef ASH_CONFIG_H
 #define ASH_CONFIG_H
@@ -12,13 +11,13 @@
 #include "options/document.h"
 #include "proto/event.h"
 
-/** Earlier sets of endpoints that are remembered at most. */
+/** Maximum number of earlier sets of endpoints that are kept. */
 #define ASH_CONFIG_HISTORY_MAX 8
 
-/** Deltas between the last revisions that are kept for peers. */
+/** Maximum number of deltas between the last revisions that are kept for peers. */
 #define ASH_CONFIG_DELTAS_MAX 8
 
-/** What came of an offer. */
+/** Result of ash_config_offer(). */
 enum ash_config_result
 {
   ASH_CONFIG_ACCEPTED,
@@ -27,7 +26,7 @@
   ASH_CONFIG_REFUSED,
 };
 
-/** A document that was in force before, and until when. */
+/** A previously active document, and until when it was active. */
 struct ash_config_past
 {
   struct ash_document document;
@@ -37,27 +36,30 @@
 /** The configuration of a process. */
 struct ash_config
 {
-  bool ready; /**< false until the first document was accepted */
+  bool ready; /**< a document has been accepted */
   struct ash_document document;
-  char *text; /**< as published, for peers */
+  char *text; /**< the document as published, to send to peers */
   size_t text_bytes;
   struct ash_config_past past[ASH_CONFIG_HISTORY_MAX];
   uint32_t past_count;
-  struct ash_time known_since; /**< from then on no accepted set is unknown here */
-  uint64_t refused_revision;   /**< newest that was refused, not to check it again */
-  struct Ash__ConfigDelta *deltas[ASH_CONFIG_DELTAS_MAX]; /**< oldest first, each on the last */
+  struct ash_time known_since; /**< since when all sets of endpoints are known */
+  uint64_t refused_revision;   /**< last refused revision, which is not checked again */
+  struct Ash__ConfigDelta
+      *deltas[ASH_CONFIG_DELTAS_MAX]; /**< oldest first, each based on the previous revision */
   uint32_t delta_count;
 };
 
 void ash_config_init (struct ash_config *config);
 void ash_config_finish (struct ash_config *config);
 
-/** @return the revision in force; 0: none yet. */
+/** @return the active revision; 0: none yet. */
 uint64_t ash_config_revision (const struct ash_config *config);
 
 /**
- * Offers a document. Findings are added only for one that is refused.
- * @param keep_ms how long earlier sets of endpoints matter: a key's life.
+ * Offers a document, which becomes active if it is newer and has no findings.
+ * @param text the document; copied.
+ * @param keep_ms how long earlier sets of endpoints are kept: the lifetime of a key.
+ * @param findings what is wrong with a refused document; unchanged otherwise.
  */
 enum ash_config_result ash_config_offer (struct ash_config *config,
                                          struct ash_time now,
@@ -68,16 +70,16 @@
                                          struct ash_findings *findings);
 
 /**
- * Finds the deltas that bring a peer from its revision to the present one.
- * @return how many, from @p first on; 0 if there are none, or the whole document is
- * hardly longer.
+ * Finds the deltas that bring a peer from @p revision to the active one.
+ * @param first set to the index of the first of them in deltas.
+ * @return their number; 0 if they are not all kept, or hardly smaller than the document.
  */
 uint32_t ash_config_deltas (const struct ash_config *config, uint64_t revision, uint32_t *first);
 
 /**
- * Whether this process knows every home that a key of the service may have had
- * in the last @p life_ms.
- * @param unix_s wall clock in seconds, against the document's homes_since_s.
+ * @return whether this process knows every home that a key of the service may have had in the last
+ * @p life_ms.
+ * @param unix_s wall-clock time in seconds, compared with the document's homes_since_s.
  */
 bool ash_config_knows_homes (const struct ash_config *config,
                              const char *service,
@@ -86,8 +88,9 @@
                              int64_t life_ms);
 
 /**
- * Homes that a key had before its present one, within @p life_ms.
- * @return how many names were written to @p homes.
+ * Finds the homes that a key had before its current one, within the last @p life_ms.
+ * @param homes set to their names, newest first; the strings are owned by @p config.
+ * @return the number of names.
  */
 uint32_t ash_config_past_homes (const struct ash_config *config,
                                 const char *service,
--- a/controllers/config_delta.c
+++ b/controllers/config_delta.c
@@ -6,21 +6,23 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Lines that must agree after a difference before copying goes on: single lines
- * like `slots = 32` stand in many places. */
+/* Consecutive lines that must match after a difference before copying resumes, since single lines
+ * like `slots = 32` occur in many places. */
 #define SYNC_LINES 2
 
+/* A text split into lines. The text is not owned. */
 struct lines
 {
   const char *text;
-  uint32_t *starts; /* one more than there are lines: the end */
+  uint32_t *starts; /* offsets of the lines; one more item for the end of the text */
   uint32_t count;
 };
 
-/* Finds a line of the old text by its bytes: the first of each. */
+/* Hash table with linear probing from the bytes of a line to its first occurrence in the old text.
+ */
 struct index
 {
-  uint32_t *slots; /* line + 1 */
+  uint32_t *slots; /* line number + 1; 0: free */
   uint32_t slot_count;
 };
 
@@ -32,8 +34,8 @@
 
 /* ---- lines ---- */
 
-/* A document may come without line ends: then what stands between two objects of a list ends a
- * line. What else is cut there does no harm. */
+/* A JSON document may have no newlines, so "}," ends a line too, which splits the text between the
+ * objects of a list. Splitting at other places where "}," occurs does no harm. */
 static bool
 ends_line (const struct ash_config_text *text, size_t i)
 {
@@ -55,7 +57,7 @@
   for (size_t i = 0; i < text->length; i++)
     if (ends_line (text, i))
       lines->starts[++lines->count] = (uint32_t) i + 1;
-  /* What follows the last line's end is a line too. */
+  /* The last line may lack a newline. */
   if (lines->starts[lines->count] < text->length)
     lines->starts[++lines->count] = (uint32_t) text->length;
   return true;
@@ -111,8 +113,9 @@
   return true;
 }
 
-/* Where in the old text the new one's line goes on: soon after where copying
- * stopped, or wherever such a line stands first. @return old->count if nowhere. */
+/* Finds the line of the old text at which copying can resume for line @p j of the new text: within
+ * a few lines after @p from, else at the first occurrence of that line in the old text.
+ * @return old->count if there is none. */
 static uint32_t
 find_sync (const struct lines *old,
            const struct index *index,
@@ -135,7 +138,7 @@
   return old->count;
 }
 
-/* ---- making ---- */
+/* ---- creation ---- */
 
 static struct Ash__ConfigPiece *
 add_piece (struct Ash__ConfigDelta *delta)
@@ -157,7 +160,7 @@
 }
 
 static bool
-set_text (struct Ash__ConfigPiece *piece, const char *bytes, size_t length)
+copy_text (struct Ash__ConfigPiece *piece, const char *bytes, size_t length)
 {
   if (!length)
     return true;
@@ -169,7 +172,8 @@
   return true;
 }
 
-/* Pieces of a copied part and the new text behind it, in turn. */
+/* Adds pieces to the delta, each a range to copy from the old text and the new text that follows
+ * it. */
 static bool
 add_pieces (struct Ash__ConfigDelta *delta,
             const struct lines *old,
@@ -203,8 +207,8 @@
           i = next;
           break;
         }
-      if (!set_text (piece, new->text + new->starts[literal],
-                     new->starts[j] - new->starts[literal]))
+      if (!copy_text (piece, new->text + new->starts[literal],
+                      new->starts[j] - new->starts[literal]))
         return false;
     }
   return true;
@@ -239,9 +243,10 @@
   return NULL;
 }
 
-/* ---- applying ---- */
+/* ---- application ---- */
 
-/* @return the result's length; above a document's bound if a piece is out of it. */
+/* @return length of the result; more than ASH_DOCUMENT_MAX_BYTES if a piece is out of the base
+ * text's range. */
 static size_t
 result_length (const struct ash_config_text *base, const struct Ash__ConfigDelta *delta)
 {
--- a/controllers/config_delta.h
+++ b/controllers/config_delta.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * The difference between two published documents, as text: what to copy of the
- * old one and what is new, line by line, or object by object of a list. A change of one row is a
- * few hundred bytes, however large the document. Both texts are named by their digests, so that a
- * result that differs from what was published by a byte is not taken.
+ * The difference between two published documents as text: ranges to copy from the old one and
+ * inserted new text, by lines or by objects of a list. The change of a line takes a few hundred
+ * bytes, however large the document is. A delta has the digests of both texts, so that a result
+ * that is not identical to the published text is rejected.
  */
 #ifndef ASH_CONFIG_DELTA_H
 #define ASH_CONFIG_DELTA_H
@@ -12,7 +12,7 @@
 
 #include <stdint.h>
 
-/** A text that is not owned. */
+/** A document's text. Not owned. */
 struct ash_config_text
 {
   uint64_t revision;
@@ -20,17 +20,20 @@
   size_t length;
 };
 
-/** @return a text's digest. */
+/** @return the digest of a text's bytes. */
 uint64_t ash_config_digest (const struct ash_config_text *text);
 
-/** @return a new delta, freed by ash__config_delta__free_unpacked(); NULL without memory. */
+/**
+ * @return a new delta, to be freed by ash__config_delta__free_unpacked(); NULL if memory is short.
+ */
 struct Ash__ConfigDelta *ash_config_delta_make (const struct ash_config_text *base,
                                                 const struct ash_config_text *after);
 
 /**
  * Applies a delta.
- * @return the new text, to be freed, with its length; NULL if the base is not the
- * one it is for, or the result is not what was published.
+ * @param length set to the length of the new text.
+ * @return the new text, NUL-terminated, to be freed with free(); NULL if the delta is for another
+ * base, the result does not have the delta's digest, or memory is short.
  */
 char *ash_config_delta_apply (const struct ash_config_text *base,
                               const struct Ash__ConfigDelta *delta,
--- a/controllers/declared.c
+++ b/controllers/declared.c
@@ -21,7 +21,7 @@
 }
 
 static bool
-is_on (const struct ash_document *document, const char *name, int64_t unix_s)
+is_active (const struct ash_document *document, const char *name, int64_t unix_s)
 {
   const struct ash_declared_event *event = ash_document_event (document, name);
   enum ash_declared_state state = event ? ash_declared_state (event, unix_s) : ASH_DECLARED_OVER;
@@ -41,7 +41,7 @@
 
       if (strcmp (reservation->account, account) == 0 &&
           strcmp (reservation->service, service) == 0 &&
-          is_on (document, reservation->event, unix_s))
+          is_active (document, reservation->event, unix_s))
         return reservation;
     }
   return NULL;
@@ -52,7 +52,7 @@
 {
   for (uint32_t i = 0; i < document->profile_count; i++)
     if (strcmp (document->profiles[i].group, group) == 0 &&
-        is_on (document, document->profiles[i].event, unix_s))
+        is_active (document, document->profiles[i].event, unix_s))
       return &document->profiles[i];
   return NULL;
 }
--- a/controllers/direct.c
+++ b/controllers/direct.c
@@ -27,7 +27,7 @@
 #define REJECTIONS_MAX 5
 
 /* Weight of the newest pause in the moving average, which so covers about a dozen pauses: one or
- * two forward passes of a few streams. */
+ * two engine passes of a few streams. */
 #define PAUSE_WEIGHT 0.1
 
 /* The average is ignored if the last pause was measured longer ago than this. */
@@ -53,8 +53,8 @@
  * ranks whose load they learn late, the ranks would get far more streams than their cap. */
 #define REMOTE_RESERVE_PART 0.5
 
-/* Caps are set for forward passes that take this fraction of the target pause. Passes vary in
- * length, and a single one that exceeds the target makes the stream miss it. */
+/* Caps are set so that an engine pass takes this fraction of the target pause. Passes vary in
+ * length, and a single one that exceeds the target makes a stream miss it. */
 #define PAUSE_PART 0.75
 
 /* Lower bound of a reduced cap, as a fraction of the full one. Below it, requests lose more by
@@ -378,7 +378,7 @@
 /* The number of requests that the endpoint may have now. It is reduced where the pauses of streams
  * are too long, or the endpoint reports that it is slow, since all ranks of a group wait for the
  * slowest. It is not raised where pauses are short: the mix of prompts may change at any moment,
- * and passes then take twice as long until the expert map is adapted. */
+ * and engine passes then take twice as long until the expert map is adapted. */
 static uint32_t
 effective_cap (const struct ash_direct_endpoint *endpoint,
                const struct ash_direct_criteria *criteria,
--- a/controllers/ledger.c
+++ b/controllers/ledger.c
@@ -13,7 +13,7 @@
 }
 
 static void
-drop_answer (struct ash_answer *answer)
+free_answer (struct ash_answer *answer)
 {
   free (answer->bytes);
   answer->base += answer->length;
@@ -23,7 +23,7 @@
 }
 
 static void
-drop_submit (struct ash_record *record)
+free_submit (struct ash_record *record)
 {
   if (record->submit)
     ash__submit__free_unpacked (record->submit, NULL);
@@ -35,8 +35,8 @@
 {
   while (record->watchers)
     ash_record_unwatch (record, record->watchers);
-  drop_submit (record);
-  drop_answer (&record->answer);
+  free_submit (record);
+  free_answer (&record->answer);
   free (record->answer.content_type);
   HASH_DEL (ledger->records, record);
   ledger->count--;
@@ -67,7 +67,7 @@
 {
   struct ash_record *record;
 
-  /* As many as the engine has slots: a few dozen. */
+  /* At most as many as the engine has slots: a few dozen. */
   DL_FOREACH (ledger->running, record)
     if (record->run == run)
       return record;
@@ -89,7 +89,7 @@
 }
 
 static int
-by_urgency (const struct ash_record *a, const struct ash_record *b)
+compare_urgency (const struct ash_record *a, const struct ash_record *b)
 {
   if (a->priority != b->priority)
     return a->priority < b->priority ? -1 : 1;
@@ -101,13 +101,13 @@
 void
 ash_ledger_enqueue (struct ash_ledger *ledger, struct ash_record *record)
 {
-  struct ash_record *at = ledger->queued;
+  struct ash_record *successor = ledger->queued;
 
   record->state = ASH_RECORD_QUEUED;
-  while (at && by_urgency (at, record) <= 0)
-    at = at->next;
-  if (at)
-    DL_PREPEND_ELEM (ledger->queued, at, record);
+  while (successor && compare_urgency (successor, record) <= 0)
+    successor = successor->next;
+  if (successor)
+    DL_PREPEND_ELEM (ledger->queued, successor, record);
   else
     DL_APPEND (ledger->queued, record);
   ledger->queued_count++;
@@ -119,7 +119,7 @@
   DL_DELETE (ledger->queued, record);
   ledger->queued_count--;
   record->state = ASH_RECORD_RUNNING;
-  drop_submit (record);
+  free_submit (record);
   DL_APPEND (ledger->running, record);
   ledger->running_count++;
 }
@@ -147,7 +147,7 @@
     }
   record->state = state;
   record->expires = expires;
-  drop_submit (record);
+  free_submit (record);
   ledger->kept_bytes += record->answer.length;
   if (record->keyed)
     DL_APPEND (ledger->ended_keyed, record);
@@ -186,7 +186,8 @@
     }
 }
 
-/* Of the oldest answers in a list, frees the bytes; that it ran stays known. */
+/* Frees the bytes of the oldest answers in a list; the records stay, so that it remains known that
+ * the requests ran. */
 static void
 trim_list (struct ash_ledger *ledger, struct ash_record *list, uint64_t keep_bytes)
 {
@@ -194,7 +195,7 @@
        record = record->next)
     {
       ledger->kept_bytes -= record->answer.length;
-      drop_answer (&record->answer);
+      free_answer (&record->answer);
     }
 }
 
@@ -239,7 +240,7 @@
     return false;
   memcpy (answer->bytes + answer->length, bytes, length);
   answer->length += length;
-  /* Twice the bound before cutting: the copy is paid once per keep_bytes. */
+  /* Trims only at twice the bound, so that bytes are moved once per keep_bytes received. */
   if (answer->length <= 2 * keep_bytes)
     return true;
   excess = answer->length - keep_bytes;
--- a/controllers/limits.c
+++ b/controllers/limits.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Parts of a request that are counted: fine enough that a refill each
- * millisecond of a part of one request a second loses nothing that matters. */
+/* Tokens are counted in millionths of a request, so that rounding is negligible when a share of one
+ * request per second is refilled every millisecond. */
 #define MICRO 1000000
 #define MICRO_PER_MILLI 1000
 
@@ -34,22 +34,22 @@
   free_all (&limits->reserved);
 }
 
-/* A bucket that fills at a part of the rate up to a part of the burst. */
+/* Parameters of a token bucket with a share of the rate and burst. */
 struct bucket
 {
-  int64_t rate_micro_per_ms; /* a request a second is a thousandth of one a millisecond */
+  int64_t rate_micro_per_ms; /* refill rate; 1,000 for one request per second */
   int64_t burst_micro;
 };
 
 static struct bucket
-part_of (uint32_t rate_per_s, uint32_t burst, uint32_t parts)
+share_of (uint32_t rate_per_s, uint32_t burst, uint32_t parts)
 {
   struct bucket bucket = {
     .rate_micro_per_ms = (int64_t) rate_per_s * MICRO_PER_MILLI / parts,
     .burst_micro = (int64_t) burst * MICRO / parts,
   };
 
-  /* A part below one request would refuse for ever. */
+  /* A bucket smaller than one request would refuse every request. */
   if (bucket.burst_micro < MICRO)
     bucket.burst_micro = MICRO;
   return bucket;
@@ -76,7 +76,7 @@
   return limit;
 }
 
-/* @return 0 if one was taken, else milliseconds until there is one. */
+/* Refills the bucket and takes one request. @return 0 if there was one, else ms until there is. */
 static uint32_t
 take (struct ash_limit *limit, struct ash_time now, const struct bucket *bucket)
 {
@@ -99,7 +99,7 @@
                  const struct ash_account *account,
                  uint32_t parts)
 {
-  struct bucket bucket = part_of (account->rate_per_s, account->burst, parts);
+  struct bucket bucket = share_of (account->rate_per_s, account->burst, parts);
   struct ash_limit *limit = find_or_add (&limits->limits, now, account->name, &bucket);
 
   return limit ? take (limit, now, &bucket) : MICRO_PER_MILLI;
@@ -111,7 +111,7 @@
                           const struct ash_reservation *reservation,
                           uint32_t parts)
 {
-  struct bucket bucket = part_of (reservation->rate_per_s, reservation->rate_per_s, parts);
+  struct bucket bucket = share_of (reservation->rate_per_s, reservation->rate_per_s, parts);
   struct ash_limit *limit = find_or_add (&limits->reserved, now, reservation->name, &bucket);
 
   return limit && take (limit, now, &bucket) == 0;
--- a/controllers/limits.h
+++ b/controllers/limits.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * Limits of accounts without shared state: each published entry of an
- * account's subset enforces its fixed part, so that all together, also on both
- * sides of a cut, stay within the whole.
+ * Rate limits of accounts without shared state: each published entry of an account's subset
+ * enforces a fixed share of the limit, so that all entries together stay within the limit, also
+ * during a network partition.
  */
 #ifndef ASH_LIMITS_H
 #define ASH_LIMITS_H
@@ -12,29 +12,29 @@
 
 #include <uthash.h>
 
-/** What is left here of one account's part, or of one reservation's, in millionths
- * of a request. */
+/** Token bucket with this entry's share of an account's limit, or of a reservation. */
 struct ash_limit
 {
   char name[ASH_NAME_BYTES];
-  int64_t tokens_micro;
-  struct ash_time refilled;
+  int64_t tokens_micro;     /**< available, in millionths of a request */
+  struct ash_time refilled; /**< when tokens_micro was last computed */
   UT_hash_handle hh;
 };
 
+/** All buckets of this entry. */
 struct ash_limits
 {
-  struct ash_limit *limits;   /**< only of accounts that have called here */
-  struct ash_limit *reserved; /**< of reservations that were used here */
+  struct ash_limit *limits;   /**< by account; only those that have sent requests here */
+  struct ash_limit *reserved; /**< by reservation; only those that were used here */
 };
 
 void ash_limits_init (struct ash_limits *limits);
 void ash_limits_finish (struct ash_limits *limits);
 
 /**
- * Takes one request off the account's part.
- * @param parts over how many entries the account is spread.
- * @return 0 if it may go on, else milliseconds until one is left again.
+ * Takes one request off the account's share.
+ * @param parts number of entries that share the limit.
+ * @return 0 if the request is allowed, else ms until one is.
  */
 uint32_t ash_limits_take (struct ash_limits *limits,
                           struct ash_time now,
@@ -42,8 +42,9 @@
                           uint32_t parts);
 
 /**
- * Takes one request off a reservation's part: a second's worth may come at once.
- * @return whether there was one.
+ * Takes one request off the share of a reservation, whose burst is one second's worth of its rate.
+ * @param parts number of entries that share the reservation.
+ * @return whether the reservation covers the request.
  */
 bool ash_limits_take_reserved (struct ash_limits *limits,
                                struct ash_time now,
--- a/controllers/membership.c
+++ b/controllers/membership.c
@@ -88,8 +88,8 @@
 {
   if (box->leaving_incarnation && box->leaving_incarnation == box->incarnation)
     return true;
-  /* The list lags: when a box comes back with a new life, its old entry in the
-   * list says nothing about that one. */
+  /* The platform's list lags: an entry from before a restart doesn't apply to the new incarnation.
+   */
   return box->listed_leaving && box->listed_incarnation == box->incarnation;
 }
 
@@ -105,10 +105,10 @@
   return ash_box_usable (box) && !box->suspect && !box->ejected_until.ms;
 }
 
-/* Fewer boxes than this say nothing. */
+/* With fewer declared boxes, the number of links is no evidence for isolation. */
 #define ISOLATED_BOXES_MIN 3
 
-/* All declared boxes are looked up for it, at the size to come some thousands. */
+/* Period of the isolation check, which looks up all declared boxes: up to some thousands. */
 #define ISOLATED_PERIOD_MS 500
 
 static uint32_t
@@ -173,7 +173,7 @@
 {
   if (!box || !incarnation || box->leaving_incarnation == incarnation)
     return false;
-  /* Hearsay of a life that is not the present one must not replace it. */
+  /* A peer's report about another incarnation must not affect the current one. */
   if (box->incarnation && box->incarnation != incarnation)
     return false;
   box->leaving_incarnation = incarnation;
--- a/controllers/membership.h
+++ b/controllers/membership.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * What this process knows of the other boxes: whether a link is up, to which
- * life, and whether the box is leaving. Evidence is a box's own word, a peer's
- * word, or the platform's lagging list; each counts on its own.
+ * State of the other boxes as known to this process: whether the link is up, to which incarnation,
+ * and whether the box is leaving. That a box is leaving is learned from itself, from peers, or from
+ * the platform's list, which lags; each source is sufficient.
  */
 #ifndef ASH_MEMBERSHIP_H
 #define ASH_MEMBERSHIP_H
@@ -14,45 +14,46 @@
 
 #include <uthash.h>
 
-/** A box as seen from here. */
+/** A box as known to this process. */
 struct ash_box
 {
   char name[ASH_NAME_BYTES];
-  int role;                      /**< enum Ash__Role */
-  bool linked;                   /**< a link to it is up */
-  uint64_t incarnation;          /**< the last known; 0: none yet */
-  struct ash_time learned;       /**< when this incarnation was learned */
-  struct ash_time heartbeat_at;  /**< the last heartbeat */
-  struct ash_time ejected_until; /**< stood still: others are taken until then */
-  bool suspect;                  /**< silent for too long; others are taken */
-  uint64_t leaving_incarnation;  /**< the life that is leaving; 0: none */
-  bool listed_leaving;           /**< by the platform's list, which names no life */
-  uint64_t listed_incarnation;   /**< the life known when the list said so */
-  uint64_t revision;             /**< configuration it has in force */
-  uint64_t offered;              /**< the last revision that it was sent from here */
-  uint32_t reported;             /**< in flight and queued, as it last said */
-  bool reads_platform;           /**< an entry whose last read of the platform went well */
-  uint32_t step_us;
-  uint32_t in_flight; /**< of this process at that box */
+  int role;                     /**< enum Ash__Role */
+  bool linked;                  /**< the link to it is up */
+  uint64_t incarnation;         /**< the last known; 0: none yet */
+  struct ash_time learned;      /**< when this incarnation was learned */
+  struct ash_time heartbeat_at; /**< when the last heartbeat was received */
+  struct ash_time
+      ejected_until; /**< it had stalled: other boxes are preferred until then; 0: not ejected */
+  bool suspect;      /**< silent for too long: other boxes are preferred */
+  uint64_t leaving_incarnation; /**< the incarnation that is leaving; 0: none */
+  bool listed_leaving; /**< leaving by the platform's list, which does not show the incarnation */
+  uint64_t listed_incarnation; /**< incarnation that was known when listed_leaving was set */
+  uint64_t revision;           /**< its active configuration */
+  uint64_t offered;            /**< last configuration revision sent to it by this process */
+  uint32_t reported;           /**< in flight and queued by its last heartbeat */
+  bool reads_platform;         /**< an entry whose last read of the platform succeeded */
+  uint32_t step_us;            /**< mean duration of a run, by its last heartbeat */
+  uint32_t in_flight;          /**< requests of this process at that box */
   UT_hash_handle hh;
 };
 
-/** All boxes known here. */
+/** All boxes known to this process. */
 struct ash_membership
 {
   struct ash_box *boxes;
-  bool isolated;                       /**< as ash_membership_isolated() had it last */
-  struct ash_time isolated_recheck_at; /**< when that is to be looked at again */
+  bool isolated;                       /**< last result of ash_membership_isolated() */
+  struct ash_time isolated_recheck_at; /**< when it is to be computed again */
 };
 
 void ash_membership_init (struct ash_membership *membership);
 void ash_membership_finish (struct ash_membership *membership);
 
-/** @return the box, or NULL if it was never heartbeat_at of. */
+/** @return the box, or NULL if it is not known. */
 struct ash_box *ash_membership_find (const struct ash_membership *membership, const char *name);
 
-/** A link to the box is up; it says which configuration it has. @return whether its incarnation is
- * new here. */
+/** Handles a new link to a box. @param revision the box's configuration. @return whether its
+ * incarnation is new to this process. */
 bool ash_membership_link_up (struct ash_membership *membership,
                              struct ash_time now,
                              const char *name,
@@ -60,43 +61,45 @@
                              uint64_t incarnation,
                              uint64_t revision);
 
-/** The link is down. What was known otherwise stays. */
+/** Handles the loss of a link. All other state of the box stays. */
 void ash_membership_link_down (struct ash_membership *membership, const char *name);
 
 /**
- * Takes in a heartbeat, hearsay about leaving boxes included.
- * @return how many boxes are newly known to be leaving.
+ * Handles a heartbeat, including its report of other boxes that are leaving.
+ * @return the number of boxes that have become known to be leaving.
  */
 uint32_t ash_membership_heartbeat (struct ash_membership *membership,
                                    const char *name,
                                    const struct Ash__Heartbeat *heartbeat);
 
-/** The platform's list names a box as leaving, or no longer does. @return whether that is new. */
+/** Sets whether the platform's list shows a box as leaving. @return whether that changed. */
 bool ash_membership_set_listed_leaving (struct ash_membership *membership,
                                         const char *name,
                                         bool leaving);
 
 /**
- * Whether this box sees so few of the declared ones that it is more likely cut off
- * itself than all of them gone.
+ * @return whether this box has links to so few of the declared boxes that it is more likely
+ * isolated itself than all of them down.
  */
 bool ash_membership_isolated (const struct ash_membership *membership,
                               const struct ash_document *document,
                               const char *self);
 
-/** @return whether a linked box is known to have a newer configuration. */
+/** @return whether a connected box has a newer configuration than @p revision. */
 bool ash_membership_knows_newer (const struct ash_membership *membership, uint64_t revision);
 
-/** @return whether the present life of the box is leaving. */
+/** @return whether the current incarnation of the box is leaving. */
 bool ash_box_leaving (const struct ash_box *box);
 
-/** @return whether the box may be sent new work: linked and not leaving. */
+/** @return whether the box may get new requests: connected and not leaving. */
 bool ash_box_usable (const struct ash_box *box);
 
-/** @return whether it is usable and there is no reason to take another. */
+/** @return whether the box is usable, not suspect and not ejected. */
 bool ash_box_preferred (const struct ash_box *box);
 
-/** Time goes on: who is suspect, or stands still, and whether this box is isolated. */
+/**
+ * Runs the timers: which boxes are suspect or no longer ejected, and whether this box is isolated.
+ */
 void ash_membership_tick (struct ash_membership *membership,
                           struct ash_time now,
                           const struct ash_document *document,
--- a/controllers/planned_stop.c
+++ b/controllers/planned_stop.c
@@ -1,11 +1,12 @@
 #include "controllers/planned_stop.h"
 
-/* Last answers go out so long before the grace is over, which is 1,000 ms at least: an agent waits
- * 300 ms for an entry that was just cut off to come for the end of its answer, and looks at the
- * time each 50 ms. */
+/* Final answers are sent this long before the grace period ends, which is at least 1,000 ms. An
+ * agent waits 300 ms for a disconnected entry to reconnect and fetch the end of its answer, and
+ * checks its timers every 50 ms. */
 #define MARGIN_MS 500
 
-/* After the time to keep an address: callers that had connected by then send their request. */
+/* Added to the lifetime of an address: callers that connected within the lifetime may send their
+ * request this much later. */
 #define CONNECTED_MS 500
 
 void
--- a/controllers/planned_stop.h
+++ b/controllers/planned_stop.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * The bound of a planned stop. Whoever ends a daemon kills it after a time of its own; what is
- * still in hand then is cut without a word. So a daemon ends earlier, and whatever it can't see
- * through by then gets a final answer first.
+ * Time limits of a graceful shutdown. The supervisor kills a daemon some time after asking it to
+ * stop, which breaks requests in flight without an answer. A daemon therefore stops earlier, and
+ * first sends a final answer to every request that it can't complete in time.
  */
 #ifndef ASH_PLANNED_STOP_H
 #define ASH_PLANNED_STOP_H
@@ -10,25 +10,25 @@
 #include "common/clock.h"
 #include "options/settings.h"
 
-/** Callers may hold an address for a moment longer than they were told. */
+/** Callers may use an address this much longer than its advertised lifetime. */
 #define ASH_STOP_LINGER_MS 200
 
-/** When what ends. Times that never come: no stop, or one without a bound. */
+/** Time limits of a shutdown. ASH_TIME_NEVER if there is no shutdown, or it has no time limit. */
 struct ash_planned_stop
 {
-  struct ash_time served_until; /**< callers that keep the address are served as ever until then */
-  struct ash_time answer_deadline; /**< what has no answer then gets a final one */
+  struct ash_time served_until;    /**< callers that still hold the address are served until then */
+  struct ash_time answer_deadline; /**< requests in flight get a final answer at that time */
 };
 
-/** No stop. */
+/** Initial value: no shutdown. */
 #define ASH_PLANNED_STOP_NONE ((struct ash_planned_stop){ ASH_TIME_NEVER, ASH_TIME_NEVER })
 
-/** A stop begins now; one that has begun already stays as it is. */
+/** Starts the shutdown. Has no effect if one with a time limit has begun already. */
 void ash_planned_stop_begin (struct ash_planned_stop *stop,
                              const struct ash_settings *settings,
                              struct ash_time now);
 
-/** @return the earlier of a deadline and the stop's last answers. */
+/** @return the earlier of @p deadline and the time of the final answers. */
 struct ash_time ash_planned_stop_cap (const struct ash_planned_stop *stop,
                                       struct ash_time deadline);
 
--- a/controllers/quarantine.c
+++ b/controllers/quarantine.c
@@ -15,8 +15,7 @@
 
 /* Exits that confirm a request if none of its runs had begun to answer; ASH_QUARANTINE_RUNS
  * otherwise. Uninvolved requests have mostly begun to answer when the process exits, and are
- * cleared by their next run. A third exit would stop a group of ranks for seconds more.
- */
+ * cleared by their next run. A third exit would stop a group of ranks for seconds more. */
 #define EXITS_WITHOUT_ANSWER 2
 
 /* How long before the evidence of an exit a connection may have broken because of that exit. A
--- a/controllers/readers.c
+++ b/controllers/readers.c
@@ -2,6 +2,7 @@
 
 #include <string.h>
 
+/* Sort key of an entry within its hall. */
 static uint64_t
 order_of (const struct ash_entry_box *entry)
 {
@@ -24,7 +25,7 @@
   const struct ash_entry_box *own = config->ready ? ash_document_entry (document, box) : NULL;
   uint32_t before = 0;
 
-  /* Without a configuration, or in none: whoever can tell it anything. */
+  /* An entry without a configuration, or not listed in it, must read to get one. */
   if (!own)
     return true;
   for (uint32_t i = 0; i < document->entry_count; i++)
--- a/controllers/readers.h
+++ b/controllers/readers.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * Which entries read the platform: in each hall the first few, in an order that all
- * agree on, so that a hall that is cut off still reads. The others learn from them.
- * Nobody is appointed: an entry reads as long as too few of those before it say
- * that they do, and that the platform answers them.
+ * Selects the entries that read the configuration from the platform: the first few of each hall in
+ * a fixed order, so that a partitioned hall still reads. The others receive the configuration from
+ * them. There is no election: an entry reads as long as too few of the entries before it report
+ * that they read successfully.
  */
 #ifndef ASH_READERS_H
 #define ASH_READERS_H
@@ -12,7 +12,8 @@
 #include "controllers/membership.h"
 
 /**
- * @param per_hall how many of a hall's entries read.
+ * @param box name of this entry.
+ * @param per_hall number of entries that are to read in each hall.
  * @return whether this entry is to read the platform now.
  */
 bool ash_readers_should_read (const struct ash_config *config,
@@ -20,7 +21,7 @@
                               const char *box,
                               uint32_t per_hall);
 
-/** @return whether some entry that is linked says that the platform answers it. */
+/** @return whether any connected entry reports that it reads the platform successfully. */
 bool ash_readers_any (const struct ash_membership *membership);
 
 #endif
--- a/controllers/resend_window.c
+++ b/controllers/resend_window.c
@@ -1,30 +1,32 @@
 #include "controllers/resend_window.h"
 
-/* An entry uses this part of what it might: clients count differently from here, and
- * an entry that was just replaced has forgotten what it spent. */
+/* Fraction of its share that a router uses. Clients count requests and resends at other times, and
+ * a router that was just restarted has lost its count. */
 #define USED_FRACTION 0.6
 
-/* One step is in part outside the window; so the newest steps cover it whole. */
+/* Buckets per window. There are two more than that, so that the kept buckets always cover the whole
+ * window, though the newest is only partly filled. */
 #define WINDOW_BUCKETS (ASH_RESEND_BUCKETS - 2)
 
+/* Moves the window to the current bucket and clears the buckets it skips. */
 static void
 advance (struct ash_resend_window *window,
          const struct ash_resend_bound *bound,
          struct ash_time now)
 {
-  int64_t step_ms = bound->window_ms / WINDOW_BUCKETS + 1;
-  int64_t step = now.ms / step_ms;
+  int64_t bucket_ms = bound->window_ms / WINDOW_BUCKETS + 1;
+  int64_t bucket = now.ms / bucket_ms;
 
-  if (step - window->step >= ASH_RESEND_BUCKETS)
+  if (bucket - window->bucket >= ASH_RESEND_BUCKETS)
     {
-      *window = (struct ash_resend_window){ .step = step };
+      *window = (struct ash_resend_window){ .bucket = bucket };
       return;
     }
-  while (window->step < step)
+  while (window->bucket < bucket)
     {
-      window->step++;
-      window->requests[window->step % ASH_RESEND_BUCKETS] = 0;
-      window->resends[window->step % ASH_RESEND_BUCKETS] = 0;
+      window->bucket++;
+      window->requests[window->bucket % ASH_RESEND_BUCKETS] = 0;
+      window->resends[window->bucket % ASH_RESEND_BUCKETS] = 0;
     }
 }
 
@@ -34,13 +36,13 @@
                            struct ash_time now)
 {
   advance (window, bound, now);
-  window->requests[window->step % ASH_RESEND_BUCKETS]++;
+  window->requests[window->bucket % ASH_RESEND_BUCKETS]++;
 }
 
 bool
 ash_resend_window_spend (struct ash_resend_window *window,
                          const struct ash_resend_bound *bound,
-                         uint32_t entries,
+                         uint32_t routers,
                          struct ash_time now)
 {
   uint32_t requests = 0;
@@ -53,9 +55,9 @@
       requests += window->requests[i];
       resends += window->resends[i];
     }
-  allowed = USED_FRACTION * (bound->ratio * requests + bound->slack / (entries ? entries : 1));
+  allowed = USED_FRACTION * (bound->ratio * requests + bound->slack / (routers ? routers : 1));
   if (resends + 1 > allowed)
     return false;
-  window->resends[window->step % ASH_RESEND_BUCKETS]++;
+  window->resends[window->bucket % ASH_RESEND_BUCKETS]++;
   return true;
 }
--- a/controllers/resend_window.h
+++ b/controllers/resend_window.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * How many requests of a service may be sent a second time. The bound holds for
- * the whole fleet in any window; each entry keeps to its own part of it, so that
- * the sum holds without a word between them.
+ * Limits how many requests of a service may be resent to another endpoint. The bound holds for the
+ * whole fleet in any window of time. Each router keeps to its own share of it, so that the total
+ * holds without coordination.
  */
 #ifndef ASH_RESEND_WINDOW_H
 #define ASH_RESEND_WINDOW_H
@@ -12,37 +12,38 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Steps that a window is counted in. */
+/** Number of buckets that counts are kept in. */
 #define ASH_RESEND_BUCKETS 12
 
-/** What the bound is made of. */
+/** The bound for the whole fleet: in any window, ratio * requests + slack. */
 struct ash_resend_bound
 {
   uint32_t window_ms;
-  double ratio; /**< of the requests in a window */
-  double slack; /**< more, for the whole fleet */
+  double ratio; /**< resends per request */
+  double slack; /**< resends allowed in addition, fleet-wide */
 };
 
-/** One service's count at this entry. */
+/** Counts of one service at this router, in a ring of time buckets. */
 struct ash_resend_window
 {
-  int64_t step; /**< number of the newest step */
+  int64_t bucket; /**< number of the newest bucket, counted from time 0 */
   uint32_t requests[ASH_RESEND_BUCKETS];
   uint32_t resends[ASH_RESEND_BUCKETS];
 };
 
-/** A request came in. */
+/** Counts a new request. */
 void ash_resend_window_request (struct ash_resend_window *window,
                                 const struct ash_resend_bound *bound,
                                 struct ash_time now);
 
 /**
- * @param entries that share the bound.
- * @return whether one more may be sent again; if so it is counted.
+ * Counts a resend if it is allowed.
+ * @param routers number of routers that share the bound.
+ * @return whether the resend is allowed.
  */
 bool ash_resend_window_spend (struct ash_resend_window *window,
                               const struct ash_resend_bound *bound,
-                              uint32_t entries,
+                              uint32_t routers,
                               struct ash_time now);
 
 #endif
--- a/controllers/route_table.c
+++ b/controllers/route_table.c
@@ -64,18 +64,19 @@
 
 /* ---- filling ---- */
 
-/* @return the items with room for one more; NULL without memory, they stay as they are then. */
+/* Grows an array if it is full. @return the array with room for one more item; NULL if memory is
+ * short, with the array unchanged. */
 static void *
-with_room (void *items, uint32_t count, uint32_t *room, size_t item_bytes)
+reserve_item (void *items, uint32_t count, uint32_t *capacity, size_t item_bytes)
 {
-  uint32_t more = 2 * *room + 16;
+  uint32_t new_capacity = 2 * *capacity + 16;
   void *grown;
 
-  if (count < *room)
+  if (count < *capacity)
     return items;
-  grown = realloc (items, more * item_bytes);
+  grown = realloc (items, new_capacity * item_bytes);
   if (grown)
-    *room = more;
+    *capacity = new_capacity;
   return grown;
 }
 
@@ -83,7 +84,7 @@
 ash_route_table_add_route (struct ash_route_table *table)
 {
   struct ash_route *routes =
-      with_room (table->routes, table->route_count, &table->route_room, sizeof *routes);
+      reserve_item (table->routes, table->route_count, &table->route_room, sizeof *routes);
   struct ash_route *route;
 
   if (!routes)
@@ -98,7 +99,7 @@
 ash_route_table_add_part (struct ash_route_table *table, struct ash_route_split part)
 {
   struct ash_route_split *parts =
-      with_room (table->parts, table->part_count, &table->part_room, sizeof *parts);
+      reserve_item (table->parts, table->part_count, &table->part_room, sizeof *parts);
 
   if (!parts)
     return false;
@@ -133,7 +134,7 @@
   return copy->host && copy->prefix;
 }
 
-/* ---- order and look-up ---- */
+/* ---- sorting and look-up ---- */
 
 static int
 by_host (const void *a, const void *b)
@@ -156,7 +157,8 @@
     qsort (table->keys, table->key_count, sizeof *table->keys, by_key);
 }
 
-/* The first route of a host that is not before @p host, whose length is given. */
+/* @return index of the first route whose host does not sort before @p host, compared by its first
+ * @p host_length bytes. */
 static uint32_t
 lower_bound (const struct ash_route_table *table, const char *host, size_t host_length)
 {
--- a/controllers/route_table.h
+++ b/controllers/route_table.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * A configuration of routes: which service a request goes to, how often it may
- * run, how long it may take, and whose it is. Filled once from what the platform
- * publishes, then only read; a newer version replaces it whole.
+ * The route table: maps a request to its service, its repeat policy, time limits and account. Built
+ * from the configuration that the platform publishes and read-only afterwards; a newer version
+ * replaces the whole table.
  */
 #ifndef ASH_ROUTE_TABLE_H
 #define ASH_ROUTE_TABLE_H
@@ -13,69 +13,69 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** How often a request may run. */
+/** Whether a request may be executed more than once. */
 enum ash_repeat
 {
-  ASH_REPEAT_SAFE, /**< any number of times */
+  ASH_REPEAT_SAFE, /**< idempotent: may be repeated */
   ASH_REPEAT_ONCE, /**< at most once */
 };
 
-/** What an engine's steps cost, as its service publishes it. */
+/** Performance data of an inference engine, as published with its service. */
 struct ash_engine_facts
 {
-  uint32_t slots;
-  uint64_t kv_tokens; /**< memory for context */
-  uint32_t stride;    /**< steps of a pass */
-  double step_ms;
-  double sequence_ms;     /**< more a step for each request that writes */
-  double context_ms_1k;   /**< more a step for 1,000 tokens of context */
-  double read_tokens_s;   /**< prompt tokens read a second */
-  uint32_t report_lag_ms; /**< how old a report from afar is */
+  uint32_t slots;         /**< requests processed concurrently */
+  uint64_t kv_tokens;     /**< KV cache size in tokens */
+  uint32_t stride;        /**< decode steps per engine pass */
+  double step_ms;         /**< base duration of a decode step */
+  double sequence_ms;     /**< added to a step per decoding request */
+  double context_ms_1k;   /**< added to a step per 1,000 tokens of context */
+  double read_tokens_s;   /**< prefill rate in prompt tokens per second */
+  uint32_t report_lag_ms; /**< age of reports from remote engines */
   uint32_t usual_prompt_tokens;
   uint32_t usual_answer_tokens;
-  uint32_t layers;       /**< sets of layers with experts of their own; 0: no experts */
-  uint32_t experts;      /**< of a layer */
-  uint32_t rank_slots;   /**< experts that a rank can hold, a layer */
-  uint32_t rank_changes; /**< new experts that a rank can prepare, a layer */
-  double expert_share;   /**< of a token's work that its experts do */
-  double expert_mb;      /**< megabytes of one expert of a layer */
-  double link_mbps;      /**< megabits a second at which a rank copies */
+  uint32_t layers;       /**< groups of layers, each with its own experts; 0: no experts */
+  uint32_t experts;      /**< experts per group of layers */
+  uint32_t rank_slots;   /**< experts per group of layers that a rank can hold */
+  uint32_t rank_changes; /**< experts per group of layers that a rank can load for the next map */
+  double expert_share;   /**< fraction of the work per token that experts do */
+  double expert_mb;      /**< size of one expert of a layer in MB */
+  double link_mbps;      /**< rate at which a rank copies experts, in Mbit/s */
 };
 
-/** What requests are routed to. */
+/** A service that requests are routed to. */
 struct ash_route_service
 {
   char *name;
   char *health_path;
-  uint32_t conn_max; /**< connections that a server accepts from all */
+  uint32_t conn_max; /**< connections that a server accepts in total */
   bool has_engine;
   struct ash_engine_facts engine;
 };
 
-/** A part of a route's requests. */
+/** A weighted share of a route's requests that goes to one service. */
 struct ash_route_split
 {
-  uint32_t service; /**< index */
+  uint32_t service; /**< index into services */
   uint32_t weight;
 };
 
-/** Requests of one host and path prefix. */
+/** A route: requests with one host and path prefix. */
 struct ash_route
 {
-  uint64_t digest; /**< of the text that it was read from, to know that again; 0: not known */
+  uint64_t digest; /**< of the source text, to recognize an unchanged route; 0: not known */
   char *name;
   char *host;
   char *prefix;
   enum ash_repeat repeat;
-  bool stream;    /**< answered by a stream of events */
-  bool resumable; /**< a broken stream may go on at another server */
-  bool anonymous; /**< needs no key */
+  bool stream;    /**< answered with an event stream */
+  bool resumable; /**< a broken stream may be continued on another server */
+  bool anonymous; /**< no account key required */
   uint32_t timeout_ms;
-  uint32_t aim_ms;       /**< to the answer, or a stream's first event */
-  uint32_t pause_aim_ms; /**< between events of a stream */
+  uint32_t aim_ms;       /**< target time until the answer, or the first event of a stream */
+  uint32_t pause_aim_ms; /**< target time between events of a stream */
   uint32_t priority;     /**< 0 is the highest */
-  uint32_t servers_max;  /**< that one request may be sent to */
-  uint32_t part_first;   /**< index into parts */
+  uint32_t servers_max;  /**< maximum number of servers tried per request */
+  uint32_t part_first;   /**< index of its first share in parts */
   uint32_t part_count;
 };
 
@@ -84,17 +84,17 @@
 {
   char *name;
   bool has_priority;
-  uint32_t priority; /**< goes before the route's */
+  uint32_t priority; /**< overrides the route's if has_priority */
 };
 
-/** A key of an account. */
+/** An API key of an account. */
 struct ash_route_key
 {
   char *key;
-  uint32_t account; /**< index */
+  uint32_t account; /**< index into accounts */
 };
 
-/** What a client may send. */
+/** Limits for requests of clients. */
 struct ash_route_limits
 {
   uint32_t head_max_bytes;
@@ -103,16 +103,16 @@
   uint32_t idle_timeout_ms;
 };
 
-/** One configuration. */
+/** A version of the route table. */
 struct ash_route_table
 {
   uint64_t version;
   struct ash_route *routes;
   uint32_t route_count;
-  uint32_t route_room;
+  uint32_t route_room; /**< allocated items */
   struct ash_route_split *parts;
   uint32_t part_count;
-  uint32_t part_room;
+  uint32_t part_room; /**< allocated items */
   struct ash_route_service *services;
   uint32_t service_count;
   struct ash_route_account *accounts;
@@ -120,7 +120,7 @@
   struct ash_route_key *keys;
   uint32_t key_count;
   struct ash_route_limits limits;
-  uint32_t references; /**< requests under way that go by it, and the one in force */
+  uint32_t references; /**< held by requests in flight, and by the router for the active table */
 };
 
 void ash_route_table_init (struct ash_route_table *table);
@@ -131,42 +131,46 @@
 
 struct ash_route_table *ash_route_table_ref (struct ash_route_table *table);
 
-/** Gives a reference up; the last one frees the table. NULL is allowed. */
+/** Drops a reference; the last one frees the table. NULL is allowed. */
 void ash_route_table_unref (struct ash_route_table *table);
 
-/** @return a new route, all zero, or NULL if memory is short. */
+/** @return a new, zeroed route owned by the table, or NULL if memory is short. The pointer is valid
+ * until the next route is added. */
 struct ash_route *ash_route_table_add_route (struct ash_route_table *table);
 
-/** @return false if memory is short. */
+/** Appends a share to parts; the caller sets the route's part_first and part_count. @return false
+ * if memory is short. */
 bool ash_route_table_add_part (struct ash_route_table *table, struct ash_route_split part);
 
 /**
- * Adds a route of another table, whose services are the same.
+ * Adds a copy of a route of another table that has the same services in the same order.
  * @return false if memory is short.
  */
 bool ash_route_table_add_copy (struct ash_route_table *table,
                                const struct ash_route_table *other,
                                const struct ash_route *route);
 
-/** Puts routes and keys in the order that look-ups need; once, after filling. */
+/** Sorts routes and keys for look-ups. Must be called once after the table is filled. */
 void ash_route_table_sort (struct ash_route_table *table);
 
 /**
- * @param host as the request names it, with or without a port.
+ * Finds the route of a request.
+ * @param host value of the Host header, with or without a port.
  * @param target path and query.
- * @return the route with the longest prefix, or NULL.
+ * @return the matching route with the longest prefix, or NULL.
  */
 const struct ash_route *
 ash_route_table_find (const struct ash_route_table *table, const char *host, const char *target);
 
-/** @return the account that holds the key, or NULL. */
+/** @return the account that an API key belongs to, or NULL. */
 const struct ash_route_account *ash_route_table_account (const struct ash_route_table *table,
                                                          const char *key);
 
 /** @return the index of a service by name, or UINT32_MAX. */
 uint32_t ash_route_table_service (const struct ash_route_table *table, const char *name);
 
-/** Takes one part of a route by weight. @param draw any number. @return a service's index. */
+/** Picks a service of a route at random by weight. @param draw a random number. @return the
+ * service's index; UINT32_MAX if all weights are 0. */
 uint32_t ash_route_table_pick_service (const struct ash_route_table *table,
                                        const struct ash_route *route,
                                        uint64_t draw);
