--- a/controllers/config_delta.c
+++ b/controllers/config_delta.c
@@ -18,7 +18,7 @@
   uint32_t count;
 };
 
-/* Hash table with linear probing from the bytes of a line to its first occurrence in the old text.
+/* Hash table with linear probing: maps the bytes of a line to its first occurrence in the old text.
  */
 struct index
 {
@@ -160,7 +160,7 @@
 }
 
 static bool
-copy_text (struct Ash__ConfigPiece *piece, const char *bytes, size_t length)
+set_piece_text (struct Ash__ConfigPiece *piece, const char *bytes, size_t length)
 {
   if (!length)
     return true;
@@ -207,8 +207,8 @@
           i = next;
           break;
         }
-      if (!copy_text (piece, new->text + new->starts[literal],
-                      new->starts[j] - new->starts[literal]))
+      if (!set_piece_text (piece, new->text + new->starts[literal],
+                           new->starts[j] - new->starts[literal]))
         return false;
     }
   return true;
--- a/controllers/direct.c
+++ b/controllers/direct.c
@@ -69,7 +69,7 @@
 }
 
 static void
-free_endpoint (struct ash_direct_set *set, struct ash_direct_endpoint *endpoint)
+drop (struct ash_direct_set *set, struct ash_direct_endpoint *endpoint)
 {
   if (set->before_free)
     set->before_free (set->data, endpoint);
@@ -85,7 +85,7 @@
   struct ash_direct_endpoint *next;
 
   HASH_ITER (hh, set->endpoints, endpoint, next)
-    free_endpoint (set, endpoint);
+    drop (set, endpoint);
 }
 
 struct ash_direct_endpoint *
@@ -225,7 +225,7 @@
       if (endpoint->presence == ASH_DIRECT_LAPSED && ash_time_before (endpoint->lapsed_until, now))
         endpoint->presence = ASH_DIRECT_REMOVED;
       if (endpoint->presence == ASH_DIRECT_REMOVED && !endpoint->in_flight)
-        free_endpoint (set, endpoint);
+        drop (set, endpoint);
     }
 }
 
@@ -367,7 +367,7 @@
 }
 
 static bool
-is_excluded (const struct ash_direct_criteria *criteria, uint64_t hash)
+was_tried (const struct ash_direct_criteria *criteria, uint64_t hash)
 {
   for (uint32_t i = 0; i < criteria->tried_count; i++)
     if (criteria->tried[i] == hash)
@@ -437,7 +437,7 @@
 is_eligible (const struct ash_direct_endpoint *endpoint, const struct ash_direct_criteria *criteria)
 {
   return ash_direct_usable (endpoint) && strcmp (endpoint->facts.service, criteria->service) == 0 &&
-         !is_excluded (criteria, endpoint->hash);
+         !was_tried (criteria, endpoint->hash);
 }
 
 /* Where the load of remote endpoints is known late, a part of their cap is reserved for requests
@@ -457,7 +457,7 @@
 /* @return ms until the endpoint's back-off and rate limit allow a request; below 0 if this router
  * has no share of the rate. */
 static int64_t
-wait_ms (const struct ash_direct_endpoint *endpoint, struct ash_time now)
+throttle_ms (const struct ash_direct_endpoint *endpoint, struct ash_time now)
 {
   int64_t backoff_ms = ash_direct_backoff_ms (endpoint, now);
   int64_t rate_ms = ash_rate_limit_wait_ms (&endpoint->limit, now);
@@ -508,7 +508,7 @@
       if (!has_room (endpoint, criteria, now))
         continue;
       fallback = ASH_DIRECT_THROTTLED;
-      if (wait_ms (endpoint, now))
+      if (throttle_ms (endpoint, now))
         continue;
       rank = rank_of (endpoint, criteria, now);
       order = *chosen ? compare_rank (rank, best) : -1;
@@ -548,7 +548,7 @@
        endpoint = endpoint->hh.next)
     if (is_eligible (endpoint, criteria) && has_room (endpoint, criteria, now))
       {
-        int64_t ms = wait_ms (endpoint, now);
+        int64_t ms = throttle_ms (endpoint, now);
 
         if (ms >= 0 && (least_ms < 0 || ms < least_ms))
           least_ms = ms;
--- a/controllers/direct.h
+++ b/controllers/direct.h
@@ -53,9 +53,9 @@
   enum ash_direct_presence presence;
   struct ash_time lapsed_until;
   uint32_t in_flight;                      /**< requests from this router */
-  uint32_t reported[ASH_DIRECT_AUDIENCES]; /**< in_flight as last sent to each audience */
+  uint32_t reported[ASH_DIRECT_AUDIENCES]; /**< value of in_flight last sent to each audience */
   uint32_t elsewhere;            /**< requests from other routers, as they last reported */
-  uint32_t failures;             /**< consecutive */
+  uint32_t failures;             /**< consecutive failed requests */
   uint32_t rejections;           /**< requests rejected for lack of capacity, minus answered ones */
   struct ash_time ejected_until; /**< other endpoints are preferred until then */
   double pause_ms;            /**< moving average of the time between stream events; 0: not known */
@@ -76,7 +76,7 @@
   struct ash_direct_endpoint *endpoints; /**< by id */
   struct ash_direct_endpoint *by_hash;   /**< the same endpoints, by hash */
   struct ash_random random;
-  uint64_t revision; /**< of the list */
+  uint64_t revision; /**< of the endpoint list */
   /** Called before an endpoint is freed, so that its connections can be closed. May be NULL. */
   void (*before_free) (void *data, struct ash_direct_endpoint *endpoint);
   /** Called when an endpoint has restarted, maybe at another address. May be NULL. */
--- a/controllers/ledger.h
+++ b/controllers/ledger.h
@@ -66,7 +66,7 @@
   struct ash_watcher *watchers;
   struct Ash__Submit *submit; /**< owned, while queued; freed when the run starts */
   struct ash_answer answer;
-  struct ash_record *prev; /**< in one of the ledger's lists */
+  struct ash_record *prev; /**< links in one of the ledger's lists */
   struct ash_record *next;
   UT_hash_handle hh;
 };
@@ -74,7 +74,7 @@
 /** The ledger: all records by id, and in one list per state. */
 struct ash_ledger
 {
-  struct ash_record *records; /**< by id */
+  struct ash_record *records; /**< hash table by id */
   struct ash_record *queued;  /**< by priority, then deadline */
   struct ash_record *running;
   struct ash_record *ended;       /**< finished or refused, without a key, ordered by expiry */
--- a/controllers/limits.c
+++ b/controllers/limits.c
@@ -42,7 +42,7 @@
 };
 
 static struct bucket
-share_of (uint32_t rate_per_s, uint32_t burst, uint32_t parts)
+make_share (uint32_t rate_per_s, uint32_t burst, uint32_t parts)
 {
   struct bucket bucket = {
     .rate_micro_per_ms = (int64_t) rate_per_s * MICRO_PER_MILLI / parts,
@@ -99,7 +99,7 @@
                  const struct ash_account *account,
                  uint32_t parts)
 {
-  struct bucket bucket = share_of (account->rate_per_s, account->burst, parts);
+  struct bucket bucket = make_share (account->rate_per_s, account->burst, parts);
   struct ash_limit *limit = find_or_add (&limits->limits, now, account->name, &bucket);
 
   return limit ? take (limit, now, &bucket) : MICRO_PER_MILLI;
@@ -111,7 +111,7 @@
                           const struct ash_reservation *reservation,
                           uint32_t parts)
 {
-  struct bucket bucket = share_of (reservation->rate_per_s, reservation->rate_per_s, parts);
+  struct bucket bucket = make_share (reservation->rate_per_s, reservation->rate_per_s, parts);
   struct ash_limit *limit = find_or_add (&limits->reserved, now, reservation->name, &bucket);
 
   return limit && take (limit, now, &bucket) == 0;
--- a/controllers/membership.h
+++ b/controllers/membership.h
@@ -20,7 +20,7 @@
   char name[ASH_NAME_BYTES];
   int role;                     /**< enum Ash__Role */
   bool linked;                  /**< the link to it is up */
-  uint64_t incarnation;         /**< the last known; 0: none yet */
+  uint64_t incarnation;         /**< last known incarnation; 0: none yet */
   struct ash_time learned;      /**< when this incarnation was learned */
   struct ash_time heartbeat_at; /**< when the last heartbeat was received */
   struct ash_time
@@ -43,7 +43,7 @@
 {
   struct ash_box *boxes;
   bool isolated;                       /**< last result of ash_membership_isolated() */
-  struct ash_time isolated_recheck_at; /**< when it is to be computed again */
+  struct ash_time isolated_recheck_at; /**< when isolated is to be computed again */
 };
 
 void ash_membership_init (struct ash_membership *membership);
--- a/controllers/peer_version.h
+++ b/controllers/peer_version.h
@@ -15,7 +15,7 @@
 /** State for one versioned object. Zeroed memory is a valid start. */
 struct ash_peer_version
 {
-  uint64_t newest;       /**< newest version reported by a peer whose content may be missing here */
+  uint64_t newest;       /**< newest reported version that may have content missing here */
   uint64_t same;         /**< newest version known to have the same content as the own one */
   uint64_t own;          /**< own version at the last call */
   struct ash_time since; /**< since when the own version has not advanced */
--- a/controllers/quarantine.c
+++ b/controllers/quarantine.c
@@ -39,7 +39,7 @@
 }
 
 static void
-remove_suspect (struct ash_quarantine *quarantine, struct ash_quarantine_suspect *suspect)
+drop (struct ash_quarantine *quarantine, struct ash_quarantine_suspect *suspect)
 {
   HASH_DEL (quarantine->suspects, suspect);
   free (suspect);
@@ -52,7 +52,7 @@
   struct ash_quarantine_suspect *next;
 
   HASH_ITER (hh, quarantine->suspects, suspect, next)
-    remove_suspect (quarantine, suspect);
+    drop (quarantine, suspect);
 }
 
 static const struct ash_quarantine_run *
@@ -82,7 +82,7 @@
     return;
   while (suspect && is_confirmed (suspect))
     suspect = suspect->hh.next;
-  remove_suspect (quarantine, suspect ? suspect : quarantine->suspects);
+  drop (quarantine, suspect ? suspect : quarantine->suspects);
 }
 
 void
@@ -175,7 +175,7 @@
   struct ash_quarantine_suspect *suspect = find (quarantine, request);
 
   if (suspect)
-    remove_suspect (quarantine, suspect);
+    drop (quarantine, suspect);
   return suspect != NULL;
 }
 
@@ -190,6 +190,6 @@
       /* The list is sorted by age of evidence: all further suspects are newer. */
       if (ash_time_diff (newest_of (suspect)->ended, now) < FORGET_MS)
         break;
-      remove_suspect (quarantine, suspect);
+      drop (quarantine, suspect);
     }
 }
--- a/controllers/quarantine.h
+++ b/controllers/quarantine.h
@@ -57,8 +57,8 @@
 {
   struct ash_quarantine_suspect *suspects; /**< ordered by evidence, newest last */
   struct ash_quarantine_run disconnects[ASH_QUARANTINE_DISCONNECTS];
-  uint32_t disconnect_count; /**< total since the start; the newest is at (disconnect_count - 1) %
-                                ASH_QUARANTINE_DISCONNECTS */
+  uint32_t disconnect_count; /**< number of disconnects since the start; the newest is at
+                                (disconnect_count - 1) % ASH_QUARANTINE_DISCONNECTS */
 };
 
 void ash_quarantine_finish (struct ash_quarantine *quarantine);
--- a/controllers/resend_window.c
+++ b/controllers/resend_window.c
@@ -10,9 +10,9 @@
 
 /* Moves the window to the current bucket and clears the buckets it skips. */
 static void
-advance (struct ash_resend_window *window,
-         const struct ash_resend_bound *bound,
-         struct ash_time now)
+advance_window (struct ash_resend_window *window,
+                const struct ash_resend_bound *bound,
+                struct ash_time now)
 {
   int64_t bucket_ms = bound->window_ms / WINDOW_BUCKETS + 1;
   int64_t bucket = now.ms / bucket_ms;
@@ -35,7 +35,7 @@
                            const struct ash_resend_bound *bound,
                            struct ash_time now)
 {
-  advance (window, bound, now);
+  advance_window (window, bound, now);
   window->requests[window->bucket % ASH_RESEND_BUCKETS]++;
 }
 
@@ -49,7 +49,7 @@
   uint32_t resends = 0;
   double allowed;
 
-  advance (window, bound, now);
+  advance_window (window, bound, now);
   for (uint32_t i = 0; i < ASH_RESEND_BUCKETS; i++)
     {
       requests += window->requests[i];
--- a/controllers/route_table.h
+++ b/controllers/route_table.h
@@ -17,7 +17,7 @@
 enum ash_repeat
 {
   ASH_REPEAT_SAFE, /**< idempotent: may be repeated */
-  ASH_REPEAT_ONCE, /**< at most once */
+  ASH_REPEAT_ONCE, /**< must not be executed more than once */
 };
 
 /** Performance data of an inference engine, as published with its service. */
@@ -109,10 +109,10 @@
   uint64_t version;
   struct ash_route *routes;
   uint32_t route_count;
-  uint32_t route_room; /**< allocated items */
+  uint32_t route_room; /**< allocated size of routes, in items */
   struct ash_route_split *parts;
   uint32_t part_count;
-  uint32_t part_room; /**< allocated items */
+  uint32_t part_room; /**< allocated size of parts, in items */
   struct ash_route_service *services;
   uint32_t service_count;
   struct ash_route_account *accounts;
--- a/controllers/tombstones.h
+++ b/controllers/tombstones.h
@@ -23,14 +23,14 @@
   int64_t born_ms; /**< start time of the incarnation that left, by its wall clock; 0: not known */
   uint64_t era;    /**< era of the store that reported it */
   struct ash_time relisted; /**< since when a later era lists it again; 0: not listed again */
-  bool draining;            /**< announced by the endpoint; final for its incarnation */
+  bool draining;            /**< shutdown announced by the endpoint; final for its incarnation */
 };
 
 /** All tombstones. Zeroed memory is an empty set. */
 struct ash_tombstones
 {
   struct ash_tombstone items[ASH_TOMBSTONES_MAX];
-  uint32_t next; /**< total added; the next one goes to next % ASH_TOMBSTONES_MAX */
+  uint32_t next; /**< number of tombstones added; the next one goes to next % ASH_TOMBSTONES_MAX */
 };
 
 /** Adds a tombstone, or updates that of the same endpoint. */
