--- a/controllers/membership.c
+++ b/controllers/membership.c
@@ -88,8 +88,7 @@
 {
   if (box->leaving_incarnation && box->leaving_incarnation == box->incarnation)
     return true;
-  /* The platform's list lags: an entry from before a restart doesn't apply to the new incarnation.
-   */
+  /* The platform's list lags: an entry from before a restart isn't about the new incarnation. */
   return box->listed_leaving && box->listed_incarnation == box->incarnation;
 }
 
