--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -321,7 +321,7 @@
 {
   struct ash_direct_set set;
   struct ash_resend_window window;
-  struct ash_forward_world world;
+  struct ash_forward_context world;
   struct ash_forward forward;
 };
 
@@ -332,7 +332,7 @@
   ash_direct_init (&test->set, 1);
   list (&test->set, "a", false);
   list (&test->set, "b", false);
-  test->world = (struct ash_forward_world){
+  test->world = (struct ash_forward_context){
     .endpoints = &test->set,
     .window = &test->window,
     .bound = { 10000, 0.2, 20 },
@@ -344,19 +344,19 @@
     .servers_max = 2,
     .service = "s",
     .cap = 4,
-    .came = at (1000),
+    .arrived = at (1000),
     .deadline = at (5000),
   };
 }
 
-static struct ash_forward_verdict
+static struct ash_forward_decision
 next (struct forward_test *test, int64_t ms)
 {
   return ash_forward_next (&test->forward, &test->world, at (ms));
 }
 
 static void
-expect_answer (struct ash_forward_verdict verdict, uint16_t status, enum ash_forward_reason reason)
+expect_answer (struct ash_forward_decision verdict, uint16_t status, enum ash_forward_reason reason)
 {
   CU_ASSERT_EQUAL (verdict.action, ASH_FORWARD_ANSWER);
   CU_ASSERT_EQUAL (verdict.answer.status, status);
@@ -369,7 +369,7 @@
 test_forward_once (void)
 {
   struct forward_test test;
-  struct ash_forward_verdict verdict;
+  struct ash_forward_decision verdict;
 
   begin_forward (&test, ASH_REPEAT_ONCE);
   verdict = next (&test, 1000);
@@ -386,7 +386,7 @@
   ash_forward_sent (&test.forward, verdict.endpoint);
   ash_forward_not_run (&test.forward, true);
   /* Two endpoints were asked, both vouch: it did not run. */
-  expect_answer (next (&test, 1300), 503, ASH_FORWARD_TURNED_AWAY);
+  expect_answer (next (&test, 1300), 503, ASH_FORWARD_REJECTED);
   ash_direct_finish (&test.set);
 }
 
@@ -409,7 +409,7 @@
 test_forward_room (void)
 {
   struct forward_test test;
-  struct ash_forward_verdict verdict;
+  struct ash_forward_decision verdict;
 
   begin_forward (&test, ASH_REPEAT_ONCE);
   ash_direct_find (&test.set, "a")->in_flight = 4;
@@ -445,7 +445,7 @@
   test.forward.deadline = at (9000);
   for (int i = 0; i < 200; i++)
     {
-      struct ash_forward_verdict verdict = next (&test, 1000);
+      struct ash_forward_decision verdict = next (&test, 1000);
 
       expect_answer (verdict, 503, ASH_FORWARD_NO_ROOM);
       if (verdict.answer.retry_after_ms < least_ms)
