--- a/filters/account.c
+++ b/filters/account.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Filter: whose call it is, by the hash of its bearer key.
+ * Filter: finds the account of a call by the hash of its bearer key.
  */
 #include "filters/filter.h"
 
--- a/filters/answer.c
+++ b/filters/answer.c
@@ -14,8 +14,8 @@
                          uint64_t incarnation,
                          struct ash_id id)
 {
-  /* The attempt's number alone would do, were it not for an agent that still
-   * sends to an earlier life of this entry, which counted from 1 as well. */
+  /* Attempt numbers start at 1 in each incarnation of an entry, and an agent may still send answers
+   * for attempts of an earlier one. So box, incarnation and request id have to match, too. */
   return request &&
          (request->state == ASH_REQUEST_SENT || request->state == ASH_REQUEST_DISCONNECTED) &&
          request->incarnation == incarnation && ash_id_equal (request->id, id) &&
@@ -35,13 +35,13 @@
   if (!request || request->state == ASH_REQUEST_DISOWNING || strcmp (request->box, peer) != 0 ||
       !ash_id_equal (request->id, id))
     return;
-  /* Another life than the one addressed can't know. */
+  /* Another incarnation doesn't know whether the addressed one ran the request. */
   if (request->incarnation != refused->incarnation)
     outcome = ASH__OUTCOME__UNKNOWN;
   if (request->received)
     outcome = ASH__OUTCOME__RAN;
-  /* With a key, what this endpoint knows is the whole truth only if no other
-   * may run it. */
+  /* This endpoint's "not run" covers the whole request only if no other endpoint may run it.
+   * Otherwise earlier attempts and submissions count, too. */
   else if (outcome == ASH__OUTCOME__NOT_RUN && !request->home_only)
     outcome = ash_request_unsent_outcome (request);
   ash_request_retry_or_fail (entry, now, request, (int) refused->reason, outcome,
@@ -76,7 +76,8 @@
   ash_emit (&entry->sink, "", ASH__EVENT__KIND_REPLY, &reply);
 }
 
-/* Keeps bytes of an answer that is not streamed. @return false: too large. */
+/* Appends to the buffered body of an answer that is not streamed.
+ * @return false if it exceeds answer_max_bytes or memory runs out. */
 static bool
 append_body (struct ash_entry *entry,
              struct ash_request *request,
@@ -118,7 +119,7 @@
     return;
   if (data->offset > request->received)
     {
-      /* A hole: ask again from where it begins; this piece comes again. */
+      /* A part is missing: request the answer again from there, this part included. */
       ash_attempt_resume (entry, now, request);
       return;
     }
@@ -179,8 +180,8 @@
     return;
   if (!end->whole)
     {
-      /* With a head it ran, at least in part. Without one the engine may never
-       * have begun; only what may be repeated goes elsewhere then, too. */
+      /* If a head arrived, the request ran at least partly. Otherwise it is not known whether the
+       * engine began, so only a request that may be repeated is retried. */
       ash_request_retry_or_fail (entry, now, request, (int) end->reason,
                                  request->status || end->reason == ASH__REASON__ANSWER_GONE
                                      ? ASH__OUTCOME__RAN
@@ -224,7 +225,7 @@
                         ash_request_unsent_outcome (request), 0);
       return;
     }
-  /* An attempt that the earlier home has refused must not run at the new one. */
+  /* A submission that the earlier home has refused must not run at the new home. */
   if (disowned->refused_upto &&
       (!request->caller_attempt || request->caller_attempt <= disowned->refused_upto))
     {
--- a/filters/answer.h
+++ b/filters/answer.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * What endpoints send back, and how it gets to the caller: whole, and its own. Part
+ * Handlers for messages that endpoints send about a request. They pass each answer on to its
+ * caller in order and complete, and ignore messages of attempts that are no longer current. Part
  * of the entry's core.
  */
 #ifndef ASH_ANSWER_H
@@ -8,28 +9,29 @@
 
 #include "filters/entry.h"
 
-/** An endpoint refused it. */
+/** An endpoint refused a request: retries it elsewhere or sends the refusal to the caller. */
 void ash_answer_refused (struct ash_entry *entry,
                          struct ash_time now,
                          const char *peer,
                          const struct Ash__Refused *refused);
 
-/** The answer begins. */
+/** The head of an answer arrived: a stream's head is passed on, any other is kept. */
 void ash_answer_head (struct ash_entry *entry, const char *peer, const struct Ash__Head *head);
 
-/** A piece of the answer, passed on in order and without holes. */
+/** A part of an answer's body arrived. Duplicates are dropped; a gap makes the entry request the
+ * missing part again. */
 void ash_answer_data (struct ash_entry *entry,
                       struct ash_time now,
                       const char *peer,
                       const struct Ash__Data *data);
 
-/** The answer ends. */
+/** An answer ended, complete or broken off. */
 void ash_answer_end (struct ash_entry *entry,
                      struct ash_time now,
                      const char *peer,
                      const struct Ash__End *end);
 
-/** An earlier home of its key answers whether it has the request. */
+/** An earlier home of the request's key reports whether it has the request. */
 void ash_answer_disowned (struct ash_entry *entry,
                           struct ash_time now,
                           const char *peer,
--- a/filters/attempt.c
+++ b/filters/attempt.c
@@ -11,7 +11,6 @@
   return request;
 }
 
-/* From now on frames of the present attempt are not for this request. */
 void
 ash_attempt_unbind (struct ash_entry *entry, struct ash_request *request)
 {
@@ -66,7 +65,7 @@
   int64_t left_ms = ash_time_diff (now, ash_planned_stop_cap (&entry->stop, request->deadline));
   char id[ASH_ID_TEXT_BYTES];
 
-  /* The end of the request is told with the next tick. */
+  /* The deadline may have passed already; the next tick then ends the request. */
   if (left_ms < 0)
     left_ms = 0;
   if (request->tries < ASH_REQUEST_TRIES_MAX)
--- a/filters/chain.c
+++ b/filters/chain.c
@@ -2,8 +2,8 @@
 
 #include <stdlib.h>
 
-/* Cheap checks first; the limit before anything that costs an endpoint; the
- * key's home before the route, which only chooses where there is no home. */
+/* Cheap checks run first. The limit runs before filters that select an endpoint. The key filter
+ * runs before the route filter, which selects an endpoint only for requests without a home. */
 static const struct ash_filter_info *const filters[ASH_CHAIN_FILTERS] = {
   &ash_filter_account, &ash_filter_service, &ash_filter_deadline,
   &ash_filter_limit,   &ash_filter_key,     &ash_filter_route,
--- a/filters/deadline.c
+++ b/filters/deadline.c
@@ -1,16 +1,17 @@
 /**
  * @file
- * Filter: until when an answer is of use, and whether this entry may be there for it.
+ * Filter: sets the request's deadline, and refuses requests that a planned stop would cut short.
  */
 #include "filters/filter.h"
 
-/* Less time than this is of no use at an endpoint. */
+/* With less time left an endpoint can't serve a request. */
 #define MIN_RUN_MS 200
 
-/* Whether a planned stop may be over before the request is. Callers that keep the address are
- * served as ever at first: most requests take far less than their deadline, and an endpoint
- * refuses what it does not expect to end in the time left. Whoever comes later has had time
- * to go elsewhere, and nothing is taken that need not end in time. */
+/* Whether a planned stop may end before the request does. Until stop->served_until, callers that
+ * still have this entry's address are served normally: most requests take far less time than their
+ * deadline allows, and an endpoint refuses a request that it can't finish in the time left. After
+ * that, callers have had time to switch to another entry, and a request is accepted only if its
+ * deadline lies before the end of the stop. */
 static bool
 may_outlast (const struct ash_planned_stop *stop, struct ash_time now, struct ash_time deadline)
 {
--- a/filters/entry.c
+++ b/filters/entry.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* ---- life of an entry ---- */
+/* ---- setup ---- */
 
 bool
 ash_entry_init (struct ash_entry *entry,
@@ -113,7 +113,7 @@
   return submit;
 }
 
-/* Every call gets a final answer, also one that there is no room for. */
+/* Every call gets a final answer, even if there is no memory for its request. */
 static void
 refuse_without_memory (struct ash_entry *entry, uint64_t call)
 {
@@ -128,13 +128,15 @@
   ash_emit (&entry->sink, "", ASH__EVENT__KIND_REPLY, &reply);
 }
 
-/* Before any filter may refuse it: what a refusal may say of earlier submissions hangs on this. */
+/* Has to run before the filters: if one refuses the request, the outcome in the refusal depends on
+ * these fields. */
 static void
 read_caller_attempt (struct ash_request *request, const struct Ash__Call *call)
 {
   request->keyed = *call->idempotency_key != '\0';
-  /* What was read just after a pause may have waited here for as long as the
-   * pause was: the caller's word that it is the first is out of date. */
+  /* A call that was read just after the process was suspended may have waited in the socket all
+   * that time. The caller may have submitted the request elsewhere meanwhile, so the number of its
+   * submission is not to be relied on. */
   if (request->keyed && !call->may_be_old)
     request->caller_attempt = call->caller_attempt;
 }
@@ -226,7 +228,7 @@
       entry->leaving = true;
       break;
     default:
-      /* Everything else is for agents, or the daemon's own. */
+      /* The other messages are for agents or are handled by the daemon. */
       break;
     }
 }
--- a/filters/entry.h
+++ b/filters/entry.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * The core of the entry role: takes callers' requests through the filter
- * chain, to endpoints, and brings the answers back whole. It does no I/O:
- * messages go in through ash_entry_handle() and come out through its sink.
+ * The core of the entry role: runs callers' requests through the filter chain, sends them to
+ * endpoints and passes the answers back. It does no I/O: messages go in through
+ * ash_entry_handle() and come out through the sink.
  */
 #ifndef ASH_ENTRY_H
 #define ASH_ENTRY_H
@@ -11,11 +11,12 @@
 #include "filters/filter.h"
 #include "filters/request_history.h"
 
-/** An endpoint gets this much less time than the caller gave, so that its own
- * refusal, a true "not run", arrives before this entry has to give up. */
+/** The time budget sent to an endpoint is shorter than the caller's by this margin, so that the
+ * endpoint's refusal, which proves "not run", arrives before this entry has to answer without
+ * knowing. */
 #define ASH_ENTRY_MARGIN_MS 100
 
-/** An entry. */
+/** State of an entry. */
 struct ash_entry
 {
   const struct ash_settings *settings;
@@ -33,15 +34,15 @@
   struct ash_request *by_call;
   struct ash_request *by_attempt;
   uint64_t last_attempt;
-  uint32_t next_round_robin; /**< of round robin */
+  uint32_t next_round_robin; /**< index of the next pick, for round robin */
   bool leaving;
   struct ash_planned_stop stop;
 };
 
 /**
- * Starts an entry.
- * @param seed for its random choices.
- * @return false without memory.
+ * Initializes an entry.
+ * @param seed of the random generator.
+ * @return false if out of memory.
  */
 bool ash_entry_init (struct ash_entry *entry,
                      const struct ash_settings *settings,
@@ -50,23 +51,25 @@
 
 void ash_entry_finish (struct ash_entry *entry);
 
-/** Takes in a message; gives out what follows from it. */
+/** Handles a message; resulting messages go to the sink. */
 void
 ash_entry_handle (struct ash_entry *entry, struct ash_time now, const struct Ash__Event *event);
 
-/** Chooses an endpoint of a service, for a key to be minted: sets box and incarnation. */
+/** Chooses the endpoint that a new minted key names as its home.
+ * @param choice gets box and incarnation.
+ * @return false if no endpoint of the service is available. */
 bool ash_entry_choose (struct ash_entry *entry, const char *service, struct ash_request *choice);
 
-/** @return whether no request is in its hands. */
+/** @return whether the entry has no requests. */
 bool ash_entry_idle (const struct ash_entry *entry);
 
-/** @return the HTTP status that goes with a reason. */
+/** @return the HTTP status for an Ash__Reason. */
 uint32_t ash_entry_status (int reason);
 
-/** @return one sentence for the caller. */
+/** @return the message sent to callers for an Ash__Reason. */
 const char *ash_entry_reason_text (int reason);
 
-/** @return the name of a reason as errors and logs give it. */
+/** @return the name of an Ash__Reason in error bodies, logs and metrics. */
 const char *ash_entry_reason_name (int reason);
 
 /** @return "ran", "not-run" or "unknown". */
--- a/filters/filter.h
+++ b/filters/filter.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The filter chain of an entry: each filter looks at a call, fills in its part
- * of the request, and lets it pass or refuses it. Filters do no I/O.
+ * The filter chain of an entry. Each filter inspects a call, fills in its part of the request,
+ * and passes it on or refuses it. Filters do no I/O.
  */
 #ifndef ASH_FILTER_H
 #define ASH_FILTER_H
@@ -16,7 +16,7 @@
 #include "filters/request.h"
 #include "options/settings.h"
 
-/** What the filters of one entry share. */
+/** State shared by the filters of one entry. */
 struct ash_filter_context
 {
   const struct ash_settings *settings;
@@ -25,20 +25,20 @@
   const struct ash_planned_stop *stop;
   struct ash_random *random;
   const uint8_t *fleet_key;
-  uint32_t *next_round_robin; /**< of round robin */
+  uint32_t *next_round_robin; /**< index of the next pick, for round robin */
 };
 
-/** What a filter decides. */
+/** Result of a filter. */
 enum ash_verdict
 {
   ASH_VERDICT_NEXT,
-  ASH_VERDICT_REFUSE, /**< request->reason and retry_ms say why and until when */
+  ASH_VERDICT_REFUSE, /**< request->reason and request->retry_ms are set */
 };
 
-/** State of one filter; each defines its own. */
+/** State of one filter; each filter defines the struct in its own source file. */
 struct priv;
 
-/** Entry points of a filter. Those it does not need are NULL. */
+/** Callbacks of a filter; unused ones are NULL. */
 struct ash_filter_info
 {
   const char *name;
@@ -59,30 +59,33 @@
 extern const struct ash_filter_info ash_filter_key;
 extern const struct ash_filter_info ash_filter_route;
 
-/** How many filters a chain has. */
+/** Filters in a chain. */
 #define ASH_CHAIN_FILTERS 6
 
-/** The filters in their order, each with its state. */
+/** The states of the filters, in the order in which the filters run. */
 struct ash_chain
 {
   struct priv *privs[ASH_CHAIN_FILTERS];
 };
 
-/** @return false without memory. */
+/** @return false if out of memory. */
 bool ash_chain_init (struct ash_chain *chain);
 void ash_chain_finish (struct ash_chain *chain);
 
-/** Runs a call through the chain up to the first filter that refuses it. */
+/** Runs a call through the filters in order and stops at the first one that refuses it. */
 enum ash_verdict ash_chain_request (struct ash_chain *chain,
                                     const struct ash_filter_context *context,
                                     struct ash_time now,
                                     const struct Ash__Call *call,
                                     struct ash_request *request);
 
-/** For filters: refuses, to come back in @p retry_ms. */
+/** For filters: refuses the request.
+ * @param reason an Ash__Reason.
+ * @param retry_ms when the caller may retry. */
 enum ash_verdict ash_filter_refuse (struct ash_request *request, int reason, uint32_t retry_ms);
 
-/** The least time to come back that a refusal names, spread up to twice that. */
+/** @return a random retry delay between the configured retry_after_ms and twice that, so that
+ * callers refused together don't return together. */
 uint32_t ash_filter_retry_ms (const struct ash_filter_context *context);
 
 #endif
--- a/filters/forward.c
+++ b/filters/forward.c
@@ -1,13 +1,14 @@
 #include "filters/forward.h"
 
-/* When a refused caller may come back, spread so that those refused together do not return
- * together. For want of an endpoint: soon, the list changes in tenths of a second. */
+/* Retry delay after a refusal for lack of an endpoint, with jitter so that callers refused together
+ * don't return together. It is short as the list of endpoints changes within tenths of a second. */
 #define RETRY_AFTER_MIN_MS 300
 #define RETRY_AFTER_SPREAD_MS 700
 
-/* For want of room: after an eighth to a third of the time that the caller has left, 1 to 2.7 s
- * of 8; callers wait no longer than a third, and bursts last seconds. The answer is late either
- * way, and of those that return sooner more are refused again. Of long deadlines at most 3 s. */
+/* Retry delay after a refusal for lack of capacity: between an eighth and a third of the time that
+ * the caller has left, but at most 3 s; with 8 s left, 1 to 2.7 s. Bursts last seconds, so callers
+ * that return sooner are more often refused again, and the answer is late in either case. A request
+ * waits no longer than a third of its time. */
 #define RETRY_MIN_DIVISOR 8
 #define RETRY_MAX_DIVISOR 3
 #define RETRY_AFTER_MAX_MS 3000
@@ -48,13 +49,13 @@
 }
 
 static struct ash_direct_wish
-endpoint_criteria (const struct ash_forward *forward, const struct ash_forward_context *world)
+endpoint_criteria (const struct ash_forward *forward, const struct ash_forward_context *context)
 {
   return (struct ash_direct_wish){
     .service = forward->service,
-    .hall = world->hall,
-    .own = world->own,
-    .far_parts = world->far_parts,
+    .hall = context->hall,
+    .own = context->own,
+    .far_parts = context->far_parts,
     .cap = forward->cap,
     .pause_aim_ms = forward->pause_aim_ms,
     .tried = forward->tried,
@@ -64,27 +65,27 @@
 
 static uint32_t
 retry_after_ms (const struct ash_forward *forward,
-                const struct ash_forward_context *world,
+                const struct ash_forward_context *context,
                 struct ash_time now,
                 enum ash_forward_reason reason)
 {
-  struct ash_random *random = &world->endpoints->random;
-  struct ash_direct_wish wish = endpoint_criteria (forward, world);
+  struct ash_random *random = &context->endpoints->random;
+  struct ash_direct_wish criteria = endpoint_criteria (forward, context);
   int64_t left_ms = ash_time_diff (now, forward->deadline);
   int64_t most_ms = left_ms / RETRY_MAX_DIVISOR;
   int64_t least_ms;
   int64_t opens_ms;
 
   if (reason == ASH_FORWARD_QUARANTINED)
-    return (uint32_t) world->quarantined_ms;
+    return (uint32_t) context->quarantined_ms;
   if (reason != ASH_FORWARD_NO_ROOM && reason != ASH_FORWARD_THROTTLED &&
       reason != ASH_FORWARD_REJECTED)
     return RETRY_AFTER_MIN_MS + ash_random_below (random, RETRY_AFTER_SPREAD_MS);
   if (most_ms > RETRY_AFTER_MAX_MS)
     most_ms = RETRY_AFTER_MAX_MS;
   least_ms = most_ms * RETRY_MAX_DIVISOR / RETRY_MIN_DIVISOR;
-  /* Before an endpoint takes requests again by its own word, a return is in vain. */
-  opens_ms = ash_direct_opens_ms (world->endpoints, now, &wish);
+  /* A retry is useless before the time at which an endpoint announced to accept requests again. */
+  opens_ms = ash_direct_opens_ms (context->endpoints, now, &criteria);
   if (opens_ms > least_ms && most_ms > least_ms)
     least_ms = opens_ms < most_ms ? opens_ms : most_ms - 1;
   return (uint32_t) (1 + least_ms) + ash_random_below (random, (uint32_t) (most_ms - least_ms));
@@ -92,89 +93,89 @@
 
 static struct ash_forward_decision
 answer (const struct ash_forward *forward,
-        const struct ash_forward_context *world,
+        const struct ash_forward_context *context,
         struct ash_time now,
         enum ash_forward_reason reason)
 {
-  struct ash_forward_decision verdict = { .action = ASH_FORWARD_ANSWER };
+  struct ash_forward_decision decision = { .action = ASH_FORWARD_ANSWER };
 
-  verdict.answer.reason = reason;
-  verdict.answer.status = ash_forward_status (forward, reason);
-  if (verdict.answer.status == 503)
-    verdict.answer.retry_after_ms = retry_after_ms (forward, world, now, reason);
-  return verdict;
+  decision.answer.reason = reason;
+  decision.answer.status = ash_forward_status (forward, reason);
+  if (decision.answer.status == 503)
+    decision.answer.retry_after_ms = retry_after_ms (forward, context, now, reason);
+  return decision;
 }
 
-/* A further endpoint costs a part of the fleet's budget. */
+/* Every attempt after the first is charged to the resend budget that the processes share. */
 static bool
 may_send (const struct ash_forward *forward,
-          const struct ash_forward_context *world,
+          const struct ash_forward_context *context,
           struct ash_time now)
 {
   return !forward->sent ||
-         ash_resend_window_spend (world->window, &world->bound, world->entries, now);
+         ash_resend_window_spend (context->window, &context->bound, context->entries, now);
 }
 
 static struct ash_forward_decision
 wait_or_refuse (const struct ash_forward *forward,
-                const struct ash_forward_context *world,
+                const struct ash_forward_context *context,
                 struct ash_time now,
                 enum ash_forward_reason reason)
 {
-  struct ash_time until = ash_time_add (forward->arrived, world->wait_ms);
+  struct ash_time until = ash_time_add (forward->arrived, context->wait_ms);
 
-  /* A stream that has begun is worth more waiting than a refusal: it can't be refused. */
+  /* A stream that has begun can no longer be refused, so it waits longer to be resumed. */
   if (forward->answer_started)
     until = forward->wait_until;
   if (!ash_time_before (now, until))
-    return answer (forward, world, now, reason);
+    return answer (forward, context, now, reason);
   return (struct ash_forward_decision){ .action = ASH_FORWARD_WAIT, .until = until };
 }
 
-/* When a stream that was not sent yet may go. */
+/* The time until which the prompt gate holds a request that was not sent yet. */
 static struct ash_time
 held_until (const struct ash_forward *forward,
-            const struct ash_forward_context *world,
+            const struct ash_forward_context *context,
             struct ash_time now)
 {
-  return forward->sent || !world->gate
+  return forward->sent || !context->gate
              ? now
-             : ash_prompt_gate_until (world->gate, &forward->prompt, forward->arrived, now);
+             : ash_prompt_gate_until (context->gate, &forward->prompt, forward->arrived, now);
 }
 
 struct ash_forward_decision
 ash_forward_next (struct ash_forward *forward,
-                  const struct ash_forward_context *world,
+                  const struct ash_forward_context *context,
                   struct ash_time now)
 {
-  struct ash_direct_wish wish = endpoint_criteria (forward, world);
-  struct ash_time hold_until = held_until (forward, world, now);
+  struct ash_direct_wish criteria = endpoint_criteria (forward, context);
+  struct ash_time hold_until = held_until (forward, context, now);
   struct ash_direct_endpoint *endpoint;
 
   if (!ash_time_before (now, forward->deadline))
-    return answer (forward, world, now, ASH_FORWARD_TIMEOUT);
-  if (world->quarantined_ms > 0)
-    return answer (forward, world, now, ASH_FORWARD_QUARANTINED);
+    return answer (forward, context, now, ASH_FORWARD_TIMEOUT);
+  if (context->quarantined_ms > 0)
+    return answer (forward, context, now, ASH_FORWARD_QUARANTINED);
   if (forward->unconfirmed && forward->repeat == ASH_REPEAT_ONCE)
-    return answer (forward, world, now, ASH_FORWARD_FAILED);
+    return answer (forward, context, now, ASH_FORWARD_FAILED);
   if (forward->sent >= forward->servers_max)
-    return answer (forward, world, now,
+    return answer (forward, context, now,
                    forward->unconfirmed ? ASH_FORWARD_FAILED : ASH_FORWARD_REJECTED);
   if (ash_time_before (now, hold_until))
     return (struct ash_forward_decision){ .action = ASH_FORWARD_WAIT, .until = hold_until };
-  switch (ash_direct_choose (world->endpoints, now, &wish, &endpoint))
+  switch (ash_direct_choose (context->endpoints, now, &criteria, &endpoint))
     {
     case ASH_DIRECT_NONE:
-      return wait_or_refuse (forward, world, now, ASH_FORWARD_NO_ENDPOINT);
+      return wait_or_refuse (forward, context, now, ASH_FORWARD_NO_ENDPOINT);
     case ASH_DIRECT_ALL_FULL:
-      return wait_or_refuse (forward, world, now, ASH_FORWARD_NO_ROOM);
+      return wait_or_refuse (forward, context, now, ASH_FORWARD_NO_ROOM);
     case ASH_DIRECT_HELD_BACK:
-      return wait_or_refuse (forward, world, now, ASH_FORWARD_THROTTLED);
+      return wait_or_refuse (forward, context, now, ASH_FORWARD_THROTTLED);
     case ASH_DIRECT_CHOSEN:
       break;
     }
-  if (!may_send (forward, world, now))
-    return answer (forward, world, now, ASH_FORWARD_NO_BUDGET);
+  if (!may_send (forward, context, now))
+    return answer (forward, context, now, ASH_FORWARD_NO_BUDGET);
   return (struct ash_forward_decision){ .action = ASH_FORWARD_SEND, .endpoint = endpoint };
 }
 
--- a/filters/forward.h
+++ b/filters/forward.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * The life of a request that is sent straight to endpoints: whether it is sent,
- * waits for room, is sent again, or gets its final answer. What a caller is told
- * about a run rests on what is noted here alone.
+ * State machine of a request that a router sends directly to endpoints: decides whether to send it,
+ * let it wait for capacity, send it to a further endpoint, or answer it with an error. The answer
+ * reports whether the request may have run based only on the counts kept here.
  */
 #ifndef ASH_FORWARD_H
 #define ASH_FORWARD_H
@@ -12,21 +12,21 @@
 #include "controllers/resend_window.h"
 #include "controllers/route_table.h"
 
-/** Why a request ends without an endpoint's answer. */
+/** Why a request is answered without an endpoint's answer. */
 enum ash_forward_reason
 {
-  ASH_FORWARD_NO_ENDPOINT, /**< none of its service is known */
-  ASH_FORWARD_NO_ROOM,     /**< all have as much work as they may have */
-  ASH_FORWARD_THROTTLED,   /**< those with room want none now: at their rate, or at rest */
-  ASH_FORWARD_REJECTED,    /**< endpoints refused it, and it may go to no more of them */
-  ASH_FORWARD_FAILED,      /**< it was sent and no answer arrived; it may have run */
-  ASH_FORWARD_TIMEOUT,     /**< its time is up */
-  ASH_FORWARD_NO_BUDGET,   /**< it could be sent again, but not affordably */
-  ASH_FORWARD_LEAVING,     /**< this process ends too soon to see it through */
-  ASH_FORWARD_QUARANTINED, /**< endpoints have ended under it: it is kept away from others */
+  ASH_FORWARD_NO_ENDPOINT, /**< no endpoint of the service is known */
+  ASH_FORWARD_NO_ROOM,     /**< all endpoints are at their limit of requests in flight */
+  ASH_FORWARD_THROTTLED,   /**< endpoints with capacity are at their rate limit or backing off */
+  ASH_FORWARD_REJECTED,    /**< endpoints refused it, and no further attempt is allowed */
+  ASH_FORWARD_FAILED,      /**< it was sent and got no answer; it may have run */
+  ASH_FORWARD_TIMEOUT,     /**< its deadline has passed */
+  ASH_FORWARD_NO_BUDGET,   /**< a further attempt would exceed the resend budget */
+  ASH_FORWARD_LEAVING,     /**< this process stops before the request could finish */
+  ASH_FORWARD_QUARANTINED, /**< endpoints' processes ended while running it; no other gets it */
 };
 
-/** What comes next. */
+/** What to do with a request now. */
 enum ash_forward_action
 {
   ASH_FORWARD_SEND,
@@ -34,73 +34,75 @@
   ASH_FORWARD_ANSWER,
 };
 
-/** A decision. */
+/** A decision on a request. */
 struct ash_forward_decision
 {
   enum ash_forward_action action;
   union
   {
-    struct ash_direct_endpoint *endpoint; /**< SEND */
-    struct ash_time until;                /**< WAIT: at most */
+    struct ash_direct_endpoint *endpoint; /**< ASH_FORWARD_SEND: where to send it */
+    struct ash_time until; /**< ASH_FORWARD_WAIT: call ash_forward_next() again by then */
     struct
     {
       uint16_t status;
       enum ash_forward_reason reason;
-      uint32_t retry_after_ms; /**< 0: nothing to be said */
+      uint32_t retry_after_ms; /**< 0: no Retry-After is sent */
     } answer;
   };
 };
 
-/** A request. */
+/** State of a request that is being forwarded. */
 struct ash_forward
 {
   enum ash_repeat repeat;
   uint32_t servers_max;
-  uint32_t aim_ms;
+  uint32_t aim_ms; /**< target for the time to the first event, from the route's settings */
   const char *service;
-  uint32_t cap; /**< requests that an endpoint may have when this one is sent there */
-  uint32_t pause_aim_ms;
+  uint32_t cap;          /**< limit of requests in flight at an endpoint, this one included */
+  uint32_t pause_aim_ms; /**< target for the longest pause between stream events; 0: none */
   struct ash_time arrived;
-  struct ash_time deadline; /**< the final answer is due */
-  struct ash_time wait_until;
+  struct ash_time deadline;   /**< when the final answer is due */
+  struct ash_time wait_until; /**< how long a stream that has begun may wait to be resumed */
   struct ash_prompt_terms prompt;
-  bool answer_started;  /**< a part of the answer went to the caller */
-  uint32_t unconfirmed; /**< endpoints that got it and do not vouch that it did not run */
-  uint32_t sent;        /**< endpoints that it was sent to */
-  uint64_t tried[ASH_DIRECT_TRIED_MAX];
+  bool answer_started;  /**< part of the answer has been passed to the caller */
+  uint32_t unconfirmed; /**< attempts that may have run: none confirmed that they did not */
+  uint32_t sent;        /**< attempts so far */
+  uint64_t tried[ASH_DIRECT_TRIED_MAX]; /**< hashes of the ids of endpoints it was sent to */
   uint32_t tried_count;
 };
 
-/** What a decision rests on beside the request. */
+/** Input of a decision besides the request itself. */
 struct ash_forward_context
 {
   struct ash_direct_set *endpoints;
   struct ash_resend_window *window;
   struct ash_resend_bound bound;
-  uint32_t entries;   /**< that share the bound */
-  const char *hall;   /**< of this process */
-  uint64_t own;       /**< tells this process from the others */
-  uint32_t far_parts; /**< of the endpoints of other halls, it takes one part in so many */
-  uint32_t wait_ms;   /**< how long a request may wait for room */
-  struct ash_prompt_gate *gate; /**< of the service; NULL: it reads no prompts */
-  int64_t quarantined_ms; /**< how long the request is kept away from endpoints; 0: it is not */
+  uint32_t entries;             /**< number of processes that share the resend budget */
+  const char *hall;             /**< hall of this process */
+  uint64_t own;                 /**< a number that identifies this process among its peers */
+  uint32_t far_parts;           /**< of endpoints in other halls, this process uses 1/far_parts */
+  uint32_t wait_ms;             /**< how long a request may wait for capacity */
+  struct ash_prompt_gate *gate; /**< prompt gate of the service; NULL: prompts are not held */
+  int64_t quarantined_ms;       /**< remaining quarantine of the request; 0: not quarantined */
 };
 
-/** What comes next, now. */
+/** Decides what to do with the request at time @p now. */
 struct ash_forward_decision ash_forward_next (struct ash_forward *forward,
-                                              const struct ash_forward_context *world,
+                                              const struct ash_forward_context *context,
                                               struct ash_time now);
 
-/** The request leaves for an endpoint. */
+/** Records that the request is being sent to an endpoint. */
 void ash_forward_sent (struct ash_forward *forward, const struct ash_direct_endpoint *endpoint);
 
-/** The endpoint vouches that it did not run, or nothing left for it. */
+/** Records that the last attempt did not run.
+ * @param was_sent false if nothing was sent: the attempt doesn't count. */
 void ash_forward_not_run (struct ash_forward *forward, bool was_sent);
 
-/** @return the status of a final answer that says no more than is known. */
+/** @return the HTTP status of the final answer: 503 if the request surely did not run, else 502,
+ * or 504 after a timeout. */
 uint16_t ash_forward_status (const struct ash_forward *forward, enum ash_forward_reason reason);
 
-/** @return a reason's name, for logs and metrics. */
+/** @return a reason's name in logs and metrics. */
 const char *ash_forward_reason_name (enum ash_forward_reason reason);
 
 #endif
--- a/filters/key.c
+++ b/filters/key.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Filter: the request's id, and for a key whose request may not be repeated
- * its home, the one endpoint that may run it.
+ * Filter: sets the request's id. For a keyed request that must not be repeated it also finds the
+ * home, which is the only endpoint that may run the request.
  */
 #include "filters/filter.h"
 #include "filters/minted_key.h"
@@ -32,8 +32,8 @@
   return ASH_VERDICT_NEXT;
 }
 
-/* Any other key finds its home over the endpoints that are declared. The life
- * of the home is the one known now, before the request is sent anywhere. */
+/* Finds the home of a key that was not minted, by hashing over the declared endpoints. The request
+ * is bound to the home's incarnation as known now, before it is sent anywhere. */
 static enum ash_verdict
 find_home (const struct ash_filter_context *context,
            struct ash_time now,
--- a/filters/limit.c
+++ b/filters/limit.c
@@ -1,9 +1,10 @@
 /**
  * @file
- * Filter: the account's limit. This entry enforces its part of it, dealt over
- * the published list and never over whom it believes alive; else both sides of
- * a cut would each take the whole. What a declared event reserves for the account
- * comes first, with the event's priority; above it the account's own limit counts.
+ * Filter: the account's rate limit. This entry enforces its share. The limit is divided by the
+ * number of entries in the published list, not by the number that seem to be up: otherwise both
+ * sides of a network partition would each allow the whole limit. Requests first count against the
+ * account's reservation of a declared event, if there is one, and get the event's priority. Above
+ * the reservation the account's own limit applies.
  */
 #include "controllers/declared.h"
 #include "filters/filter.h"
--- a/filters/links.c
+++ b/filters/links.c
@@ -41,9 +41,9 @@
     }
 }
 
-/* Whether a request that waits there may as well go elsewhere: nothing of its answer
- * has come, it may be repeated, and there is a better place that takes it. It may
- * run where it is in the end, so going elsewhere is paid from the budget. */
+/* Whether a request that waits at its endpoint may be retried at another one: none of its answer
+ * has arrived, it may be repeated, and a preferred endpoint is available. As its present endpoint
+ * may still run it, the retry is charged to the retry budget. */
 static bool
 may_retry_elsewhere (const struct ash_entry *entry, const struct ash_request *request)
 {
@@ -56,7 +56,7 @@
          ash_box_preferred (ash_membership_find (&entry->membership, other.box));
 }
 
-/* Its engine stands still, or nothing is heard of it. */
+/* Retries the requests at a box whose engine is stalled or from which nothing arrives. */
 static void
 retry_requests_elsewhere (struct ash_entry *entry,
                           struct ash_time now,
@@ -121,16 +121,16 @@
           ash_attempt_resume (entry, now, request);
         }
       else
-        /* That life is gone, and what it did with it can't be known any more. */
+        /* The incarnation that got the request has ended; whether it ran the request is unknown. */
         ash_request_retry_or_fail (entry, now, request, ASH__REASON__ENDPOINT_LOST,
                                    request->received ? ASH__OUTCOME__RAN : ASH__OUTCOME__UNKNOWN,
                                    0);
     }
 }
 
-/* ---- time ---- */
+/* ---- timers ---- */
 
-/* Its time is over: the final answer goes out. */
+/* Ends a request whose deadline or whose entry's planned stop is over. */
 static void
 fail_expired (struct ash_entry *entry, struct ash_time now, struct ash_request *request, int reason)
 {
@@ -154,8 +154,8 @@
     fail_expired (entry, now, request, ASH__REASON__DEADLINE);
   else if (!ash_time_before (now, entry->stop.answers_by))
     fail_expired (entry, now, request, ASH__REASON__STOPPED);
-  /* What may not be repeated stays with its endpoint until the deadline: the
-   * link may come back, and with it the answer. */
+  /* A request that must not be repeated waits for its endpoint until the deadline: the link may
+   * return, and the answer can be resumed then. */
   else if (request->state == ASH_REQUEST_DISCONNECTED && !request->no_repeat &&
            !request->head_sent && !ash_time_before (now, resume_until))
     ash_request_retry_or_fail (entry, now, request, ASH__REASON__ENDPOINT_LOST,
--- a/filters/minted_key.c
+++ b/filters/minted_key.c
@@ -30,7 +30,7 @@
   char hex[MAC_HEX_BYTES];
   int length;
 
-  /* The home comes last: a box's name may hold dots, the numbers do not. */
+  /* The home is the last field as box names may contain dots, the separator. */
   length = snprintf (text, ASH_MINTED_KEY_BYTES, PREFIX "%" PRIx64 ".%" PRIx64 ".%" PRIx64 ".%s.",
                      key->incarnation, (uint64_t) key->expires_s, key->nonce, key->home);
   sign (text, (size_t) length, fleet_key, hex);
--- a/filters/reason.c
+++ b/filters/reason.c
@@ -1,10 +1,10 @@
 /**
  * @file
- * What a caller is told for each reason.
+ * Name, HTTP status and message of each Ash__Reason.
  */
 #include "filters/entry.h"
 
-/* As docs and errors name them, with status and a sentence. Order: the enum. */
+/* The names are part of the interface: error bodies, logs and metrics contain them. */
 struct reason_row
 {
   const char *name;
--- a/filters/request.h
+++ b/filters/request.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * A request at an entry, from the caller's call to its final answer.
+ * State of a request at an entry, from the call to the final answer.
  */
 #ifndef ASH_REQUEST_H
 #define ASH_REQUEST_H
@@ -13,62 +13,62 @@
 
 #include <uthash.h>
 
-/** Endpoints that a request is tried at, at most. */
+/** Maximum attempts per request. */
 #define ASH_REQUEST_TRIES_MAX 4
 
-/** Where a request stands. */
+/** State of a request. */
 enum ash_request_state
 {
   ASH_REQUEST_NEW,          /**< in the filter chain */
-  ASH_REQUEST_DISOWNING,    /**< earlier homes are pending_homes to refuse it */
-  ASH_REQUEST_SENT,         /**< at an endpoint, the link is up */
-  ASH_REQUEST_DISCONNECTED, /**< at an endpoint, the link is down */
+  ASH_REQUEST_DISOWNING,    /**< earlier homes of its key have been requested to disown it */
+  ASH_REQUEST_SENT,         /**< sent to an endpoint, whose link is up */
+  ASH_REQUEST_DISCONNECTED, /**< sent to an endpoint, whose link is down */
 };
 
-/** A request. */
+/** A request. Owns the pointers. */
 struct ash_request
 {
-  uint64_t call; /**< names the caller's connection */
+  uint64_t call; /**< number of the caller's HTTP request */
   struct ash_id id;
   enum ash_request_state state;
   char account[ASH_NAME_BYTES];
   char class_name[ASH_NAME_BYTES];
   uint32_t priority;
-  bool keyed;  /**< the caller may submit it again through another entry */
-  bool minted; /**< the key names its home and that home's life */
-  bool no_repeat;
-  bool stream;
-  bool home_only;          /**< keyed and not to be repeated: only its home may run it */
-  bool moved;              /**< an earlier home has it and stays its home */
-  uint32_t caller_attempt; /**< 1: certainly the first; 0: not stated */
+  bool keyed;              /**< it has an idempotency key, so the caller may submit it again */
+  bool minted;             /**< the key names its home and the home's incarnation */
+  bool no_repeat;          /**< must not run twice */
+  bool stream;             /**< the answer is passed on as it arrives */
+  bool home_only;          /**< keyed and no_repeat: only its home may run it */
+  bool moved;              /**< an earlier home of its key has it, and remains its home */
+  uint32_t caller_attempt; /**< number of the caller's submission, from 1; 0: not stated */
   struct ash_time arrived;
   struct ash_time deadline;
-  struct Ash__Submit *submit; /**< what is sent, filled by the chain */
+  struct Ash__Submit *submit; /**< the message to the endpoint, copied from the call */
 
-  char box[ASH_NAME_BYTES]; /**< where the present attempt is, or is to go */
-  uint64_t incarnation;     /**< the life that it is meant for */
-  uint64_t attempt;         /**< names the present attempt; 0: none yet */
-  struct ash_time sent;     /**< when the present attempt was */
-  uint32_t tries;
-  char tried[ASH_REQUEST_TRIES_MAX][ASH_NAME_BYTES];
-  uint64_t
-      tried_incarnations[ASH_REQUEST_TRIES_MAX]; /**< a box with a new life may be tried again */
-  bool may_have_run;                             /**< an earlier attempt may have run, or did */
-  bool ran; /**< an earlier attempt certainly ran, at least in part */
+  char box[ASH_NAME_BYTES]; /**< target of the current or next attempt */
+  uint64_t incarnation;     /**< incarnation of box that the attempt is for */
+  uint64_t attempt;         /**< number of the current attempt; 0: none */
+  struct ash_time sent;     /**< when the current attempt was sent */
+  uint32_t tries;           /**< attempts sent */
+  char tried[ASH_REQUEST_TRIES_MAX][ASH_NAME_BYTES];  /**< their boxes */
+  uint64_t tried_incarnations[ASH_REQUEST_TRIES_MAX]; /**< a restarted box may be tried again */
+  bool may_have_run;                                  /**< an earlier attempt ran or may have run */
+  bool ran; /**< an earlier attempt certainly ran, at least partly */
   struct ash_time disconnected_since;
-  char pending_homes[ASH_CONFIG_HISTORY_MAX][ASH_NAME_BYTES]; /**< earlier homes to answer yet */
+  char pending_homes[ASH_CONFIG_HISTORY_MAX][ASH_NAME_BYTES]; /**< earlier homes of its key that
+                                                                 have not answered a disown yet */
   uint32_t pending_home_count;
 
-  uint64_t received; /**< bytes of the present attempt's answer */
-  bool head_sent;    /**< the caller has got the head of the answer */
-  uint32_t status;
-  uint32_t wait_ms;
+  uint64_t received; /**< body bytes received of the current attempt's answer */
+  bool head_sent;    /**< the answer's head has been passed to the caller */
+  uint32_t status;   /**< HTTP status of the endpoint's answer; 0: no head yet */
+  uint32_t wait_ms;  /**< how long it was queued at the endpoint */
   char *content_type;
-  uint8_t *body; /**< of an answer that is not streamed */
+  uint8_t *body; /**< answer body, if it is not streamed */
   size_t body_capacity;
 
-  int reason; /**< enum Ash__Reason: set by the filter that refuses */
-  uint32_t retry_ms;
+  int reason;                /**< enum Ash__Reason: why it was refused or failed */
+  uint32_t retry_ms;         /**< when the caller may retry */
   UT_hash_handle hh;         /**< by call */
   UT_hash_handle hh_attempt; /**< by attempt */
 };
--- a/filters/request_end.c
+++ b/filters/request_end.c
@@ -37,7 +37,8 @@
   ash_request_history_add (&entry->past, now, request, outcome, took_ms);
   if (!entry->metrics)
     return;
-  /* Class and service come from the configuration, never from the caller. */
+  /* Label values are names from the configuration, never text from callers, so that callers can't
+   * create any number of time series. */
   snprintf (labels, sizeof labels, "class=\"%s\",service=\"%s\"", request->class_name,
             *request->class_name && request->reason != ASH__REASON__NO_SERVICE ? service : "");
   ash_metrics_observe (entry->metrics, "ash_request_duration_ms", labels, (uint64_t) took_ms);
@@ -75,7 +76,6 @@
   ash_request_remove (entry, request);
 }
 
-/* Gives a request up: its final answer goes out at once. */
 void
 ash_request_fail (struct ash_entry *entry,
                   struct ash_time now,
@@ -107,9 +107,8 @@
   ash_request_remove (entry, request);
 }
 
-/* What can be said of a request that was sent nowhere, or was refused wherever
- * it was sent. With a caller's key that is about the request, not only about
- * this submission: an earlier one may have run. */
+/* With a caller's key the outcome is that of the request, not only of this submission: an earlier
+ * submission with the same key may have run. */
 int
 ash_request_unsent_outcome (const struct ash_request *request)
 {
@@ -122,9 +121,8 @@
   return ASH__OUTCOME__NOT_RUN;
 }
 
-/* Sends the request to another endpoint if it may go there, else gives it up.
- * A retry that follows a failure is paid from the budget; one that makes way
- * for a planned stop or a lost frame is not a failing service's. */
+/* A retry after a failure is charged to the retry budget. A retry because of a planned stop, a lost
+ * frame, or a stall before the request began is not a sign of a failing service and is free. */
 void
 ash_request_retry_or_fail (struct ash_entry *entry,
                            struct ash_time now,
--- a/filters/request_fields.h
+++ b/filters/request_fields.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * What a caller's request and an endpoint's answer say about themselves, beside
- * method, target and body. Filled by whoever decodes the wire's names.
+ * Decoded header fields of callers' requests, of requests to endpoints and of endpoints' answers.
+ * The structs don't depend on the names of the fields on the wire; platform/message.h converts
+ * them.
  */
 #ifndef ASH_REQUEST_FIELDS_H
 #define ASH_REQUEST_FIELDS_H
@@ -11,36 +12,36 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Of a request. Texts belong to the head that they were read from. */
+/** Fields of a caller's request. Strings belong to the message head that they were read from. */
 struct ash_request_fields
 {
-  const char *attempt_id;    /**< the caller's, for this submission; NULL: none */
-  const char *key;           /**< of an account; NULL: none */
-  const char *last_event_id; /**< where a stream goes on; NULL: at its start */
-  uint32_t deadline_ms;      /**< how long the caller waits; 0: not said */
+  const char *attempt_id;    /**< the caller's id for this submission; NULL: none */
+  const char *key;           /**< bearer key of an account; NULL: none */
+  const char *last_event_id; /**< stream resumes after this event; NULL: from the start */
+  uint32_t deadline_ms;      /**< how long the caller waits; 0: not stated */
   uint32_t prompt_tokens;
   uint32_t answer_tokens_max;
-  uint32_t answer_tokens_guess; /**< the caller's guess, often far off */
+  uint32_t answer_tokens_guess; /**< the caller's estimate; often far off */
 };
 
-/** Of an answer. */
+/** Fields of an endpoint's answer. Strings belong to the message head. */
 struct ash_answer_fields
 {
-  const char *attempt_id; /**< whose answer it is; NULL: it does not say */
-  bool is_signed;         /**< the endpoint's signature is there */
-  bool not_run;           /**< the endpoint vouches that it did not run the request */
-  bool encoded;           /**< the body is not as the endpoint made it */
+  const char *attempt_id; /**< attempt that it answers; NULL: not stated */
+  bool is_signed;         /**< it has the endpoint's signature field */
+  bool not_run;           /**< the endpoint states that it did not run the request */
+  bool encoded;           /**< the body has a content encoding */
   struct ash_endpoint_terms terms;
 };
 
-/** What is told to an endpoint along with a request. */
+/** Fields sent to an endpoint with a request. Strings belong to the caller. */
 struct ash_endpoint_request_fields
 {
-  uint32_t deadline_ms;      /**< what is left of it */
-  const char *endpoint_id;   /**< the life that is meant; any other turns it away */
+  uint32_t deadline_ms;      /**< remaining time */
+  const char *endpoint_id;   /**< incarnation it is for; any other rejects the request */
   const char *account;       /**< NULL: none */
-  const char *last_event_id; /**< NULL: from the start */
-  int urgency;               /**< 0 first to 9; below 0: not said */
+  const char *last_event_id; /**< stream resumes after this event; NULL: from the start */
+  int urgency;               /**< 0 (most urgent) to 9; negative: not stated */
 };
 
 #endif
--- a/filters/request_history.c
+++ b/filters/request_history.c
@@ -25,12 +25,12 @@
                          int outcome,
                          int64_t took_ms)
 {
-  struct ash_ended_request *entry;
+  struct ash_ended_request *record;
 
   if (!past->requests)
     return;
-  entry = &past->requests[past->next++ % ASH_REQUEST_HISTORY_MAX];
-  *entry = (struct ash_ended_request){
+  record = &past->requests[past->next++ % ASH_REQUEST_HISTORY_MAX];
+  *record = (struct ash_ended_request){
     .id = request->id,
     .ended = now,
     .tries = request->tries,
@@ -40,11 +40,11 @@
     .wait_ms = request->wait_ms,
     .took_ms = took_ms,
   };
-  strcpy (entry->account, request->account);
-  strcpy (entry->class_name, request->class_name);
-  strcpy (entry->box, request->box);
+  strcpy (record->account, request->account);
+  strcpy (record->class_name, request->class_name);
+  strcpy (record->box, request->box);
   if (request->submit)
-    snprintf (entry->service, sizeof entry->service, "%s", request->submit->service);
+    snprintf (record->service, sizeof record->service, "%s", request->submit->service);
 }
 
 const struct ash_ended_request *
@@ -52,11 +52,11 @@
 {
   for (uint32_t i = 1; past->requests && i <= ASH_REQUEST_HISTORY_MAX; i++)
     {
-      const struct ash_ended_request *entry =
+      const struct ash_ended_request *record =
           &past->requests[(past->next + ASH_REQUEST_HISTORY_MAX - i) % ASH_REQUEST_HISTORY_MAX];
 
-      if (entry->ended.ms && ash_id_equal (entry->id, id))
-        return entry;
+      if (record->ended.ms && ash_id_equal (record->id, id))
+        return record;
     }
   return NULL;
 }
--- a/filters/request_history.h
+++ b/filters/request_history.h
@@ -1,16 +1,17 @@
 /**
  * @file
- * The last requests of an entry and how they ended, for operators who ask why.
+ * A ring buffer of the requests that an entry ended last, for operators who query why a request
+ * failed.
  */
 #ifndef ASH_REQUEST_HISTORY_H
 #define ASH_REQUEST_HISTORY_H
 
 #include "filters/request.h"
 
-/** How many are kept: about half a megabyte. */
+/** Requests kept; about half a megabyte. */
 #define ASH_REQUEST_HISTORY_MAX 2048
 
-/** How a request ended. */
+/** A request that has ended. */
 struct ash_ended_request
 {
   struct ash_id id;
@@ -18,34 +19,35 @@
   char account[ASH_NAME_BYTES];
   char class_name[ASH_NAME_BYTES];
   char service[ASH_NAME_BYTES];
-  char box[ASH_NAME_BYTES]; /**< the last endpoint, or empty */
-  uint32_t tries;
-  int outcome;
-  int reason;
-  uint32_t retry_ms; /**< told to the caller; 0: nothing was */
-  uint32_t wait_ms;
-  int64_t took_ms;
+  char box[ASH_NAME_BYTES]; /**< the last endpoint; empty if none */
+  uint32_t tries;           /**< attempts sent */
+  int outcome;              /**< enum Ash__Outcome */
+  int reason;               /**< enum Ash__Reason */
+  uint32_t retry_ms;        /**< retry delay sent to the caller; 0: none */
+  uint32_t wait_ms;         /**< how long it was queued at the endpoint */
+  int64_t took_ms;          /**< from its arrival at the entry to its end */
 };
 
-/** A ring. */
+/** The ring buffer. */
 struct ash_request_history
 {
   struct ash_ended_request *requests;
-  uint32_t next;
+  uint32_t next; /**< number of requests added so far; its remainder is the next slot */
 };
 
-/** @return false without memory; nothing is kept then. */
+/** @return false if out of memory; the history stays empty then. */
 bool ash_request_history_init (struct ash_request_history *past);
 void ash_request_history_finish (struct ash_request_history *past);
 
-/** Writes down a request that has just ended. */
+/** Adds a request that has just ended, in place of the oldest one.
+ * @param took_ms from its arrival at the entry to its end. */
 void ash_request_history_add (struct ash_request_history *past,
                               struct ash_time now,
                               const struct ash_request *request,
                               int outcome,
                               int64_t took_ms);
 
-/** @return the last that had this id, or NULL. */
+/** @return the newest request with this id, or NULL. */
 const struct ash_ended_request *ash_request_history_find (const struct ash_request_history *past,
                                                           struct ash_id id);
 
--- a/filters/route.c
+++ b/filters/route.c
@@ -1,19 +1,19 @@
 /**
  * @file
- * Filter: the endpoint, for requests that have no home.
+ * Filter: selects an endpoint for requests without a home, and checks that a home is reachable.
  */
 #include "filters/route.h"
 
 #include <string.h>
 
-/* Random picks before all endpoints are gone through one by one. */
+/* Random picks before all endpoints are scanned in order. */
 #define RANDOM_PICKS 8
 
 struct candidate
 {
   const struct ash_endpoint *endpoint;
   const struct ash_box *box;
-  bool allow_unpreferred; /* also one that others are preferred to: set by who asks */
+  bool allow_unpreferred; /* input: also consider endpoints that are stalled or suspect */
 };
 
 static bool
@@ -45,9 +45,9 @@
   return true;
 }
 
-/* Load in thousandths of the endpoint's slots. The report covers this entry's
- * own requests too, but lags; the larger of both is nearer the truth than the
- * sum, which would count them twice. */
+/* Load in thousandths of the endpoint's slots. The load that the endpoint reports includes this
+ * entry's requests but lags behind. The larger of the reported load and this entry's count is the
+ * better estimate; their sum would count requests twice. */
 static uint64_t
 load_milli (const struct candidate *candidate)
 {
@@ -58,7 +58,7 @@
   return load * 1000 / candidate->endpoint->slots;
 }
 
-/* The first that may take it, from an index on. */
+/* Picks the first endpoint that may get the request, starting at an index. */
 static bool
 pick_from (const struct ash_filter_context *context,
            const struct ash_request *request,
@@ -122,10 +122,10 @@
   return true;
 }
 
-/* The endpoint of a model that requests with this prefix go to, so that its cache
- * has the prefix: by rendezvous hashing, so that all entries agree without a word. One
- * of this entry's own hall, if there is one: fewer answers cross halls, and are lost
- * when one is cut off. */
+/* Picks the endpoint that requests with this prefix go to, whose cache then has the prefix.
+ * Rendezvous hashing makes all entries choose the same endpoint without communication. Endpoints
+ * in this entry's hall are preferred, so that fewer answers cross halls and are lost when a hall is
+ * disconnected. */
 static bool
 pick_prefix (const struct ash_filter_context *context,
              const struct ash_request *request,
@@ -138,7 +138,7 @@
   uint64_t highest = 0;
   bool best_is_local = false;
 
-  /* A key to be minted has no body yet. */
+  /* There is no submit message when a key is minted. */
   if (!length || service->kind != ASH_SERVICE_MODEL || !request->submit ||
       request->submit->body.len < length)
     return false;
@@ -161,10 +161,10 @@
   return highest > 0;
 }
 
-/* The prefix's endpoint, unless it has so much more to do than the better of two
- * others that a cached prefix would not make up for it: a hot prefix must not pin
- * the load of all that have it. Tried: only as long as it has a free slot; at full
- * load, where a cache is worth most, that is never. */
+/* Picks the prefix's endpoint unless its load exceeds that of the less loaded of two random
+ * endpoints by more than affinity_milli: a hot prefix must not overload one endpoint. Requiring a
+ * free slot at the prefix's endpoint instead would disable the cache at full load, where it saves
+ * most. */
 static bool
 pick_near_prefix (const struct ash_filter_context *context,
                   const struct ash_request *request,
@@ -240,7 +240,8 @@
       return ash_filter_refuse (request, ASH__REASON__NO_ENDPOINT, ash_filter_retry_ms (context));
     }
   home = ash_membership_find (context->membership, request->box);
-  /* A home that is gone or has another life: never a second home. */
+  /* A home that is disconnected or has restarted is never replaced: another endpoint could run the
+   * request a second time. */
   if (!home || !home->linked || home->incarnation != request->incarnation)
     return ash_filter_refuse (request, ASH__REASON__NO_ENDPOINT, ash_filter_retry_ms (context));
   return ASH_VERDICT_NEXT;
--- a/filters/route.h
+++ b/filters/route.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The choice of an endpoint.
+ * Endpoint selection.
  */
 #ifndef ASH_ROUTE_H
 #define ASH_ROUTE_H
@@ -8,10 +8,11 @@
 #include "filters/filter.h"
 
 /**
- * Chooses an endpoint of the request's service that was not tried yet: the
- * less loaded of two random ones, by own requests in flight there plus what it
- * last reported.
- * @return false if there is none; else request->box and incarnation are set.
+ * Chooses an endpoint of the service that the request was not sent to yet, by the policy of the
+ * setting `route`. The default is the less loaded of two random ones, or the endpoint that likely
+ * has the request's prefix cached. Endpoints that are stalled or suspect are chosen only if there
+ * is no other.
+ * @return false if there is none; else request->box and request->incarnation are set.
  */
 bool ash_route_choose (const struct ash_filter_context *context,
                        const char *service,
--- a/filters/service.c
+++ b/filters/service.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Filter: which service is meant, and whether its calls may be repeated.
+ * Filter: checks that the service exists, and sets whether the request may be repeated.
  */
 #include "filters/filter.h"
 
