--- a/daemon/api.c
+++ b/daemon/api.c
@@ -64,7 +64,7 @@
   ash_http_headers_add (headers, "Ash-Retry-After-Ms", "%u", retry_ms);
 }
 
-/* A call that does not get as far as the core: it ran nowhere. */
+/* Answers a request with an error before it reaches the core. Its outcome is "not-run". */
 static void
 reply_bad (struct ash_api *api, uint64_t number, int reason, const char *message)
 {
@@ -118,8 +118,8 @@
     ash_http_begin (&api->server, reply->call, reply->status, &headers);
 }
 
-/* A stream that can't be whole says so, and then is no well-formed answer
- * either, for callers that read no events. */
+/* A stream that ends early gets a final error event. Then the connection is broken before the
+ * end of the body, for callers that don't parse events. */
 static void
 handle_reply_end (struct ash_api *api, const struct Ash__ReplyEnd *end)
 {
@@ -173,7 +173,8 @@
   return true;
 }
 
-/* Reads a whole number from a header. @return false if there is one and it is none. */
+/* Parses a header that holds a whole number above 0. A missing header gives 0.
+ * @return false if the header is malformed. */
 static bool
 read_number_header (const struct ash_http_request *request, const char *name, uint32_t *number)
 {
@@ -191,7 +192,8 @@
   return true;
 }
 
-/* Fills what all calls have in their headers. @return what is wrong, or NULL. */
+/* Fills the fields of a call that don't depend on the path.
+ * @return an error message, or NULL. */
 static const char *
 read_headers (struct ash_api *api, const struct ash_http_request *request, struct Ash__Call *call)
 {
@@ -224,11 +226,11 @@
 {
   struct Ash__Event event = ASH__EVENT__INIT;
   uint8_t hash[ASH_KEY_HASH_BYTES];
-  const char *wrong = read_headers (api, request, call);
+  const char *problem = read_headers (api, request, call);
 
-  if (wrong)
+  if (problem)
     {
-      reply_bad (api, request->number, ASH__REASON__BAD_REQUEST, wrong);
+      reply_bad (api, request->number, ASH__REASON__BAD_REQUEST, problem);
       return;
     }
   if (ash_api_hash_bearer (request, hash))
@@ -271,8 +273,8 @@
   json_decref (body);
 }
 
-/* The service's name ends at a slash, a question mark, or the end; the rest goes
- * to the endpoint as the caller wrote it. */
+/* The service's name ends at a slash, a question mark or the end of the target. The rest is passed
+ * to the endpoint unchanged. */
 static void
 handle_service (struct ash_api *api, const struct ash_http_request *request)
 {
@@ -301,7 +303,7 @@
   submit_call (api, request, &call);
 }
 
-/* ---- the other paths ---- */
+/* ---- other paths ---- */
 
 static void
 handle_addresses (struct ash_api *api, const struct ash_http_request *request)
@@ -341,8 +343,8 @@
                                  (json_int_t) entry->config.document.revision));
 }
 
-/* A key for a request that may not be repeated: names its home and that home's
- * present life, so that it needs no word on which attempt it is. */
+/* Mints an idempotency key that names the home of the request and the home's incarnation, so that
+ * the caller need not number its attempts. */
 static void
 handle_mint (struct ash_api *api, const struct ash_http_request *request)
 {
--- a/daemon/command_line.c
+++ b/daemon/command_line.c
@@ -63,7 +63,7 @@
     }
 }
 
-/* @return whether the settings have no finding; all that they have are printed. */
+/* Reads the settings and prints all findings. @return whether there are none. */
 static bool
 read_settings (const struct ash_command_line *line, const char *path)
 {
--- a/daemon/config_sync.c
+++ b/daemon/config_sync.c
@@ -28,7 +28,7 @@
                  (unsigned long long) offer.revision, offer.document.len);
 }
 
-/* @return whether there are deltas from the peer's revision to the present one. */
+/* @return false if there are no deltas from the peer's revision to the active one. */
 static bool
 send_deltas (struct ash_daemon *daemon, const struct ash_box *box)
 {
@@ -63,8 +63,8 @@
     send_whole (daemon, name);
 }
 
-/* Whole documents wait for the peer's heartbeat: many boxes have a new one at
- * about the same time, and a peer needs it once. */
+/* Whole documents are not sent here but after the peer's next heartbeat: many boxes get a new
+ * configuration at about the same time, and by then the peer usually has it from one of them. */
 void
 ash_config_sync_push_deltas (struct ash_daemon *daemon)
 {
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -109,7 +109,7 @@
       return;
     case ASH__EVENT__KIND_LINK_UP:
       daemon->role.event (daemon->role.data, event);
-      /* A new link may lead to a new life, which has nothing yet. */
+      /* The peer may have restarted and then has no configuration: offer the active one again. */
       box = ash_membership_find (daemon->membership, event->peer);
       if (box)
         box->offered = 0;
@@ -140,7 +140,7 @@
   daemon->role.heartbeat (daemon->role.data, heartbeat);
 }
 
-/* ---- time and the end ---- */
+/* ---- timer and signals ---- */
 
 static void
 send_to_role (struct ash_daemon *daemon, Ash__Event__KindCase kind, const void *message)
@@ -162,8 +162,9 @@
     ev_break (loop, EVBREAK_ALL);
 }
 
-/* Runs first after each sleep of the loop, which lasts a tick at most. A longer
- * gap means that the process was stopped, and that all it holds is old. */
+/* Runs before all other watchers each time the event loop wakes up, which the tick makes it do at
+ * least every TICK_S. A longer gap means that the process was suspended and that messages still
+ * unread are old. */
 static void
 check_for_pause (struct ev_loop *loop, ev_check *check, int events)
 {
@@ -200,7 +201,7 @@
   ash_peers_beat (&daemon->peers);
 }
 
-/* ---- life ---- */
+/* ---- setup ---- */
 
 static void
 watch_signal (struct ash_daemon *daemon, ev_signal *watcher, int number)
@@ -230,7 +231,8 @@
     randombytes_buf (&daemon->incarnation, sizeof daemon->incarnation);
   if (!daemon->loop)
     return false;
-  /* Before anything can be reached: in between, a signal would end the process at once. */
+  /* Handlers are installed before anything is reachable: without them a signal would end the
+   * process without a planned stop. */
   watch_signal (daemon, &daemon->on_term, SIGTERM);
   watch_signal (daemon, &daemon->on_int, SIGINT);
   return ash_http_client_init (&daemon->http_client, daemon->loop);
--- a/daemon/endpoint.c
+++ b/daemon/endpoint.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * The endpoint role: an agent's core, its links, and the engine of its box.
+ * The endpoint role: connects an agent's core to its peer links and to the engine of its box.
  */
 #include "controllers/agent.h"
 #include "daemon/daemon.h"
@@ -10,17 +10,17 @@
 #include <string.h>
 #include <utlist.h>
 
-/* After the last request, so long for an entry that was just cut off to come
- * for the end of its answer. */
+/* How long the process waits after its last request, so that an entry whose link just failed can
+ * reconnect and request the rest of its answer. */
 #define IDLE_LINGER_MS 300
 
 struct endpoint;
 
-/* A run at the engine. */
+/* A request that the engine is running. */
 struct run
 {
   struct endpoint *endpoint;
-  uint64_t number;
+  uint64_t number; /* assigned by the agent's core */
   struct ash_fetch *fetch;
   struct run *prev;
   struct run *next;
@@ -103,7 +103,7 @@
     .fresh_connection = start->no_repeat,
   };
 
-  /* Without memory the run never ends here; its deadline ends it. */
+  /* Out of memory: the core is not informed and ends the run at its deadline. */
   if (!run)
     return;
   run->endpoint = endpoint;
@@ -130,7 +130,7 @@
       }
 }
 
-/* ---- the role ---- */
+/* ---- callbacks of the core and the daemon ---- */
 
 static void
 on_emit (void *data, const struct Ash__Event *event)
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * The entry role: an entry's core, its callers, its links and the platform.
+ * The entry role: connects an entry's core to its callers, its peer links and the platform.
  */
 #include "controllers/readers.h"
 #include "daemon/api.h"
@@ -12,7 +12,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Links to boxes that are not declared any more are looked for at this period. */
+/* How often links to boxes that are no longer declared are closed. */
 #define LINK_CHECK_MS 5000
 
 struct entry
@@ -22,17 +22,17 @@
   struct ash_api api;
   struct ash_explain explain;
   struct ash_platform_reader platform;
-  struct ash_time configured_since; /* the first configuration came */
+  struct ash_time configured_since; /* when the first configuration became active */
   struct ash_time next_link_check;
   struct ash_time stop_since;
   bool serving;
-  bool alone;  /* sees so few boxes that it suspects itself */
-  bool failed; /* it could not begin to serve */
+  bool logged_isolated; /* whether the last log line on it reported this box in isolation */
+  bool failed;          /* it could not listen for callers */
 };
 
 /* ---- links ---- */
 
-/* Of two entries the one whose name comes first dials. */
+/* Between two entries, the one whose name sorts first connects to the other. */
 static bool
 dials_entry (const struct entry *entry, const char *name)
 {
@@ -53,9 +53,8 @@
   return other && dials_entry (entry, box) && strcmp (other->peer, address) == 0;
 }
 
-/* The link to a box that is not declared any more is kept for a key's life: what
- * the box has in hand ends there, and it is asked to disown keys whose home it
- * was. No request lasts longer. */
+/* The link to a box that is no longer declared is kept for key_life_ms: the box finishes its
+ * requests, and is requested to disown keys whose home it was. No request lasts longer. */
 static bool
 keeps_link (void *data, const char *box, const char *address)
 {
@@ -100,7 +99,7 @@
     entry->configured_since = ash_clock_now ();
 }
 
-/* ---- ready to serve ---- */
+/* ---- readiness ---- */
 
 static bool
 is_reachable (const struct entry *entry, const struct ash_service *service)
@@ -118,9 +117,9 @@
   return service->endpoint_count == 0;
 }
 
-/* Callers keep this box's address over a restart. Until it has its links it
- * would refuse what another box could take; a service that nobody can reach
- * must not keep it waiting for ever, though. */
+/* Callers keep this box's address across a restart. Without its links this box would refuse
+ * requests that another entry could serve, so it first waits until each service has an endpoint.
+ * A service that no entry can reach delays it by at most ready_wait_ms. */
 static bool
 is_ready (const struct entry *entry)
 {
@@ -130,8 +129,8 @@
 
   if (!entry->core.config.ready)
     return false;
-  /* A peer has a newer configuration, and sends it: what this box has may be what a
-   * stale platform answered. */
+  /* A peer has a newer configuration and is about to send it. The one here may come from a stale
+   * answer of the platform. */
   if (ash_membership_knows_newer (&entry->core.membership, document->revision))
     return false;
   for (uint32_t i = 0; i < document->service_count; i++)
@@ -160,16 +159,17 @@
     }
 }
 
-/* Logged when it changes: what this box believes of others is doubtful then. */
+/* Logs when this box begins or ceases to reach so few others that it is likely in isolation itself.
+ * Its view of other boxes is unreliable meanwhile. */
 static void
 log_isolation (struct entry *entry)
 {
-  bool alone = entry->serving && entry->core.membership.alone;
+  bool is_isolated = entry->serving && entry->core.membership.alone;
 
-  if (alone != entry->alone)
-    ash_log_event (&entry->daemon.log, alone ? ASH_EV_ALONE : ASH_EV_NOT_ALONE, "endpoints=%u",
-                   entry->core.config.document.endpoint_count);
-  entry->alone = alone;
+  if (is_isolated != entry->logged_isolated)
+    ash_log_event (&entry->daemon.log, is_isolated ? ASH_EV_ALONE : ASH_EV_NOT_ALONE,
+                   "endpoints=%u", entry->core.config.document.endpoint_count);
+  entry->logged_isolated = is_isolated;
 }
 
 static uint32_t
@@ -182,7 +182,7 @@
   return count;
 }
 
-/* Whoever hears that a box is leaving tells all peers. */
+/* Every heartbeat lists all boxes known to be leaving, so that all boxes learn of them. */
 static void
 on_heartbeat (void *data, struct Ash__Heartbeat *heartbeat)
 {
@@ -258,8 +258,8 @@
                                   settings->platform_readers);
 }
 
-/* A reader goes by its own is_reading; who leaves that to others, or has only just come to read
- * itself, by their word. */
+/* Whether the platform answers. An entry that reads the platform relies on its own reads. One that
+ * doesn't, or has only just begun to, relies on what the reading entries report. */
 static bool
 platform_answers (void *data)
 {
@@ -291,7 +291,7 @@
   ash_peers_beat (&entry->daemon.peers);
 }
 
-/* ---- time and the end ---- */
+/* ---- resumption and shutdown ---- */
 
 static void
 on_resumed (void *data)
@@ -309,8 +309,8 @@
   return ash_explain_request (&entry->core, query);
 }
 
-/* All requests have their final answers by then. What is left are callers that read or send
- * slowly: they must not keep the process until it is killed. */
+/* By the end of the grace period all requests have their final answers. Callers that read or send
+ * slowly may still be connected; they must not keep the process running until it is killed. */
 static bool
 is_grace_over (const struct entry *entry, struct ash_time now)
 {
@@ -319,8 +319,8 @@
   return grace_ms && ash_time_diff (entry->stop_since, now) >= grace_ms;
 }
 
-/* Callers that still keep this address are served while they may keep it; then
- * nothing new is taken, and what is in flight ends. */
+/* Callers may keep this entry's address for address_keep_ms and are served until then. After that
+ * no new request is accepted, and the process ends when those in flight have ended. */
 static bool
 may_exit (void *data)
 {
--- a/daemon/explain.c
+++ b/daemon/explain.c
@@ -7,7 +7,7 @@
 #define GROUP_PATH "/v1/explain/group/"
 #define REQUEST_PATH "/v1/explain/request/"
 
-/* Boxes that have not answered by then are named as unanswered. */
+/* Boxes that have not answered by then are listed as silent in the answer. */
 #define QUERY_TIMEOUT_MS 800
 
 void
@@ -32,7 +32,7 @@
       free_query (&explain->pending[i]);
 }
 
-/* ---- this entry's own word ---- */
+/* ---- this entry's own records ---- */
 
 json_t *
 ash_explain_request (const struct ash_entry *entry, const struct Ash__Query *query)
@@ -52,7 +52,7 @@
       (json_int_t) ash_time_diff (past->ended, ash_clock_now ()));
 }
 
-/* ---- questions ---- */
+/* ---- queries ---- */
 
 static struct ash_explain_pending *
 add_query (struct ash_explain *explain, uint64_t request)
@@ -121,7 +121,7 @@
       query_box (explain, pending, document->entries[i].name, query);
 }
 
-/* Reads what the path asks about. @return what is wrong, or NULL. */
+/* Parses the path of a request into a query. @return an error message, or NULL. */
 static const char *
 parse_query (const struct ash_explain *explain, const char *path, struct Ash__Query *query)
 {
@@ -149,15 +149,15 @@
 {
   struct Ash__Query query = ASH__QUERY__INIT;
   struct ash_explain_pending *pending;
-  const char *wrong;
+  const char *problem;
 
   if (!ash_operator_check (explain->api, request, ASH_OPERATOR_READER))
     return;
-  wrong = parse_query (explain, request->path, &query);
-  if (wrong)
+  problem = parse_query (explain, request->path, &query);
+  if (problem)
     {
-      ash_operator_refuse (explain->api, request->number, MHD_HTTP_NOT_FOUND, "bad_question", wrong,
-                           NULL);
+      ash_operator_refuse (explain->api, request->number, MHD_HTTP_NOT_FOUND, "bad_question",
+                           problem, NULL);
       return;
     }
   pending = add_query (explain, request->number);
--- a/daemon/explain.h
+++ b/daemon/explain.h
@@ -1,27 +1,27 @@
 /**
  * @file
- * Answers operators who ask why: an entry asks the boxes that may know, and puts
- * their answers together. Drains a box.
+ * Operators' queries about requests and groups: an entry queries the boxes that may have records
+ * and combines their answers. Also drains a box on request.
  */
 #ifndef ASH_EXPLAIN_H
 #define ASH_EXPLAIN_H
 
 #include "daemon/api.h"
 
-/** Questions that are pending at once. */
+/** Maximum number of pending queries. */
 #define ASH_EXPLAIN_PENDING_MAX 16
 
-/** A question whose answers are awaited. */
+/** A query that some boxes have not answered yet. */
 struct ash_explain_pending
 {
-  uint64_t number;  /**< names it to the boxes; 0: free */
-  uint64_t request; /**< the operator's */
-  struct ash_time until;
-  json_t *unanswered; /**< boxes that have not answered */
-  json_t *answers;    /**< by box */
+  uint64_t number;       /**< id of the query in messages; 0: this slot is free */
+  uint64_t request;      /**< number of the operator's HTTP request */
+  struct ash_time until; /**< when the operator gets the answers so far */
+  json_t *unanswered;    /**< names of boxes that have not answered */
+  json_t *answers;       /**< answers by box name */
 };
 
-/** Open questions of an entry. */
+/** Pending queries of an entry. */
 struct ash_explain
 {
   struct ash_api *api;
@@ -32,25 +32,26 @@
 void ash_explain_init (struct ash_explain *explain, struct ash_api *api);
 void ash_explain_finish (struct ash_explain *explain);
 
-/** GET /v1/explain/group/NAME and /v1/explain/request/ID. */
+/** Handles GET /v1/explain/group/NAME and /v1/explain/request/ID. */
 void ash_explain_handle_request (struct ash_explain *explain,
                                  const struct ash_http_request *request);
 
-/** Takes a box's answer. */
+/** Handles a box's answer to a query. */
 void ash_explain_handle_answer (struct ash_explain *explain,
                                 const char *box,
                                 const struct Ash__QueryAnswer *answer);
 
-/** The operator has gone. */
+/** Drops the queries of an operator that disconnected.
+ * @param request number of the operator's HTTP request. */
 void ash_explain_disconnected (struct ash_explain *explain, uint64_t request);
 
-/** Ends questions that have waited long enough. */
+/** Runs the timers: answers queries whose time is over with the answers so far. */
 void ash_explain_tick (struct ash_explain *explain);
 
-/** POST /v1/drain?box=NAME: that box takes no new work in its present life. */
+/** Handles POST /v1/drain?box=NAME: the box accepts no new requests until it restarts. */
 void ash_explain_drain (struct ash_explain *explain, const struct ash_http_request *request);
 
-/** What this entry itself knows of a request. @return a new object, or NULL. */
+/** @return a new JSON object with this entry's own record of a request, or NULL if it has none. */
 json_t *ash_explain_request (const struct ash_entry *entry, const struct Ash__Query *query);
 
 #endif
--- a/daemon/group_agent.c
+++ b/daemon/group_agent.c
@@ -15,16 +15,16 @@
 #define POLL_MS 200
 #define HTTP_TIMEOUT_MS 1000
 
-/* A state with the largest placement in hex is a tenth of this. */
+/* Limit of an engine's answer. A state with the largest placement, in hex, is a tenth of this. */
 #define ANSWER_MAX_BYTES 65536
 
-/* A rank that waits for a decision, or is blank, for so long: whoever should
- * have gone on has not. Each rank waits longer than the one before, so that one
- * agent takes over and not all. */
+/* If the own rank stays armed (waits for a commit) or blank (its engine was replaced) for this
+ * long, the coordinator has abandoned the change, and another agent takes over. Each rank waits
+ * longer than the one before, so that a single agent takes over. */
 #define TAKEOVER_MS 400
 #define TAKEOVER_STAGGER_MS 150
 
-/* Intervals that a move's gain is counted for. */
+/* The gain of a move is summed over this many intervals. */
 #define GAIN_HORIZON_INTERVALS 10
 
 enum call_kind
@@ -34,15 +34,15 @@
   CALL_ORDER,
 };
 
-/* Paths below the engine's URL. */
+/* Paths below the engine's URL, by call_kind. */
 static const char *const call_paths[] = { "state", "loads", "order" };
 
-/* A request to the own engine, with whom to answer. */
+/* A request to the engine of the own rank. */
 struct engine_call
 {
   struct ash_group_agent *group;
   enum call_kind kind;
-  char peer[ASH_NAME_BYTES]; /* the coordinator whose order it is */
+  char peer[ASH_NAME_BYTES]; /* the coordinator that gets the answer to an order */
   char *body;
   size_t length;
   bool failed;
@@ -69,7 +69,7 @@
   memcpy (map->placement, placement->slots, map->length);
 }
 
-/* ---- answers of the engine ---- */
+/* ---- the engine's answers ---- */
 
 static void
 deliver_state (struct ash_group_agent *group, const char *peer, const struct Ash__RankState *state)
@@ -85,7 +85,7 @@
     ash_daemon_send (group->daemon, &event);
 }
 
-/* What the own rank says tells whether the group needs somebody to go on. */
+/* The state of the own rank shows whether a change is unfinished and may have been abandoned. */
 static void
 update_from_state (struct ash_group_agent *group, const struct Ash__RankState *state)
 {
@@ -110,7 +110,7 @@
   json_decref (root);
   if (!state)
     return false;
-  /* The agent names the rank, whatever the engine calls itself. */
+  /* Group and rank come from the configuration, not from the engine. */
   free (state->group);
   state->group = strdup (call->group->name);
   state->rank = call->group->rank;
@@ -297,8 +297,8 @@
   ash_expert_guard_init (&group->guard, daemon->incarnation, false);
 }
 
-/* Whether what is in force says the same of this rank as before: then what was
- * learned of the loads, and a change under way, go on. */
+/* Whether the active configuration leaves this rank's settings unchanged. Then the loads learned so
+ * far and a change in progress are kept. */
 static bool
 is_same_member (const struct ash_group_agent *group,
                 const struct ash_group *settings,
@@ -328,7 +328,7 @@
   struct ash_sink sink = { on_emit, group };
 
   group->member = true;
-  *group->profile = '\0'; /* a new policy has not been logged_phase of it */
+  *group->profile = '\0'; /* a new policy has no forecast yet */
   strcpy (group->name, settings->name);
   group->rank = own->rank;
   group->rank_count = settings->rank_count;
@@ -341,7 +341,7 @@
                           (uint32_t) group->daemon->incarnation, sink);
 }
 
-/* Of two agents of a group the one whose box's name comes first dials. */
+/* Between two agents of a group, the one whose box name sorts first connects to the other. */
 static void
 link_members (struct ash_group_agent *group, const struct ash_document *document)
 {
@@ -382,10 +382,10 @@
   link_members (group, document);
 }
 
-/* ---- time ---- */
+/* ---- timers ---- */
 
-/* By custom the lowest rank that can be reached decides what to move. It needs
- * no right to: two that think so fence each other off. */
+/* The lowest rank that can be reached decides on moves. No election is needed: if two agents both
+ * consider themselves the lowest, their ballots fence each other off. */
 static bool
 is_decider (const struct ash_group_agent *group)
 {
@@ -401,11 +401,11 @@
 }
 
 static void
-note (struct ash_group_agent *group, enum ash_expert_note_kind kind)
+add_history (struct ash_group_agent *group, enum ash_expert_note_kind kind)
 {
   const struct ash_expert_change *change = &group->change;
   bool has_change = kind != ASH_EXPERT_NOTE_KEPT;
-  struct ash_expert_note entry = {
+  struct ash_expert_note note = {
     .kind = kind,
     .at = ash_clock_now (),
     .ballot = has_change ? change->ballot : 0,
@@ -417,7 +417,7 @@
     .refused_gain = group->decision.refused_gain,
   };
 
-  ash_expert_history_add (&group->history, &entry);
+  ash_expert_history_add (&group->history, &note);
 }
 
 static void
@@ -430,14 +430,14 @@
   group->logged_phase = change->phase;
   if (change->phase == ASH_EXPERT_DONE)
     {
-      note (group, ASH_EXPERT_NOTE_DONE);
+      add_history (group, ASH_EXPERT_NOTE_DONE);
       ash_log_event (&group->log, ASH_EV_MAP_CHANGED,
                      "group=%s ballot=%" PRIu64 " map=%016" PRIx64 " step=%" PRIu64, group->name,
                      change->ballot, change->wanted.digest, change->step);
     }
   else if (change->phase == ASH_EXPERT_FAILED)
     {
-      note (group, ASH_EXPERT_NOTE_GIVEN_UP);
+      add_history (group, ASH_EXPERT_NOTE_GIVEN_UP);
       ash_log_event (&group->log, ASH_EV_MAP_GIVEN_UP,
                      "group=%s ballot=%" PRIu64 " highest=%" PRIu64, group->name, change->ballot,
                      change->highest);
@@ -457,7 +457,7 @@
 {
   group->logged_phase = ASH_EXPERT_IDLE;
   ash_expert_change_start (&group->change, ash_clock_now (), wanted);
-  note (group, wanted ? ASH_EXPERT_NOTE_MOVES : ASH_EXPERT_NOTE_TAKEOVER);
+  add_history (group, wanted ? ASH_EXPERT_NOTE_MOVES : ASH_EXPERT_NOTE_TAKEOVER);
   ash_log_event (&group->log, ASH_EV_MAP_CHANGE,
                  "group=%s why=%s ballot=%" PRIu64
                  " moves=%u skew=%.3f predicted=%.3f refused_gain=%.3f",
@@ -466,8 +466,8 @@
                  group->decision.skew_after, group->decision.refused_gain);
 }
 
-/* Before a declared event begins, moves are made for the popularity that its
- * profile expects; once it has begun, what is reported counts. */
+/* In the lead time before a declared event, moves are decided for the expert loads that the event's
+ * profile forecasts. Once the event has begun, the reported loads count. */
 static void
 apply_forecast (struct ash_group_agent *group)
 {
@@ -511,7 +511,7 @@
   ash_expert_policy_decide (&group->policy, &group->placement, speeds, &group->decision);
   if (!group->decision.move_count)
     {
-      note (group, ASH_EXPERT_NOTE_KEPT);
+      add_history (group, ASH_EXPERT_NOTE_KEPT);
       return;
     }
   ash_expert_placement_apply (&changed, group->decision.moves, group->decision.move_count);
--- a/daemon/group_agent.h
+++ b/daemon/group_agent.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * An agent's part in its group: carries orders to its own rank's engine, brings
- * the answers back to whoever coordinates, and may coordinate itself. It keeps
- * nothing: whoever takes over reads all from the ranks.
+ * An agent's part in its lock-step group: passes a coordinator's orders to the engine of its own
+ * rank, returns the answers, and may coordinate changes of the expert map itself. It stores no
+ * state: an agent that takes over coordination reads the state of all ranks.
  */
 #ifndef ASH_GROUP_AGENT_H
 #define ASH_GROUP_AGENT_H
@@ -15,49 +15,52 @@
 
 struct engine_call;
 
-/** The group of one endpoint. */
+/** State of one endpoint's membership in a group. */
 struct ash_group_agent
 {
   struct ash_daemon *daemon;
   struct ash_log log;
-  bool member; /**< this endpoint runs in a group */
+  bool member; /**< this endpoint belongs to a group; the fields below are valid */
   char name[ASH_NAME_BYTES];
   uint32_t rank;
   uint32_t rank_count;
-  uint32_t interval_ms;
-  char box_names[ASH_EXPERT_RANKS_MAX][ASH_NAME_BYTES]; /**< by rank */
-  const char *boxes[ASH_EXPERT_RANKS_MAX];
-  struct ash_expert_change change;
-  enum ash_expert_phase logged_phase; /**< the last phase that was logged */
+  uint32_t interval_ms;                                 /**< between decisions on moves */
+  char box_names[ASH_EXPERT_RANKS_MAX][ASH_NAME_BYTES]; /**< boxes of the group, by rank */
+  const char *boxes[ASH_EXPERT_RANKS_MAX];              /**< pointers to box_names */
+  struct ash_expert_change change;    /**< the change that this agent coordinates */
+  enum ash_expert_phase logged_phase; /**< last phase of the change that was logged */
   struct ash_expert_policy policy;
-  struct ash_expert_placement placement; /**< as the newest state here has it */
-  struct ash_expert_decision decision;   /**< the last, for the log */
-  struct ash_expert_history history;     /**< for operators */
-  struct ash_time unsettled_since;       /**< the own rank waits or is blank since then */
+  struct ash_expert_placement placement; /**< from the latest state of the own rank */
+  struct ash_expert_decision decision;   /**< the last decision, for the log */
+  struct ash_expert_history history;     /**< decisions and changes, for operators' queries */
+  struct ash_time unsettled_since;       /**< since when the own rank has been armed or blank */
   struct ash_time next_poll;
   struct ash_time next_decision;
-  char profile[ASH_NAME_BYTES]; /**< of the event that is prepared for; empty: none */
-  uint64_t rank_map;
-  struct ash_expert_guard guard; /**< before the own engine */
-  bool polling;
-  struct engine_call *calls; /**< under way */
+  char profile[ASH_NAME_BYTES]; /**< profile of the declared event that is prepared for; empty: none
+                                 */
+  uint64_t rank_map;            /**< digest of the own rank's map; 0: none */
+  struct ash_expert_guard guard; /**< checks orders to the own engine */
+  bool polling;                  /**< a request for the engine's state is in progress */
+  struct engine_call *calls;     /**< requests to the engine in progress */
 };
 
 void ash_group_agent_init (struct ash_group_agent *group, struct ash_daemon *daemon);
 
-/** To be called when the HTTP client is finished. */
+/** Frees requests to the engine that are still in progress. Call it after
+ * ash_http_client_finish(), when no callback can use them any more. */
 void ash_group_agent_finish (struct ash_group_agent *group);
 
-/** A new configuration is in force. */
+/** Applies a newly active configuration. */
 void ash_group_agent_configured (struct ash_group_agent *group);
 
-/** Takes an order or an answer from a peer. @return false if it is neither. */
+/** Handles a peer's RankOrder or RankState. @return false if it is another message. */
 bool ash_group_agent_handle (struct ash_group_agent *group, const struct Ash__Event *event);
 
-/** What was decided here on the group, newest first. @return a new object, or NULL. */
+/** @return a new JSON object with this agent's decisions on the group, newest first; NULL if the
+ * endpoint isn't in the group. */
 json_t *ash_group_agent_explain (const struct ash_group_agent *group, const char *name);
 
-/** Time goes on. */
+/** Runs the timers: polls the engine's state, decides on moves, takes over abandoned changes. */
 void ash_group_agent_tick (struct ash_group_agent *group);
 
 #endif
--- a/daemon/intent.c
+++ b/daemon/intent.c
@@ -18,9 +18,10 @@
   snprintf (digest, DIGEST_BYTES, "%016" PRIx64, (uint64_t) XXH3_64bits (text, strlen (text)));
 }
 
-/* ---- what a plan does ---- */
+/* ---- plan ---- */
 
-/* Of a thousand keys that may not be repeated, how many get another home. */
+/* For each service, the fraction of idempotency keys that get another home, from HOME_SAMPLES
+ * keys. */
 static json_t *
 moved_homes (const struct ash_document *before, const struct ash_document *after)
 {
@@ -45,7 +46,7 @@
   return moved;
 }
 
-/* Accounts that get other entries: their callers ask for addresses again. */
+/* Number of accounts that get other entries; their callers have to fetch addresses again. */
 static uint32_t
 moved_accounts (const struct ash_document *before, const struct ash_document *after)
 {
@@ -104,7 +105,7 @@
                     findings_json (findings), "document", text);
 }
 
-/* Whoever asks holds a key, and there is something to ask about. */
+/* Checks the operator's key and that there is a configuration; answers the request if not. */
 static bool
 is_allowed (struct ash_api *api, const struct ash_http_request *request, enum ash_operator required)
 {
@@ -194,7 +195,7 @@
   return NULL;
 }
 
-/* How what is in force now differs from what the plan was to bring about. */
+/* The differences between the document of the plan and the active configuration. */
 static json_t *
 changed_meanwhile (const struct ash_config *config, const json_t *plan)
 {
@@ -214,18 +215,18 @@
   json_t *plan;
   json_t *more = NULL;
   const char *code;
-  const char *wrong;
+  const char *problem;
 
   if (!is_allowed (api, request, ASH_OPERATOR_FULL))
     return;
   plan = json_loadb ((const char *) request->body, request->body_bytes, 0, NULL);
-  wrong = check_plan (api, plan, &code);
-  if (wrong && strcmp (code, "base_moved") == 0)
+  problem = check_plan (api, plan, &code);
+  if (problem && strcmp (code, "base_moved") == 0)
     more = changed_meanwhile (&api->entry->config, plan);
-  if (wrong)
+  if (problem)
     ash_operator_refuse (api, request->number,
                          strcmp (code, "bad_plan") == 0 ? MHD_HTTP_BAD_REQUEST : MHD_HTTP_CONFLICT,
-                         code, wrong, more);
+                         code, problem, more);
   else
     ash_operator_reply (api, request->number, MHD_HTTP_OK,
                         json_pack ("{s:O, s:O, s:O}", "revision",
--- a/daemon/intent.h
+++ b/daemon/intent.h
@@ -1,23 +1,24 @@
 /**
  * @file
- * The operators' part of an entry's HTTP interface: plan and confirm.
+ * The operators' part of an entry's HTTP interface: plan, confirm and diff.
  *
- * The system can't write, so a confirmation ends in the operator's own
- * publication: a confirmed plan's document is handed out with the revision to
- * publish it under. Of two operators on one base one is told so.
+ * The daemon can't publish a configuration; the operator does. Confirming a plan returns its
+ * document and the revision to publish it under. If the configuration has changed since the plan
+ * was made, for example by another operator, the confirmation is refused.
  */
 #ifndef ASH_DAEMON_INTENT_H
 #define ASH_DAEMON_INTENT_H
 
 #include "daemon/api.h"
 
-/** POST /v1/plan: an intent, answered by what would change. */
+/** Handles POST /v1/plan: answers an intent with the changes it would make. */
 void ash_intent_plan (struct ash_api *api, const struct ash_http_request *request);
 
-/** POST /v1/confirm: a plan, answered by the document to publish, or why not. */
+/** Handles POST /v1/confirm: answers a plan with the document to publish, or with the reason why
+ * the plan is refused. */
 void ash_intent_confirm (struct ash_api *api, const struct ash_http_request *request);
 
-/** POST /v1/diff: a document, answered by how it differs from what is in force. */
+/** Handles POST /v1/diff: answers a document with its differences from the active one. */
 void ash_intent_diff (struct ash_api *api, const struct ash_http_request *request);
 
 #endif
--- a/daemon/main.c
+++ b/daemon/main.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * ashspindled: one box's process, as entry or as endpoint.
+ * ashspindled: the daemon of one box, in the role of an entry or an endpoint.
  */
 #include "daemon/command_line.h"
 #include "daemon/daemon.h"
--- a/daemon/platform_reader.c
+++ b/daemon/platform_reader.c
@@ -6,29 +6,31 @@
 
 #define MS_PER_S 1000.0
 
-/* A watch is_long_poll this long at the platform; a read may take that and a bit. While nothing is
- * new a watch looks the same whether it is heard or not, so the sum bounds how late a silent one is
- * noticed that nothing else shows: 5 s, of the 7 s in which a change is to be in force. The 32
- * readers of the size to come cost 48 is_reading a second with it, of the platform's 2,000. */
+/* How long a watch waits at the platform for a new configuration, and the time beyond that after
+ * which a read has failed. While there is nothing new, a watch whose connection is dead can't be
+ * told from one that waits, so the sum of both, 5 s, bounds how late a dead one is noticed if
+ * nothing else shows it. A change has to be active within 7 s. At these values 32 readers send 48
+ * reads a second, of the 2,000 that the platform can serve. */
 #define WATCH_MS 2000
 #define READ_TIMEOUT_MS 3000
 
-/* A connection to the platform that is silent for so long is given up, keep-alive probes
- * included: a cut shows before the watch's time is over. */
+/* A connection to the platform on which nothing arrives for this long, keep-alive probes included,
+ * is closed. This reveals a network partition before the watch times out. */
 #define IDLE_TIMEOUT_MS 2000
 
-/* The platform answers all its readers within some milliseconds, and a new revision is told to
- * peers at once. Whose own watch has not brought it so long after_revision has a silent one. */
+/* The platform answers all its readers within some milliseconds, and entries send a new revision to
+ * their peers at once. If an entry's own watch has not delivered it this long after a peer reported
+ * it, the connection of the watch is likely dead. */
 #define PEER_NEWER_MS 300
 
-/* A watch that was sent less long ago may still be on its way. */
+/* A watch younger than this is not restarted: its request may not have arrived yet. */
 #define WATCH_RESTART_MIN_MS 300
 
-/* The list is read at this period. A leaving box tells its peers itself; the
- * list is one more source, which lags by more than this anyway. */
+/* Period of reads of the list. A leaving box also notifies its peers itself, and the list lags by
+ * more than this period anyway. */
 #define LIST_PERIOD_MS 1000
 
-/* Whether to read is sent_at again at this period, while others do. */
+/* How often an entry that leaves reading to others checks whether it should read. */
 #define ROLE_CHECK_MS 500
 
 #define BACK_OFF_FIRST_MS 100
@@ -46,8 +48,8 @@
   ev_timer_start (read->platform->daemon->loop, &read->timer);
 }
 
-/* Doubles with each failure, then half to all of it at random, so that a fleet
- * does not come back to the platform in step. */
+/* Exponential back-off with jitter between half and all of the delay, so that the readers don't
+ * retry at the same time. */
 static uint32_t
 back_off_ms (struct ash_platform_read *read)
 {
@@ -110,7 +112,7 @@
 
   if (read->body_bytes + length > ASH_DOCUMENT_MAX_BYTES)
     {
-      /* Refused below: more than a document may hold. */
+      /* Longer than a document may be; handle_answer() rejects the answer for its status. */
       read->status = 0;
       return;
     }
@@ -148,7 +150,7 @@
   read->body_bytes = 0;
 }
 
-/* The read is over, answered or not. */
+/* Logs and counts the result of a read. */
 static void
 record_result (struct ash_platform_read *read, bool ok, const char *why)
 {
@@ -165,8 +167,8 @@
     read->platform->is_reading = ok;
 }
 
-/* Something shows that the watch may be silent: it is given up and sent_at anew, for an answer at
- * once. Until that comes this does not count as reading. */
+/* Cancels a watch whose connection may be dead and starts a read that is answered at once. Until
+ * that read has succeeded, this entry counts as not reading the platform. */
 static void
 restart_watch (struct ash_platform_reader *platform, struct ash_time now, const char *why)
 {
@@ -181,7 +183,7 @@
   start_later (read, 1);
 }
 
-/* What was sent_at has been answered: nothing that is not newer can be missing. */
+/* After a successful read no revision up to the requested or received one can be missing. */
 static void
 update_confirmed_revision (struct ash_platform_read *read)
 {
@@ -201,14 +203,14 @@
   bool ok = handle_answer (read, result);
 
   free_answer (read);
-  record_result (read, ok, result == ASH_FETCH_WHOLE ? "no answer of use" : "no answer in time");
+  record_result (read, ok, result == ASH_FETCH_WHOLE ? "unusable answer" : "no complete answer");
   if (!ok)
     start_later (read, back_off_ms (read));
   else
     start_later (read, read->is_list ? LIST_PERIOD_MS : 1);
   if (ok && !read->is_list)
     update_confirmed_revision (read);
-  /* What keeps one question from being answered may keep the other one too. */
+  /* If reading the list failed, the connection of the watch may be dead, too. */
   if (!ok && read->is_list && first_failure)
     restart_watch (read->platform, ash_clock_now (), "the list failed");
 }
@@ -224,11 +226,11 @@
     .url = url, .method = "GET", .timeout_ms = READ_TIMEOUT_MS, .silence_ms = IDLE_TIMEOUT_MS
   };
   uint64_t after_revision = platform->seen_revision;
-  /* Whoever does not know whether the platform answers asks for an answer at once: a watch
-   * would tell only at its end. */
+  /* Until a read has succeeded, reads don't wait at the platform: a watch would show only at its
+   * end whether the platform answers. */
   int wait_ms = platform->is_reading ? WATCH_MS : 0;
 
-  /* An older answer must not make this wait for what it has already. */
+  /* A peer may have sent a newer revision than the last one read here. Don't read that again. */
   if (daemon->config->ready && daemon->config->document.revision > after_revision)
     after_revision = daemon->config->document.revision;
   if (read->is_list)
@@ -248,7 +250,7 @@
     start_later (read, BACK_OFF_MAX_MS);
 }
 
-/* ---- what peers tell ---- */
+/* ---- revisions of peers ---- */
 
 void
 ash_platform_reader_peer_revision (struct ash_platform_reader *platform,
@@ -261,7 +263,7 @@
 void
 ash_platform_reader_tick (struct ash_platform_reader *platform, struct ash_time now)
 {
-  /* Whether the watch is_long_poll is sent_at first: who does not read has nothing to doubt. */
+  /* An entry that does not watch the configuration has nothing to restart. */
   if (platform->config.is_long_poll &&
       ash_peer_news_behind (&platform->peer_revisions, now, platform->confirmed_revision,
                             PEER_NEWER_MS))
@@ -289,7 +291,7 @@
     }
   if (!read->is_list)
     platform->is_reading = false;
-  /* What it knew of the platform is out of date. */
+  /* Failures seen before say nothing about the platform when reading starts again. */
   read->failures = 0;
   start_later (read, ROLE_CHECK_MS);
 }
--- a/daemon/platform_reader.h
+++ b/daemon/platform_reader.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The reader of the platform: a long-poll watch of the configuration and a
- * read of the list of boxes, with back-off while it does not answer.
+ * Reads from the platform: watches the configuration by long polling and polls the list of boxes,
+ * with back-off while the platform does not answer.
  */
 #ifndef ASH_PLATFORM_READER_H
 #define ASH_PLATFORM_READER_H
@@ -9,35 +9,37 @@
 #include "controllers/peer_news.h"
 #include "daemon/daemon.h"
 
-/** Who gets what the platform says. */
+/** Callbacks for data read from the platform. */
 struct ash_platform_reader_handler
 {
+  /** A new configuration document. */
   void (*document) (void *data, uint64_t revision, const char *text, size_t text_bytes);
+  /** A row of the list of boxes. */
   void (*box) (void *data, const char *name, bool leaving);
-  bool (*should_read) (void *data); /**< or others read, and tell */
+  bool (*should_read) (void *data); /**< false: peers read the platform and send what they get */
   void *data;
 };
 
 struct ash_platform_reader;
 
-/** One kind of read, repeated. */
+/** A repeated read of one resource. */
 struct ash_platform_read
 {
   struct ash_platform_reader *platform;
-  struct ash_fetch *fetch; /**< under way; NULL: none */
-  bool is_list;
-  bool is_long_poll;       /**< it is a watch, which may be silent for as long as nothing is new */
-  struct ash_time sent_at; /**< when it was sent */
-  uint64_t after_revision; /**< the revision that it asks for newer ones than */
-  uint32_t status;
-  uint64_t revision;
+  struct ash_fetch *fetch; /**< the read in progress; NULL: none */
+  bool is_list;            /**< reads the list of boxes, not the configuration */
+  bool is_long_poll;       /**< the last read sent was to wait at the platform for something new */
+  struct ash_time sent_at; /**< when the last read was sent */
+  uint64_t after_revision; /**< the last read requested a revision newer than this */
+  uint32_t status;         /**< HTTP status of the answer; 0: none or too long */
+  uint64_t revision;       /**< of the document in the answer */
   char *body;
   size_t body_bytes;
-  uint32_t failures; /**< in a row */
-  ev_timer timer;    /**< until the next read */
+  uint32_t failures; /**< consecutive failed reads */
+  ev_timer timer;    /**< starts the next read */
 };
 
-/** The reader. */
+/** State of the reader. */
 struct ash_platform_reader
 {
   struct ash_daemon *daemon;
@@ -46,29 +48,30 @@
   struct ash_random random;
   struct ash_platform_read config;
   struct ash_platform_read list;
-  uint64_t seen_revision;      /**< of the last document read */
-  uint64_t confirmed_revision; /**< its own questions were answered as to revisions up to this */
-  struct ash_peer_news peer_revisions; /**< revisions that peers have in force */
-  bool is_reading; /**< the last read of the configuration went well, and goes on */
+  uint64_t seen_revision; /**< revision of the last document read */
+  uint64_t
+      confirmed_revision; /**< own reads confirmed that no revision up to this one is missing */
+  struct ash_peer_news peer_revisions; /**< active revisions of peers */
+  bool is_reading; /**< the last read of the configuration succeeded and reading continues */
 };
 
-/** Starts reading. */
+/** Starts reading. @p handler is copied. */
 void ash_platform_reader_init (struct ash_platform_reader *platform,
                                struct ash_daemon *daemon,
                                const struct ash_platform_reader_handler *handler);
 
-/** A peer tells which revision it has in force. */
+/** A peer has reported its active revision. */
 void ash_platform_reader_peer_revision (struct ash_platform_reader *platform,
                                         struct ash_time now,
                                         uint64_t revision);
 
-/** Time goes on: a watch that does not bring what peers have is sent_at anew. */
+/** Runs the timers: restarts a watch that does not deliver a revision that peers have. */
 void ash_platform_reader_tick (struct ash_platform_reader *platform, struct ash_time now);
 
-/** @return whether its last read failed: not so if it has not read as yet. */
+/** @return whether the last read of the configuration failed; false before the first read. */
 bool ash_platform_reader_failed (const struct ash_platform_reader *platform);
 
-/** Stops the timers; running is_reading end with the HTTP client. */
+/** Stops the timers. Reads in progress end with the HTTP client. */
 void ash_platform_reader_finish (struct ash_platform_reader *platform);
 
 #endif
