--- a/daemon/group_agent.h
+++ b/daemon/group_agent.h
@@ -20,7 +20,7 @@
 {
   struct ash_daemon *daemon;
   struct ash_log log;
-  bool member; /**< this endpoint belongs to a group; the fields below are valid */
+  bool is_member; /**< this endpoint belongs to a group; the fields below are valid */
   char name[ASH_NAME_BYTES];
   uint32_t rank;
   uint32_t rank_count;
