--- a/daemon/command_line.h
+++ b/daemon/command_line.h
@@ -11,10 +11,9 @@
 /** A daemon's part of the command line. */
 struct ash_command_line
 {
-  const char *arguments; /**< for the usage text, as "SETTINGS.toml" */
-  const char *purpose;   /**< one sentence for the help text */
-  const char
-      *variable; /**< environment variable with the path if there is no argument; NULL: none */
+  const char *arguments;            /**< for the usage text, as "SETTINGS.toml" */
+  const char *purpose;              /**< one sentence for the help text */
+  const char *variable;             /**< environment variable with the file's path; NULL: none */
   const struct ash_option *options; /**< all settings, for --help-settings */
   /** Reads a settings file into @p settings and adds its faults to @p findings. */
   void (*read) (void *settings, const char *path, struct ash_findings *findings);
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -12,7 +12,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How often links to boxes that are no longer declared are closed. */
+/* Period of the check for links to boxes that are no longer declared. */
 #define LINK_CHECK_MS 5000
 
 struct entry
@@ -54,7 +54,8 @@
 }
 
 /* The link to a box that is no longer declared is kept for key_life_ms: the box finishes its
- * requests, and is requested to disown keys whose home it was. No request lasts longer. */
+ * requests, and is requested to disown keys whose home it was. No request lasts longer than that.
+ */
 static bool
 is_link_needed (void *data, const char *box, const char *address)
 {
--- a/daemon/group_agent.h
+++ b/daemon/group_agent.h
@@ -20,7 +20,7 @@
 {
   struct ash_daemon *daemon;
   struct ash_log log;
-  bool is_member; /**< this endpoint belongs to a group; the fields below are valid */
+  bool is_member; /**< this endpoint belongs to a group */
   char name[ASH_NAME_BYTES];
   uint32_t rank;
   uint32_t rank_count;
@@ -36,9 +36,8 @@
   struct ash_time unsettled_since;       /**< since when the own rank has been armed or blank */
   struct ash_time next_poll;
   struct ash_time next_decision;
-  char profile[ASH_NAME_BYTES]; /**< profile of the declared event that is prepared for; empty: none
-                                 */
-  uint64_t rank_map;            /**< digest of the own rank's map; 0: none */
+  char profile[ASH_NAME_BYTES];  /**< profile of the event prepared for; empty: none */
+  uint64_t rank_map;             /**< digest of the own rank's map; 0: none */
   struct ash_expert_guard guard; /**< checks orders to the own engine */
   bool polling;                  /**< a request for the engine's state is in progress */
   struct engine_call *calls;     /**< requests to the engine in progress */
--- a/filters/entry.h
+++ b/filters/entry.h
@@ -34,7 +34,7 @@
   struct ash_request *by_call;
   struct ash_request *by_attempt;
   uint64_t last_attempt;
-  uint32_t next_round_robin; /**< index of the next pick, for round robin */
+  uint32_t round_robin_counter; /**< picks made by round robin */
   bool leaving;
   struct ash_planned_stop stop;
 };
--- a/filters/filter.h
+++ b/filters/filter.h
@@ -25,7 +25,7 @@
   const struct ash_planned_stop *stop;
   struct ash_random *random;
   const uint8_t *fleet_key;
-  uint32_t *next_round_robin; /**< index of the next pick, for round robin */
+  uint32_t *round_robin_counter; /**< picks made by round robin */
 };
 
 /** Result of a filter. */
@@ -81,7 +81,7 @@
 
 /** For filters: refuses the request.
  * @param reason an Ash__Reason.
- * @param retry_ms when the caller may retry. */
+ * @param retry_ms delay before the caller may retry. */
 enum ash_verdict ash_filter_refuse (struct ash_request *request, int reason, uint32_t retry_ms);
 
 /** @return a random retry delay between the configured retry_after_ms and twice that, so that
--- a/filters/links.c
+++ b/filters/links.c
@@ -56,7 +56,8 @@
          ash_box_preferred (ash_membership_find (&entry->membership, other.box));
 }
 
-/* Retries the requests at a box whose engine is stalled or from which nothing arrives. */
+/* Retries requests that were sent at least stall_ms ago to a box that is stalled or sends nothing.
+ */
 static void
 retry_requests_elsewhere (struct ash_entry *entry,
                           struct ash_time now,
--- a/filters/request.h
+++ b/filters/request.h
@@ -55,8 +55,8 @@
   bool may_have_run;                                  /**< an earlier attempt ran or may have run */
   bool ran; /**< an earlier attempt certainly ran, at least partly */
   struct ash_time disconnected_since;
-  char pending_homes[ASH_CONFIG_HISTORY_MAX][ASH_NAME_BYTES]; /**< earlier homes of its key that
-                                                                 have not answered a disown yet */
+  char pending_homes[ASH_CONFIG_HISTORY_MAX]
+                    [ASH_NAME_BYTES]; /**< earlier homes of its key to disown it */
   uint32_t pending_home_count;
 
   uint64_t received; /**< body bytes received of the current attempt's answer */
@@ -68,7 +68,7 @@
   size_t body_capacity;
 
   int reason;                /**< enum Ash__Reason: why it was refused or failed */
-  uint32_t retry_ms;         /**< when the caller may retry */
+  uint32_t retry_ms;         /**< delay before the caller may retry */
   UT_hash_handle hh;         /**< by call */
   UT_hash_handle hh_attempt; /**< by attempt */
 };
--- a/filters/request_end.h
+++ b/filters/request_end.h
@@ -31,7 +31,7 @@
 /** Ends a request with an error. The caller gets an error answer, or a broken-off stream if the
  * answer has begun.
  * @param outcome an Ash__Outcome: whether the request ran, as far as is known.
- * @param retry_ms when the caller may retry; 0: the default, with jitter. */
+ * @param retry_ms delay before the caller may retry; 0: the default, with jitter. */
 void ash_request_fail (struct ash_entry *entry,
                        struct ash_time now,
                        struct ash_request *request,
--- a/filters/request_history.h
+++ b/filters/request_history.h
@@ -32,7 +32,8 @@
 struct ash_request_history
 {
   struct ash_ended_request *requests;
-  uint32_t next; /**< number of requests added so far; its remainder is the next slot */
+  uint32_t
+      next; /**< number of requests added so far, modulo ASH_REQUEST_HISTORY_MAX the next slot */
 };
 
 /** @return false if out of memory; the history stays empty then. */
