--- a/filters/forward.c
+++ b/filters/forward.c
@@ -140,7 +140,7 @@
 {
   return forward->sent || !context->gate
              ? now
-             : ash_prompt_gate_until (context->gate, &forward->prompt, forward->arrived, now);
+             : ash_prompt_gate_send_time (context->gate, &forward->prompt, forward->arrived, now);
 }
 
 struct ash_forward_decision
