--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -165,7 +165,7 @@
 static void
 log_isolation (struct entry *entry)
 {
-  bool is_isolated = entry->serving && entry->core.membership.alone;
+  bool is_isolated = entry->serving && entry->core.membership.isolated;
 
   if (is_isolated != entry->logged_isolated)
     ash_log_event (&entry->daemon.log, is_isolated ? ASH_EV_ALONE : ASH_EV_NOT_ALONE,
@@ -286,7 +286,7 @@
 {
   struct entry *entry = data;
 
-  if (!ash_membership_listed (&entry->core.membership, name, leaving) || !leaving)
+  if (!ash_membership_set_listed_leaving (&entry->core.membership, name, leaving) || !leaving)
     return;
   ash_log_event (&entry->daemon.log, ASH_EV_BOX_LEAVING, "box=%s source=platform", name);
   ash_peers_beat (&entry->daemon.peers);
--- a/daemon/platform_reader.c
+++ b/daemon/platform_reader.c
@@ -257,7 +257,8 @@
                                    struct ash_time now,
                                    uint64_t revision)
 {
-  ash_peer_news_told (&platform->peer_revisions, now, revision, platform->confirmed_revision);
+  ash_peer_version_reported (&platform->peer_revisions, now, revision,
+                             platform->confirmed_revision);
 }
 
 void
@@ -265,8 +266,8 @@
 {
   /* An entry that does not watch the configuration has nothing to restart. */
   if (platform->config.is_long_poll &&
-      ash_peer_news_behind (&platform->peer_revisions, now, platform->confirmed_revision,
-                            PEER_NEWER_MS))
+      ash_peer_version_is_behind (&platform->peer_revisions, now, platform->confirmed_revision,
+                                  PEER_NEWER_MS))
     restart_watch (platform, now, "peers have a newer configuration");
 }
 
--- a/daemon/platform_reader.h
+++ b/daemon/platform_reader.h
@@ -6,7 +6,7 @@
 #ifndef ASH_PLATFORM_READER_H
 #define ASH_PLATFORM_READER_H
 
-#include "controllers/peer_news.h"
+#include "controllers/peer_version.h"
 #include "daemon/daemon.h"
 
 /** Callbacks for data read from the platform. */
@@ -48,9 +48,9 @@
   struct ash_random random;
   struct ash_platform_read config;
   struct ash_platform_read list;
-  uint64_t seen_revision;              /**< revision of the last document read */
-  uint64_t confirmed_revision;         /**< own reads missed no revision up to this one */
-  struct ash_peer_news peer_revisions; /**< active revisions of peers */
+  uint64_t seen_revision;                 /**< revision of the last document read */
+  uint64_t confirmed_revision;            /**< own reads missed no revision up to this one */
+  struct ash_peer_version peer_revisions; /**< active revisions of peers */
   bool is_reading; /**< the last read of the configuration succeeded and reading continues */
 };
 
--- a/filters/forward.c
+++ b/filters/forward.c
@@ -48,14 +48,14 @@
   return reason == ASH_FORWARD_TIMEOUT ? 504 : 502;
 }
 
-static struct ash_direct_wish
+static struct ash_direct_criteria
 endpoint_criteria (const struct ash_forward *forward, const struct ash_forward_context *context)
 {
-  return (struct ash_direct_wish){
+  return (struct ash_direct_criteria){
     .service = forward->service,
     .hall = context->hall,
     .own = context->own,
-    .far_parts = context->far_parts,
+    .remote_parts = context->remote_parts,
     .cap = forward->cap,
     .pause_aim_ms = forward->pause_aim_ms,
     .tried = forward->tried,
@@ -70,7 +70,7 @@
                 enum ash_forward_reason reason)
 {
   struct ash_random *random = &context->endpoints->random;
-  struct ash_direct_wish criteria = endpoint_criteria (forward, context);
+  struct ash_direct_criteria criteria = endpoint_criteria (forward, context);
   int64_t left_ms = ash_time_diff (now, forward->deadline);
   int64_t most_ms = left_ms / RETRY_MAX_DIVISOR;
   int64_t least_ms;
@@ -85,7 +85,7 @@
     most_ms = RETRY_AFTER_MAX_MS;
   least_ms = most_ms * RETRY_MAX_DIVISOR / RETRY_MIN_DIVISOR;
   /* A retry is useless before the time at which an endpoint announced to accept requests again. */
-  opens_ms = ash_direct_opens_ms (context->endpoints, now, &criteria);
+  opens_ms = ash_direct_wait_ms (context->endpoints, now, &criteria);
   if (opens_ms > least_ms && most_ms > least_ms)
     least_ms = opens_ms < most_ms ? opens_ms : most_ms - 1;
   return (uint32_t) (1 + least_ms) + ash_random_below (random, (uint32_t) (most_ms - least_ms));
@@ -148,7 +148,7 @@
                   const struct ash_forward_context *context,
                   struct ash_time now)
 {
-  struct ash_direct_wish criteria = endpoint_criteria (forward, context);
+  struct ash_direct_criteria criteria = endpoint_criteria (forward, context);
   struct ash_time hold_until = held_until (forward, context, now);
   struct ash_direct_endpoint *endpoint;
 
@@ -169,7 +169,7 @@
       return wait_or_refuse (forward, context, now, ASH_FORWARD_NO_ENDPOINT);
     case ASH_DIRECT_ALL_FULL:
       return wait_or_refuse (forward, context, now, ASH_FORWARD_NO_ROOM);
-    case ASH_DIRECT_HELD_BACK:
+    case ASH_DIRECT_THROTTLED:
       return wait_or_refuse (forward, context, now, ASH_FORWARD_THROTTLED);
     case ASH_DIRECT_CHOSEN:
       break;
--- a/filters/forward.h
+++ b/filters/forward.h
@@ -80,8 +80,8 @@
   uint32_t entries;                 /**< number of processes that share the resend budget */
   const char *hall;                 /**< hall of this process */
   uint64_t own;                     /**< a number that identifies this process among its peers */
-  uint32_t far_parts;           /**< of endpoints in other halls, this process uses 1/far_parts */
-  uint32_t wait_ms;             /**< how long a request may wait for capacity */
+  uint32_t remote_parts; /**< of endpoints in other halls, this process uses 1/remote_parts */
+  uint32_t wait_ms;      /**< how long a request may wait for capacity */
   struct ash_prompt_gate *gate; /**< prompt gate of the service; NULL: prompts are not held */
   int64_t quarantined_ms;       /**< remaining quarantine of the request; 0: not quarantined */
 };
--- a/filters/links.c
+++ b/filters/links.c
@@ -90,10 +90,10 @@
   box = ash_membership_find (&entry->membership, peer);
   if (!box)
     return;
-  box->heard = now;
+  box->heartbeat_at = now;
   if (!heartbeat->stalled)
     return;
-  box->passed_until = ash_time_add (now, entry->settings->stall_hold_ms);
+  box->ejected_until = ash_time_add (now, entry->settings->stall_hold_ms);
   retry_requests_elsewhere (entry, now, peer, ASH__REASON__STALLED);
 }
 
@@ -153,7 +153,7 @@
 
   if (!ash_time_before (now, request->deadline))
     fail_expired (entry, now, request, ASH__REASON__DEADLINE);
-  else if (!ash_time_before (now, entry->stop.answers_by))
+  else if (!ash_time_before (now, entry->stop.answer_deadline))
     fail_expired (entry, now, request, ASH__REASON__STOPPED);
   /* A request that must not be repeated waits for its endpoint until the deadline: the link may
    * return, and the answer can be resumed then. */
