--- a/daemon/groups.c
+++ b/daemon/groups.c
@@ -69,7 +69,7 @@
     return;
   groups->changes = changes;
   groups->changes_told = now;
-  ash_fleet_tell_successors (&groups->router->fleet);
+  ash_fleet_notify_successors (&groups->router->fleet);
 }
 
 /* ---- decisions ---- */
