--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -17,7 +17,7 @@
 /* ---- sending ---- */
 
 static struct ash_forward_world
-world_of (struct ash_exchange *exchange)
+forward_world (struct ash_exchange *exchange)
 {
   struct ash_router *router = exchange->router;
   struct ash_router_service *service = ash_router_service (router, exchange->forward.service);
@@ -80,7 +80,7 @@
   bool started;
 
   ash_exchange_answer_clear (&exchange->answer);
-  ash_event_stream_finish (&exchange->events);
+  ash_event_stream_finish (&exchange->event_stream);
   ash_log_event (
       &router->log, exchange->forward.sent ? ASH_EV_FORWARD_RESENT : ASH_EV_FORWARD_SENT,
       "id=%s route=%s endpoint=%s load=%u elsewhere=%u sent=%u age_ms=%lld last_event=%lld",
@@ -89,20 +89,21 @@
       exchange->has_event ? (long long) exchange->last_event : -1LL);
   started = write_request (exchange, endpoint, &request) &&
             ash_http_call_start (&exchange->call, ash_router_pool (router, endpoint),
-                                 request.bytes + request.start, request.length, exchange->trusted);
+                                 request.bytes + request.start, request.length,
+                                 exchange->idle_valid_since);
   ash_buffer_finish (&request);
   if (exchange->forward.pause_aim_ms)
     ash_prompt_gate_sent (&ash_router_service (router, exchange->forward.service)->gate);
   ash_forward_sent (&exchange->forward, endpoint);
-  exchange->sent = ash_clock_now ();
-  exchange->heard = exchange->sent;
+  exchange->sent_at = ash_clock_now ();
+  exchange->last_received = exchange->sent_at;
   if (!started)
     {
       ash_forward_not_run (&exchange->forward, false);
       ash_exchange_step (exchange);
       return;
     }
-  ash_direct_sent (endpoint, exchange->sent);
+  ash_direct_sent (endpoint, exchange->sent_at);
   exchange->endpoint = endpoint;
   ash_fleet_loads_changed (&router->fleet);
   set_timer (exchange, ASH_TIME_NEVER);
@@ -111,11 +112,11 @@
 void
 ash_exchange_step (struct ash_exchange *exchange)
 {
-  struct ash_forward_world world = world_of (exchange);
+  struct ash_forward_world world = forward_world (exchange);
   struct ash_forward_verdict verdict =
       ash_forward_next (&exchange->forward, &world, ash_clock_now ());
 
-  exchange->asked = 0;
+  exchange->awaited_probe = 0;
   ash_exchange_set_waiting (exchange, verdict.action == ASH_FORWARD_WAIT);
   switch (verdict.action)
     {
@@ -136,9 +137,9 @@
 
 /* The endpoint ran it and says that it failed: asked elsewhere if that is allowed. */
 static void
-take_failure (struct ash_exchange *exchange)
+handle_server_error (struct ash_exchange *exchange)
 {
-  struct ash_forward_world world = world_of (exchange);
+  struct ash_forward_world world = forward_world (exchange);
   struct ash_forward_verdict verdict = { .action = ASH_FORWARD_ANSWER };
 
   if (exchange->forward.repeat == ASH_REPEAT_SAFE && !exchange->forward.began)
@@ -150,7 +151,7 @@
 }
 
 static void
-take_whole (struct ash_exchange *exchange)
+handle_complete_answer (struct ash_exchange *exchange)
 {
   struct ash_exchange_answer *answer = &exchange->answer;
   bool failed = answer->status >= ASH_STATUS_SERVER_ERROR;
@@ -167,13 +168,13 @@
     }
   ash_exchange_record_evidence (exchange, failed ? ASH_DIRECT_FAILED : ASH_DIRECT_ANSWERED);
   ash_exchange_release_slot (exchange);
-  if (answer->events)
+  if (answer->is_event_stream)
     ash_exchange_end_stream (exchange);
-  else if (exchange->forward.began && !answer->passing)
+  else if (exchange->forward.began && !answer->passthrough)
     /* A stream that was to go on got an answer that is none. */
     ash_exchange_step (exchange);
   else if (failed)
-    take_failure (exchange);
+    handle_server_error (exchange);
   else
     ash_exchange_end_with_answer (exchange);
 }
@@ -185,10 +186,10 @@
   struct ash_exchange_answer *answer = &exchange->answer;
 
   ev_timer_stop (exchange->router->loop, &exchange->timer);
-  if (end == ASH_CALL_WHOLE && !answer->bad &&
-      (!answer->events || ash_event_stream_whole (&exchange->events)))
+  if (end == ASH_CALL_WHOLE && !answer->invalid &&
+      (!answer->is_event_stream || ash_event_stream_whole (&exchange->event_stream)))
     {
-      take_whole (exchange);
+      handle_complete_answer (exchange);
       return;
     }
   if (end == ASH_CALL_CUT)
@@ -199,13 +200,13 @@
   if (end == ASH_CALL_NOT_SENT)
     ash_forward_not_run (&exchange->forward, false);
   /* What was passed on of an answer that is no stream can't be taken up elsewhere. */
-  if (answer->passing)
+  if (answer->passthrough)
     {
       ash_exchange_end_with_status (exchange, 502, ASH_FORWARD_FAILED, 0);
       return;
     }
   exchange->forward.wait_until = ash_time_add (ash_clock_now (), RESUME_WAIT_MS);
-  if (exchange->asked)
+  if (exchange->awaited_probe)
     set_timer (exchange, exchange->forward.wait_until);
   else
     ash_exchange_step (exchange);
@@ -267,7 +268,7 @@
   struct ash_exchange *exchange;
   struct ash_exchange *next;
 
-  router->room = false;
+  router->capacity_freed = false;
   if (!router->waiting_count)
     return;
   DL_FOREACH_SAFE (router->exchanges, exchange, next)
--- a/daemon/exchange.h
+++ b/daemon/exchange.h
@@ -24,11 +24,11 @@
 struct ash_exchange_answer
 {
   uint16_t status;
-  bool not_run;    /**< the endpoint vouches that it did not run the request */
-  bool bad;        /**< it can't be the endpoint's answer to this request */
-  bool events;     /**< it is a stream of events */
-  uint64_t length; /**< of the body of an answer to HEAD, which does not come */
-  bool passing;    /**< too large to be held: passed on as it comes */
+  bool not_run;         /**< the endpoint vouches that it did not run the request */
+  bool invalid;         /**< it can't be the endpoint's answer to this request */
+  bool is_event_stream; /**< it is a stream of events */
+  uint64_t length;      /**< of the body of an answer to HEAD, which does not come */
+  bool passthrough;     /**< too large to be held: passed on as it comes */
   struct ash_buffer fields;
   struct ash_buffer body;
 };
@@ -45,16 +45,16 @@
   struct ash_request_facts facts;
   struct ash_forward forward;
   struct ash_direct_endpoint *endpoint; /**< that the call goes to */
-  struct ash_time sent;                 /**< when it went there */
-  struct ash_time heard;                /**< the last byte or event from there */
-  struct ash_time trusted;              /**< kept connections that were heard from since will do */
+  struct ash_time sent_at;              /**< when it went there */
+  struct ash_time last_received;        /**< the last byte or event from there */
+  struct ash_time idle_valid_since;     /**< kept connections that were heard from since will do */
   struct ash_exchange_answer answer;
-  struct ash_event_stream events;
+  struct ash_event_stream event_stream;
   bool has_event;
-  int64_t last_event;     /**< passed on */
-  struct ash_time passed; /**< when */
+  int64_t last_event;            /**< passed on */
+  struct ash_time event_sent_at; /**< when */
   bool waiting;
-  uint64_t asked; /**< it goes on once this endpoint was asked whether it stands; 0: none */
+  uint64_t awaited_probe; /**< it goes on once this endpoint was asked whether it stands; 0: none */
   bool has_digest;
   struct ash_id digest; /**< of what is asked; worked out when first needed */
   ev_timer timer;
--- a/daemon/exchange_answer.c
+++ b/daemon/exchange_answer.c
@@ -10,10 +10,10 @@
 
 /* Answers up to this size are held until they are whole, so that one that breaks off
  * can be asked for again. */
-#define HOLD_BYTES (128 * 1024)
+#define HOLD_MAX_BYTES (128 * 1024)
 
 /* A caller that does not read holds its endpoint back above this. */
-#define QUEUE_BYTES (64 * 1024)
+#define QUEUE_MAX_BYTES (64 * 1024)
 
 void
 ash_exchange_answer_clear (struct ash_exchange_answer *answer)
@@ -46,33 +46,35 @@
   if (facts.attempt_id && exchange->facts.attempt_id &&
       strcmp (facts.attempt_id, exchange->facts.attempt_id) != 0)
     return false;
-  exchange->heard = ash_clock_now ();
+  exchange->last_received = ash_clock_now ();
   answer->status = head->status;
   answer->not_run = facts.not_run;
   answer->length = head->length == UINT64_MAX ? 0 : head->length;
-  answer->bad = facts.encoded || (!facts.attempt_id && exchange->facts.attempt_id) ||
-                (head->status >= ASH_STATUS_OK && head->status < ASH_STATUS_MULTIPLE_CHOICES &&
-                 !facts.is_signed);
-  if (!answer->bad && head->status != ASH_STATUS_MISDIRECTED)
+  answer->invalid = facts.encoded || (!facts.attempt_id && exchange->facts.attempt_id) ||
+                    (head->status >= ASH_STATUS_OK && head->status < ASH_STATUS_MULTIPLE_CHOICES &&
+                     !facts.is_signed);
+  if (!answer->invalid && head->status != ASH_STATUS_MISDIRECTED)
     ash_fleet_update_terms (&exchange->router->fleet, exchange->endpoint, &facts.terms,
-                            exchange->sent);
-  answer->events = exchange->route->stream && head->status == ASH_STATUS_OK && !answer->bad;
+                            exchange->sent_at);
+  answer->is_event_stream =
+      exchange->route->stream && head->status == ASH_STATUS_OK && !answer->invalid;
   /* A stream that goes on keeps the head of its first endpoint. */
   if (!exchange->forward.began && !ash_platform_answer_write (&answer->fields, head))
-    answer->bad = true;
+    answer->invalid = true;
   return true;
 }
 
 /* Prompts that are kept back may go once passes are as usual. */
 static void
-note_pass (struct ash_exchange *exchange, int64_t pause_ms)
+record_pass (struct ash_exchange *exchange, int64_t pause_ms)
 {
   struct ash_router *router = exchange->router;
   struct ash_prompt_gate *gate = &ash_router_service (router, exchange->forward.service)->gate;
 
-  if (!ash_prompt_gate_pause (gate, exchange->heard, pause_ms, exchange->forward.pause_aim_ms))
+  if (!ash_prompt_gate_pause (gate, exchange->last_received, pause_ms,
+                              exchange->forward.pause_aim_ms))
     return;
-  router->room = router->room || !gate->closed;
+  router->capacity_freed = router->capacity_freed || !gate->closed;
   ash_log_event (&router->log, ASH_EV_PROMPTS_KEPT,
                  "service=%s kept=%d pass_ms=%lld usual_ms=%.1f waiting=%u",
                  exchange->forward.service, gate->closed, (long long) pause_ms, gate->usual_ms,
@@ -81,44 +83,44 @@
 
 /* The pause since the event before says how fast the endpoint's passes are. */
 static void
-note_pause (struct ash_exchange *exchange)
+record_pause (struct ash_exchange *exchange)
 {
-  int64_t pause_ms = ash_time_diff (exchange->passed, exchange->heard);
+  int64_t pause_ms = ash_time_diff (exchange->event_sent_at, exchange->last_received);
 
   /* Two events that came at once are of one pass. */
   if (pause_ms < 1)
     return;
-  note_pass (exchange, pause_ms);
-  ash_direct_paused (exchange->endpoint, exchange->heard, pause_ms);
+  record_pass (exchange, pause_ms);
+  ash_direct_paused (exchange->endpoint, exchange->last_received, pause_ms);
   ash_groups_pause (&exchange->router->groups, exchange->endpoint->hash, pause_ms);
 }
 
 static void
-pass_events (struct ash_exchange *exchange)
+relay_events (struct ash_exchange *exchange)
 {
   struct ash_stream_event event;
 
-  while (ash_event_stream_next (&exchange->events, &event))
+  while (ash_event_stream_next (&exchange->event_stream, &event))
     {
       /* One that came before the stream moved is not passed on twice. */
-      bool old = event.has_id && exchange->has_event && event.id <= exchange->last_event;
+      bool is_repeat = event.has_id && exchange->has_event && event.id <= exchange->last_event;
 
-      if (!old)
+      if (!is_repeat)
         {
           if (!exchange->forward.began)
             ash_exchange_answer_begin (exchange);
           ash_http_conn_write (exchange->conn, event.bytes, event.length);
         }
-      if (exchange->has_event && !old)
-        note_pause (exchange);
-      if (!old)
-        exchange->passed = exchange->heard;
-      if (event.has_id && !old)
+      if (exchange->has_event && !is_repeat)
+        record_pause (exchange);
+      if (!is_repeat)
+        exchange->event_sent_at = exchange->last_received;
+      if (event.has_id && !is_repeat)
         {
           exchange->has_event = true;
           exchange->last_event = event.id;
         }
-      ash_event_stream_drop (&exchange->events, &event);
+      ash_event_stream_drop (&exchange->event_stream, &event);
     }
 }
 
@@ -128,28 +130,28 @@
   struct ash_exchange *exchange = call->owner;
   struct ash_exchange_answer *answer = &exchange->answer;
 
-  exchange->heard = ash_clock_now ();
-  if (answer->bad)
+  exchange->last_received = ash_clock_now ();
+  if (answer->invalid)
     return;
-  if (answer->events)
+  if (answer->is_event_stream)
     {
-      if (ash_event_stream_feed (&exchange->events, bytes, length))
-        pass_events (exchange);
+      if (ash_event_stream_feed (&exchange->event_stream, bytes, length))
+        relay_events (exchange);
       else
-        answer->bad = true;
+        answer->invalid = true;
     }
-  else if (answer->passing)
+  else if (answer->passthrough)
     ash_http_conn_write (exchange->conn, bytes, length);
   else if (!ash_buffer_append (&answer->body, bytes, length))
-    answer->bad = true;
-  else if (answer->body.length > HOLD_BYTES && !exchange->forward.began)
+    answer->invalid = true;
+  else if (answer->body.length > HOLD_MAX_BYTES && !exchange->forward.began)
     {
-      answer->passing = true;
+      answer->passthrough = true;
       ash_exchange_answer_begin (exchange);
       ash_http_conn_write (exchange->conn, answer->body.bytes + answer->body.start,
                            answer->body.length);
       ash_buffer_finish (&answer->body);
     }
-  if (ash_http_conn_queued (exchange->conn) > QUEUE_BYTES)
+  if (ash_http_conn_queued (exchange->conn) > QUEUE_MAX_BYTES)
     ash_http_call_pause (call, true);
 }
--- a/daemon/exchange_cut.c
+++ b/daemon/exchange_cut.c
@@ -22,15 +22,16 @@
 
 /* Whether a part of the present endpoint's answer has come. */
 static bool
-has_spoken (const struct ash_exchange *exchange)
+has_answer_data (const struct ash_exchange *exchange)
 {
-  bool has_passed = exchange->has_event && !ash_time_before (exchange->passed, exchange->sent);
+  bool has_event_data =
+      exchange->has_event && !ash_time_before (exchange->event_sent_at, exchange->sent_at);
 
-  return has_passed || exchange->answer.body.length || exchange->answer.passing;
+  return has_event_data || exchange->answer.body.length || exchange->answer.passthrough;
 }
 
 static void
-log_cut (struct ash_exchange *exchange, const struct ash_quarantine_run *run)
+log_disconnect (struct ash_exchange *exchange, const struct ash_quarantine_run *run)
 {
   char digest[ASH_ID_TEXT_BYTES];
 
@@ -40,8 +41,9 @@
                  "spoke=%d last_event=%lld",
                  ash_exchange_id (exchange), exchange->route->name, digest,
                  exchange->endpoint->facts.id, (long long) ash_time_diff (run->sent, run->ended),
-                 (long long) ash_time_diff (exchange->heard, run->ended), exchange->forward.sent,
-                 run->spoke, exchange->has_event ? (long long) exchange->last_event : -1LL);
+                 (long long) ash_time_diff (exchange->last_received, run->ended),
+                 exchange->forward.sent, run->spoke,
+                 exchange->has_event ? (long long) exchange->last_event : -1LL);
 }
 
 void
@@ -51,18 +53,18 @@
   struct ash_quarantine_run run = {
     .request = ash_exchange_digest (exchange),
     .endpoint = exchange->endpoint->hash,
-    .sent = exchange->sent,
+    .sent = exchange->sent_at,
     .ended = ash_clock_now (),
-    .spoke = has_spoken (exchange),
+    .spoke = has_answer_data (exchange),
   };
 
-  log_cut (exchange, &run);
+  log_disconnect (exchange, &run);
   ash_suspects_record_disconnect (
       suspects, &ash_router_pool (exchange->router, exchange->endpoint)->address, &run);
   /* What ended an endpoint before may be ending the next one now: it is not sent on before that is
    * known. Others are not held up. */
   if (ash_quarantine_ends (&suspects->quarantine, run.request))
-    exchange->asked = run.endpoint;
+    exchange->awaited_probe = run.endpoint;
 }
 
 void
@@ -87,13 +89,13 @@
 /* ---- what the task of suspects tells ---- */
 
 static void
-on_asked (struct ash_router *router, uint64_t endpoint)
+on_probed (struct ash_router *router, uint64_t endpoint)
 {
   struct ash_exchange *exchange;
   struct ash_exchange *next;
 
   DL_FOREACH_SAFE (router->exchanges, exchange, next)
-    if (exchange->asked == endpoint)
+    if (exchange->awaited_probe == endpoint)
       ash_exchange_step (exchange);
 }
 
@@ -118,4 +120,4 @@
       }
 }
 
-const struct ash_suspects_handler ash_exchange_suspects_handler = { on_asked, on_quarantined };
+const struct ash_suspects_handler ash_exchange_suspects_handler = { on_probed, on_quarantined };
--- a/daemon/exchange_end.c
+++ b/daemon/exchange_end.c
@@ -27,7 +27,7 @@
     return;
   exchange->endpoint->in_flight--;
   exchange->endpoint = NULL;
-  exchange->router->room = true;
+  exchange->router->capacity_freed = true;
   ash_fleet_loads_changed (&exchange->router->fleet);
 }
 
@@ -41,7 +41,7 @@
   ash_exchange_release_slot (exchange);
   ev_timer_stop (router->loop, &exchange->timer);
   ash_exchange_answer_clear (&exchange->answer);
-  ash_event_stream_finish (&exchange->events);
+  ash_event_stream_finish (&exchange->event_stream);
   ash_route_table_unref (exchange->table);
   DL_DELETE (router->exchanges, exchange);
   free (exchange);
@@ -137,7 +137,7 @@
   count_end (exchange, answer->status < ASH_STATUS_MULTIPLE_CHOICES ? "served" : "failed_there",
              true);
   conn->request = NULL;
-  if (answer->passing)
+  if (answer->passthrough)
     ash_http_conn_end (conn, true);
   else
     ash_http_conn_answer (conn, answer->status,
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -7,31 +7,31 @@
 
 /* A connection to an endpoint comes up within a few milliseconds. One that takes so much
  * longer met a full queue or a cut; the kernel would try again only after a second. */
-#define CONNECT_MS 350
+#define CONNECT_TIMEOUT_MS 350
 
 /* How long an endpoint may be silent before a repeatable request is sent elsewhere,
  * against the aim: an answer so late has lost most of its worth. */
-#define SILENCE_AIMS 3
-#define SILENCE_LEAST_MS 900
+#define SILENCE_AIM_FACTOR 3
+#define SILENCE_MIN_MS 900
 
 /* Between two events of a stream that may go on elsewhere. Callers give up after two
  * seconds; what depends on a lost endpoint stands still for one and a half. */
-#define PAUSE_MOST_MS 1650
+#define EVENT_PAUSE_MAX_MS 1650
 
 /* After this part of those times, what matters is whether the endpoint's kernel has the request:
  * one whose bytes are not acknowledged after 450 ms, two retransmissions of the kernel included,
  * waits on a connection that is silent, not on an endpoint that is slow. */
-#define DOUBT_PART 2
+#define ACK_CHECK_DIVISOR 2
 
 void
 ash_exchange_record_evidence (struct ash_exchange *exchange, enum ash_direct_evidence evidence)
 {
   struct ash_direct_endpoint *endpoint = exchange->endpoint;
   struct ash_time now = ash_clock_now ();
-  bool passed = ash_time_before (now, endpoint->passed_until);
+  bool was_ejected = ash_time_before (now, endpoint->passed_until);
 
   ash_direct_saw (endpoint, now, evidence);
-  if (!passed && evidence != ASH_DIRECT_FULL && ash_time_before (now, endpoint->passed_until))
+  if (!was_ejected && evidence != ASH_DIRECT_FULL && ash_time_before (now, endpoint->passed_until))
     ash_log_event (&exchange->router->log, ASH_EV_ENDPOINT_PASSED,
                    "id=%s endpoint=%s evidence=%d failures=%u for_ms=%lld",
                    ash_exchange_id (exchange), endpoint->facts.id, (int) evidence,
@@ -45,23 +45,23 @@
 }
 
 static int64_t
-silence_ms (const struct ash_exchange *exchange)
+silence_limit_ms (const struct ash_exchange *exchange)
 {
-  int64_t ms = (int64_t) exchange->forward.aim_ms * SILENCE_AIMS;
+  int64_t ms = (int64_t) exchange->forward.aim_ms * SILENCE_AIM_FACTOR;
 
   if (exchange->forward.began)
-    return PAUSE_MOST_MS;
-  return ms < SILENCE_LEAST_MS ? SILENCE_LEAST_MS : ms;
+    return EVENT_PAUSE_MAX_MS;
+  return ms < SILENCE_MIN_MS ? SILENCE_MIN_MS : ms;
 }
 
 static int64_t
-doubt_ms (const struct ash_exchange *exchange)
+ack_check_ms (const struct ash_exchange *exchange)
 {
-  return silence_ms (exchange) / DOUBT_PART;
+  return silence_limit_ms (exchange) / ACK_CHECK_DIVISOR;
 }
 
 static bool
-may_go_elsewhere (const struct ash_exchange *exchange)
+may_resend (const struct ash_exchange *exchange)
 {
   return exchange->forward.repeat == ASH_REPEAT_SAFE &&
          exchange->forward.sent < exchange->forward.servers_max;
@@ -72,21 +72,22 @@
                          struct ash_time now,
                          struct ash_time until)
 {
-  if (exchange->endpoint && may_go_elsewhere (exchange))
-    until = earlier (until, ash_time_add (exchange->heard, silence_ms (exchange)));
+  if (exchange->endpoint && may_resend (exchange))
+    until = earlier (until, ash_time_add (exchange->last_received, silence_limit_ms (exchange)));
   if (exchange->endpoint && ash_http_call_connecting (&exchange->call))
-    until = earlier (until, ash_time_add (exchange->sent, CONNECT_MS));
-  else if (exchange->endpoint && ash_time_diff (exchange->heard, now) < doubt_ms (exchange))
-    until = earlier (until, ash_time_add (exchange->heard, doubt_ms (exchange)));
+    until = earlier (until, ash_time_add (exchange->sent_at, CONNECT_TIMEOUT_MS));
+  else if (exchange->endpoint &&
+           ash_time_diff (exchange->last_received, now) < ack_check_ms (exchange))
+    until = earlier (until, ash_time_add (exchange->last_received, ack_check_ms (exchange)));
   return earlier (until, exchange->forward.deadline);
 }
 
 /* A connection that answered in the second half of the silence was sound when this one was not:
  * other endpoints' too, since what silences one often silences all that were open. */
 static struct ash_time
-trusted_since (const struct ash_exchange *exchange, struct ash_time now)
+valid_since (const struct ash_exchange *exchange, struct ash_time now)
 {
-  return ash_time_add (exchange->heard, ash_time_diff (exchange->heard, now) / 2);
+  return ash_time_add (exchange->last_received, ash_time_diff (exchange->last_received, now) / 2);
 }
 
 /* Nothing came for long: the endpoint's other kept connections may be as silent, and a request that
@@ -94,30 +95,31 @@
 void
 ash_exchange_close_idle_connections (struct ash_exchange *exchange, struct ash_time now)
 {
-  exchange->trusted = trusted_since (exchange, now);
-  ash_http_pool_doubt (ash_router_pool (exchange->router, exchange->endpoint), exchange->trusted);
+  exchange->idle_valid_since = valid_since (exchange, now);
+  ash_http_pool_doubt (ash_router_pool (exchange->router, exchange->endpoint),
+                       exchange->idle_valid_since);
 }
 
 bool
 ash_exchange_check_silence (struct ash_exchange *exchange, struct ash_time now)
 {
-  int64_t silent_ms = ash_time_diff (exchange->heard, now);
+  int64_t silent_ms = ash_time_diff (exchange->last_received, now);
 
-  if (silent_ms >= doubt_ms (exchange) && ash_http_call_unacknowledged (&exchange->call))
+  if (silent_ms >= ack_check_ms (exchange) && ash_http_call_unacknowledged (&exchange->call))
     {
-      ash_router_close_idle_connections (exchange->router, trusted_since (exchange, now));
-      return may_go_elsewhere (exchange);
+      ash_router_close_idle_connections (exchange->router, valid_since (exchange, now));
+      return may_resend (exchange);
     }
-  return may_go_elsewhere (exchange) && silent_ms >= silence_ms (exchange);
+  return may_resend (exchange) && silent_ms >= silence_limit_ms (exchange);
 }
 
 void
 ash_exchange_record_timeout (struct ash_exchange *exchange, struct ash_time now)
 {
-  int64_t silent_ms = ash_time_diff (exchange->heard, now);
+  int64_t silent_ms = ash_time_diff (exchange->last_received, now);
 
-  if (silent_ms >= silence_ms (exchange))
+  if (silent_ms >= silence_limit_ms (exchange))
     ash_exchange_record_evidence (exchange, ASH_DIRECT_SILENT);
-  if (silent_ms >= doubt_ms (exchange))
+  if (silent_ms >= ack_check_ms (exchange))
     ash_exchange_close_idle_connections (exchange, now);
 }
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -11,14 +11,14 @@
 #include <string.h>
 
 /* A heartbeat names so many other routers at most, from a random one on. */
-#define NAMES_MAX 64
+#define KNOWN_PEERS_MAX 64
 
 /* A router that comes is told of all others by the seeds, and by so many others where these do not
  * live any more. */
-#define NAMES_TO_NEW 8
+#define LISTS_TO_NEW_PEER 8
 
 /* A router without a link for so long does not come back under its name. */
-#define FORGET_MS 30000
+#define PEER_EXPIRY_MS 30000
 
 static struct ash_fleet_peer *
 find_peer (const struct ash_fleet *fleet, const char *box)
@@ -41,7 +41,7 @@
     return NULL;
   snprintf (peer->box, sizeof peer->box, "%s", box);
   peer->hash = ash_hash_text (box);
-  peer->seen = ash_clock_now ();
+  peer->last_linked = ash_clock_now ();
   HASH_ADD_STR (fleet->peers, box, peer);
   return peer;
 }
@@ -49,9 +49,9 @@
 /* ---- membership ---- */
 
 static void
-take_heartbeat (struct ash_fleet *fleet,
-                struct ash_fleet_peer *peer,
-                const struct Ash__Heartbeat *heartbeat)
+handle_heartbeat (struct ash_fleet *fleet,
+                  struct ash_fleet_peer *peer,
+                  const struct Ash__Heartbeat *heartbeat)
 {
   const char *own = fleet->router->settings.peer_listen;
 
@@ -79,7 +79,7 @@
 }
 
 static void
-take_link_up (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
+handle_link_up (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
   peer->linked = true;
   peer->needs_peer_names = true;
@@ -91,11 +91,11 @@
 }
 
 static void
-take_link_down (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
+handle_link_down (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
   peer->linked = false;
   ash_fleet_clear_loads (fleet, peer);
-  fleet->router->room = true;
+  fleet->router->capacity_freed = true;
 }
 
 static void
@@ -107,17 +107,17 @@
 
   if (!peer)
     return;
-  peer->heard = ash_clock_now ();
+  peer->last_received = ash_clock_now ();
   switch (event->kind_case)
     {
     case ASH__EVENT__KIND_LINK_UP:
-      take_link_up (fleet, peer);
+      handle_link_up (fleet, peer);
       break;
     case ASH__EVENT__KIND_LINK_DOWN:
-      take_link_down (fleet, peer);
+      handle_link_down (fleet, peer);
       break;
     case ASH__EVENT__KIND_HEARTBEAT:
-      take_heartbeat (fleet, peer, event->heartbeat);
+      handle_heartbeat (fleet, peer, event->heartbeat);
       break;
     case ASH__EVENT__KIND_ENDPOINT_LOADS:
       ash_fleet_apply_loads (fleet, peer, event->endpoint_loads);
@@ -156,7 +156,7 @@
 }
 
 static uint64_t
-own_version (void *data)
+config_version (void *data)
 {
   const struct ash_fleet *fleet = data;
 
@@ -179,7 +179,7 @@
  * each other. If all were told of all each time a link changes, that would be most of what a large
  * fleet sends between halls. */
 static bool
-names_others (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
+should_name_peers (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
   struct ash_random *random = &fleet->router->random;
   uint32_t linked = ash_fleet_linked (fleet);
@@ -187,15 +187,15 @@
   if (!peer->needs_peer_names)
     return ash_random_below (random, linked) == 0;
   peer->needs_peer_names = false;
-  return is_seed (fleet) || ash_random_below (random, linked) < NAMES_TO_NEW;
+  return is_seed (fleet) || ash_random_below (random, linked) < LISTS_TO_NEW_PEER;
 }
 
 /* The arrays are freed by the sender of the heartbeat, their texts are ours. */
 static void
-name_others (struct ash_fleet *fleet, struct Ash__Heartbeat *heartbeat, uint32_t names_max)
+add_known_peers (struct ash_fleet *fleet, struct Ash__Heartbeat *heartbeat, uint32_t peers_max)
 {
   uint32_t count = HASH_COUNT (fleet->peers);
-  uint32_t skip = count > names_max ? ash_random_below (&fleet->router->random, count) : 0;
+  uint32_t skip = count > peers_max ? ash_random_below (&fleet->router->random, count) : 0;
   struct ash_fleet_peer *peer = fleet->peers;
 
   heartbeat->known_boxes = calloc (count + 1, sizeof (char *));
@@ -204,7 +204,7 @@
     return;
   for (uint32_t i = 0; i < skip; i++)
     peer = peer->hh.next;
-  for (uint32_t i = 0; i < count && heartbeat->n_known_boxes < names_max; i++)
+  for (uint32_t i = 0; i < count && heartbeat->n_known_boxes < peers_max; i++)
     {
       if (peer->linked && *peer->address)
         {
@@ -216,7 +216,7 @@
 }
 
 static void
-own_heartbeat (void *data, const char *box, struct Ash__Heartbeat *heartbeat)
+fill_heartbeat (void *data, const char *box, struct Ash__Heartbeat *heartbeat)
 {
   struct ash_fleet *fleet = data;
   struct ash_router *router = fleet->router;
@@ -234,12 +234,12 @@
   heartbeat->changes_map = ash_groups_changes (&router->groups);
   heartbeat->endpoints_revision = router->endpoints.revision;
   heartbeat->endpoints_digest = router->store.digest;
-  if (peer && names_others (fleet, peer))
-    name_others (fleet, heartbeat, needs_peer_names ? UINT32_MAX : NAMES_MAX);
+  if (peer && should_name_peers (fleet, peer))
+    add_known_peers (fleet, heartbeat, needs_peer_names ? UINT32_MAX : KNOWN_PEERS_MAX);
 }
 
 static uint32_t
-beat_period_ms (void *data, const char *box)
+heartbeat_period_ms (void *data, const char *box)
 {
   const struct ash_fleet *fleet = data;
   const struct ash_fleet_peer *peer = find_peer (fleet, box);
@@ -271,9 +271,9 @@
   ash_hex_decode (settings->fleet_key, links->identity.fleet_key, sizeof links->identity.fleet_key);
   links->log = (struct ash_log){ &router->log_sink, "peer" };
   links->handler = (struct ash_sink){ on_event, fleet };
-  links->revision = own_version;
-  links->heartbeat = own_heartbeat;
-  links->period_ms = beat_period_ms;
+  links->revision = config_version;
+  links->heartbeat = fill_heartbeat;
+  links->period_ms = heartbeat_period_ms;
   links->data = fleet;
   if (!ash_peers_init (links, router->loop))
     return false;
@@ -351,13 +351,13 @@
   bool answered = ash_store_is_answering (&fleet->router->store, ASH_STORE_SERVERS);
 
   /* Callers are sent here, or no longer: those whose heartbeats come seldom hear of it now. */
-  if (ready != fleet->ready)
+  if (ready != fleet->ready_sent)
     ash_peers_beat (&fleet->links);
   /* The own hall asks less, or more, once it knows. */
-  else if (answered != fleet->answered)
+  else if (answered != fleet->store_answered)
     ash_fleet_notify_hall (fleet);
-  fleet->ready = ready;
-  fleet->answered = answered;
+  fleet->ready_sent = ready;
+  fleet->store_answered = answered;
   /* Once a tick, not at each question: at 400 routers it takes 1.4 to 2.0 ms. */
   ash_fleet_choose_readers (fleet);
 
@@ -366,10 +366,10 @@
     {
       if (peer->linked)
         {
-          peer->seen = now;
+          peer->last_linked = now;
           fleet->far_linked += ash_fleet_audience_of (fleet, peer) == ASH_FLEET_FAR;
         }
-      else if (ash_time_diff (peer->seen, now) > FORGET_MS)
+      else if (ash_time_diff (peer->last_linked, now) > PEER_EXPIRY_MS)
         {
           HASH_DEL (fleet->peers, peer);
           free (peer);
--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -32,9 +32,9 @@
   bool linked;
   bool needs_peer_names;  /**< the link has just come up: it has not been told of the others yet */
   bool needs_full_report; /**< it is to be told of all of this router's work, and of all terms */
-  struct ash_time seen;   /**< when it was last linked */
-  struct ash_time heard;  /**< its last word */
-  bool changes_map;       /**< it said so then */
+  struct ash_time last_linked;   /**< when it was last linked */
+  struct ash_time last_received; /**< its last word */
+  bool changes_map;              /**< it said so then */
   bool leaving;
   uint64_t version; /**< of the configuration it has in force */
   uint64_t endpoints_revision;
@@ -51,8 +51,8 @@
 struct ash_fleet_audience
 {
   bool loads_changed;
-  struct ash_time told;
-  uint32_t tells; /**< messages of changed loads since one of all */
+  struct ash_time last_sent;
+  uint32_t delta_count; /**< messages of changed loads since one of all */
 };
 
 /** All that is known of the others. */
@@ -65,8 +65,8 @@
   struct ash_fleet_audience audiences[ASH_DIRECT_AUDIENCES];
   uint32_t far_linked; /**< peers of other halls that there is a link to */
   bool first_of_hall;  /**< one of the few that try the store again soon when it is away */
-  bool answered;       /**< by the store, as the own hall was last told */
-  bool ready;          /**< as all were last told */
+  bool store_answered; /**< by the store, as the own hall was last told */
+  bool ready_sent;     /**< as all were last told */
   bool polls_often;    /**< this router is one that asks the store often */
   bool reads_store;    /**< it asks the store at all; else it follows those of its hall that do */
   bool opened;
--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -12,7 +12,7 @@
 
 /* What peers are told of changes only is told whole this often, in messages: what one missed of an
  * endpoint that it did not know yet is right a second later. */
-#define TELL_ALL_EVERY 20
+#define FULL_REPORT_EVERY 20
 
 /* Takes back what the peer said last. */
 void
@@ -38,7 +38,7 @@
 
 /* Those that a peer that watches groups tells to be slow. */
 static void
-take_slow (struct ash_fleet *fleet, const struct Ash__EndpointLoads *loads)
+apply_slow (struct ash_fleet *fleet, const struct Ash__EndpointLoads *loads)
 {
   struct ash_time now = ash_clock_now ();
 
@@ -53,7 +53,7 @@
 }
 
 static bool
-make_room (struct ash_fleet_peer *peer, size_t count)
+reserve_loads (struct ash_fleet_peer *peer, size_t count)
 {
   uint64_t *endpoints = realloc (peer->load_endpoints, count * sizeof *endpoints);
   uint64_t *in_flight;
@@ -101,11 +101,11 @@
 
   if (!loads->changes)
     ash_fleet_clear_loads (fleet, peer);
-  fleet->router->room = true;
-  take_slow (fleet, loads);
+  fleet->router->capacity_freed = true;
+  apply_slow (fleet, loads);
   if (!count || count != loads->n_in_flight || count > ASH_FLEET_LOADS_MAX)
     return;
-  if (!make_room (peer, peer->load_count + count))
+  if (!reserve_loads (peer, peer->load_count + count))
     {
       ash_fleet_clear_loads (fleet, peer);
       return;
@@ -170,7 +170,7 @@
 /* One that has just come knows nothing of this router's work. Nobody else is told, or each router
  * that comes would have all tell all. */
 static void
-tell_untold (struct ash_fleet *fleet)
+send_full_reports (struct ash_fleet *fleet)
 {
   uint64_t endpoints[ASH_FLEET_LOADS_MAX];
   uint64_t in_flight[ASH_FLEET_LOADS_MAX];
@@ -204,17 +204,17 @@
 }
 
 static void
-tell_loads (struct ash_fleet *fleet, int audience)
+report_loads (struct ash_fleet *fleet, int audience)
 {
   uint64_t endpoints[ASH_FLEET_LOADS_MAX];
   uint64_t in_flight[ASH_FLEET_LOADS_MAX];
   uint64_t slow[ASH_FLEET_SLOW_MAX];
   uint32_t slow_milli[ASH_FLEET_SLOW_MAX];
   struct Ash__EndpointLoads loads = ASH__ENDPOINT_LOADS__INIT;
-  struct ash_fleet_audience *told = &fleet->audiences[audience];
+  struct ash_fleet_audience *report = &fleet->audiences[audience];
 
-  loads.changes = told->tells > 0;
-  told->tells = (told->tells + 1) % TELL_ALL_EVERY;
+  loads.changes = report->delta_count > 0;
+  report->delta_count = (report->delta_count + 1) % FULL_REPORT_EVERY;
   loads.endpoints = endpoints;
   loads.in_flight = in_flight;
   list_loads (fleet, audience, &loads);
@@ -226,7 +226,7 @@
 }
 
 static void
-on_tell (struct ev_loop *loop, ev_timer *timer, int events)
+on_report_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct ash_fleet *fleet = timer->data;
   uint32_t period_ms = fleet->router->settings.load_period_ms;
@@ -235,18 +235,19 @@
 
   (void) loop;
   (void) events;
-  tell_untold (fleet);
+  send_full_reports (fleet);
   for (int i = 0; i < ASH_DIRECT_AUDIENCES; i++)
     {
       struct ash_fleet_audience *audience = &fleet->audiences[i];
       uint32_t due_ms = i == ASH_FLEET_FAR ? far_ms : period_ms;
 
       /* Half a period early is nearer than half a period late. */
-      if (!audience->loads_changed || ash_time_diff (audience->told, now) + period_ms / 2 < due_ms)
+      if (!audience->loads_changed ||
+          ash_time_diff (audience->last_sent, now) + period_ms / 2 < due_ms)
         continue;
       audience->loads_changed = false;
-      audience->told = now;
-      tell_loads (fleet, i);
+      audience->last_sent = now;
+      report_loads (fleet, i);
     }
 }
 
@@ -262,7 +263,7 @@
 {
   double period_s = fleet->router->settings.load_period_ms / MS_PER_S;
 
-  ev_timer_init (&fleet->report_timer, on_tell, period_s, period_s);
+  ev_timer_init (&fleet->report_timer, on_report_timer, period_s, period_s);
   fleet->report_timer.data = fleet;
   ev_timer_start (fleet->router->loop, &fleet->report_timer);
 }
--- a/daemon/fleet_roles.c
+++ b/daemon/fleet_roles.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 /* Routers that ask the store often: one that is lost, and one that is being stopped, leave one. */
-#define OFTEN_ROUTERS 3
+#define FREQUENT_READERS 3
 
 /* Routers of a hall that ask the store at all, likewise. If all of a large fleet asked, most calls
  * would be to learn of the same endpoint. */
@@ -18,10 +18,10 @@
 
 /* Several times what lies between two words of a router that changes a map, and longer than a small
  * box is busy with one thing. */
-#define STUCK_MS 300
+#define MAP_CHANGE_SILENCE_MS 300
 
 static struct ash_asker
-own_asker (const struct ash_fleet *fleet)
+own_candidate (const struct ash_fleet *fleet)
 {
   const struct ash_router_settings *settings = &fleet->router->settings;
 
@@ -29,7 +29,7 @@
 }
 
 static struct ash_asker
-asker_of (const struct ash_fleet_peer *peer)
+candidate_of (const struct ash_fleet_peer *peer)
 {
   return (struct ash_asker){ peer->box, peer->hall, peer->link_mbps };
 }
@@ -37,7 +37,7 @@
 void
 ash_fleet_choose_readers (struct ash_fleet *fleet)
 {
-  struct ash_asker own = own_asker (fleet);
+  struct ash_asker own = own_candidate (fleet);
   struct ash_asker *others = calloc (HASH_COUNT (fleet->peers) + 1, sizeof *others);
   bool read_before = fleet->reads_store;
   size_t count = 0;
@@ -49,13 +49,13 @@
     return;
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked)
-      others[count++] = asker_of (peer);
+      others[count++] = candidate_of (peer);
   fleet->first_of_hall = ash_askers_in_hall (own, others, count, HALL_READERS);
   count = 0;
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && peer->reads_store)
-      others[count++] = asker_of (peer);
-  fleet->polls_often = ash_askers_has (own, others, count, OFTEN_ROUTERS);
+      others[count++] = candidate_of (peer);
+  fleet->polls_often = ash_askers_has (own, others, count, FREQUENT_READERS);
   fleet->reads_store = ash_askers_in_hall (own, others, count, HALL_READERS);
   free (others);
   if (fleet->reads_store != read_before)
@@ -86,12 +86,12 @@
 known_count (const struct ash_fleet *fleet)
 {
   const struct ash_router_settings *settings = &fleet->router->settings;
-  uint32_t heard = HASH_COUNT (fleet->peers) + 1;
+  uint32_t known = HASH_COUNT (fleet->peers) + 1;
   uint32_t seeds = 1;
 
   for (uint32_t i = 0; i < settings->seed_count; i++)
     seeds += strcmp (settings->seeds[i], settings->peer_listen) != 0;
-  return heard > seeds ? heard : seeds;
+  return known > seeds ? known : seeds;
 }
 
 /* One that said that it changes a map and has gone silent may have left a group standing: it is not
@@ -99,7 +99,7 @@
 static bool
 is_stuck (const struct ash_fleet_peer *peer, struct ash_time now)
 {
-  return peer->changes_map && ash_time_diff (peer->heard, now) > STUCK_MS;
+  return peer->changes_map && ash_time_diff (peer->last_received, now) > MAP_CHANGE_SILENCE_MS;
 }
 
 static bool
@@ -111,7 +111,7 @@
 bool
 ash_fleet_leads (const struct ash_fleet *fleet)
 {
-  struct ash_asker own = own_asker (fleet);
+  struct ash_asker own = own_candidate (fleet);
   struct ash_time now = ash_clock_now ();
   uint32_t known = known_count (fleet);
   uint32_t seen = ash_fleet_linked (fleet) + 1;
@@ -121,7 +121,7 @@
     return false;
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     {
-      bool before = ash_askers_before (asker_of (peer), own);
+      bool before = ash_askers_before (candidate_of (peer), own);
 
       if (before && may_lead (peer, now))
         return false;
@@ -136,20 +136,21 @@
   uint32_t before = 0;
 
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
-    before += ash_askers_before (asker_of (peer), own_asker (fleet));
+    before += ash_askers_before (candidate_of (peer), own_candidate (fleet));
   return before;
 }
 
 /* The peer that would lead after that one, or first of all after NULL; NULL: there is none. */
 static const struct ash_fleet_peer *
-next_in_order (const struct ash_fleet *fleet, const struct ash_fleet_peer *after)
+next_leader (const struct ash_fleet *fleet, const struct ash_fleet_peer *after)
 {
   struct ash_time now = ash_clock_now ();
   const struct ash_fleet_peer *best = NULL;
 
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
-    if (may_lead (peer, now) && (!after || ash_askers_before (asker_of (after), asker_of (peer))) &&
-        (!best || ash_askers_before (asker_of (peer), asker_of (best))))
+    if (may_lead (peer, now) &&
+        (!after || ash_askers_before (candidate_of (after), candidate_of (peer))) &&
+        (!best || ash_askers_before (candidate_of (peer), candidate_of (best))))
       best = peer;
   return best;
 }
@@ -157,11 +158,11 @@
 void
 ash_fleet_notify_successors (struct ash_fleet *fleet)
 {
-  const struct ash_fleet_peer *peer = next_in_order (fleet, NULL);
+  const struct ash_fleet_peer *peer = next_leader (fleet, NULL);
 
   for (int i = 0; i < SUCCESSORS && peer; i++)
     {
       ash_peers_beat_one (&fleet->links, peer->box);
-      peer = next_in_order (fleet, peer);
+      peer = next_leader (fleet, peer);
     }
 }
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -9,7 +9,7 @@
 
 /* A router without a link for no longer than this counts as there: links may break at many routers
  * at once, and if each then took the whole rate an endpoint would get several times as much. */
-#define GONE_MS 5000
+#define MEMBER_TIMEOUT_MS 5000
 
 /* ---- telling peers ---- */
 
@@ -29,10 +29,10 @@
 
 /* @param peer NULL: all that there are links to. */
 static void
-tell (struct ash_fleet *fleet,
-      const struct ash_fleet_peer *peer,
-      struct Ash__EndpointTerms messages[],
-      size_t count)
+send_terms (struct ash_fleet *fleet,
+            const struct ash_fleet_peer *peer,
+            struct Ash__EndpointTerms messages[],
+            size_t count)
 {
   struct Ash__EndpointTerms *list[TERMS_MAX];
   struct Ash__EndpointTermsList terms = ASH__ENDPOINT_TERMS_LIST__INIT;
@@ -62,23 +62,23 @@
     /* That it names no rate any more, too: the peer may know an older word. */
     if (endpoint->limit.heard.ms || endpoint->said_leaving)
       messages[count++] = message_of (endpoint, now);
-  tell (fleet, peer, messages, count);
+  send_terms (fleet, peer, messages, count);
 }
 
 /* ---- taking what was said ---- */
 
 /* @return whether it is news. */
 static bool
-take_limit (struct ash_fleet *fleet,
-            struct ash_direct_endpoint *endpoint,
-            uint32_t limit_milli,
-            struct ash_time said,
-            struct ash_time asked,
-            const char *source)
+update_limit (struct ash_fleet *fleet,
+              struct ash_direct_endpoint *endpoint,
+              uint32_t limit_milli,
+              struct ash_time reported_at,
+              struct ash_time requested_at,
+              const char *source)
 {
   uint32_t before_milli = endpoint->limit.milli_per_s;
 
-  if (!ash_rate_limit_heard (&endpoint->limit, limit_milli, said, asked))
+  if (!ash_rate_limit_heard (&endpoint->limit, limit_milli, reported_at, requested_at))
     return false;
   ash_log_event (&fleet->router->log, ASH_EV_ENDPOINT_LIMITED,
                  "endpoint=%s limit_milli=%u before_milli=%u source=%s", endpoint->facts.id,
@@ -88,10 +88,10 @@
 
 /* @return whether it is news. */
 static bool
-take_leaving (struct ash_fleet *fleet,
-              struct ash_direct_endpoint *endpoint,
-              bool leaving,
-              const char *source)
+update_leaving (struct ash_fleet *fleet,
+                struct ash_direct_endpoint *endpoint,
+                bool leaving,
+                const char *source)
 {
   if (!leaving || endpoint->said_leaving)
     return false;
@@ -104,10 +104,10 @@
 
 /* Asked of this router alone: peers are not told. */
 static void
-take_rest (struct ash_fleet *fleet,
-           struct ash_direct_endpoint *endpoint,
-           uint32_t rest_ms,
-           struct ash_time now)
+apply_backoff (struct ash_fleet *fleet,
+               struct ash_direct_endpoint *endpoint,
+               uint32_t rest_ms,
+               struct ash_time now)
 {
   if (!rest_ms)
     return;
@@ -121,40 +121,40 @@
 ash_fleet_update_terms (struct ash_fleet *fleet,
                         struct ash_direct_endpoint *endpoint,
                         const struct ash_endpoint_terms *terms,
-                        struct ash_time asked)
+                        struct ash_time requested_at)
 {
   struct ash_time now = ash_clock_now ();
   struct Ash__EndpointTerms message;
-  bool is_news;
+  bool changed;
 
-  take_rest (fleet, endpoint, terms->rest_ms, now);
-  is_news = take_limit (fleet, endpoint, terms->limit_milli, now, asked, "own");
-  is_news = take_leaving (fleet, endpoint, terms->leaving, "own") || is_news;
-  if (!is_news)
+  apply_backoff (fleet, endpoint, terms->rest_ms, now);
+  changed = update_limit (fleet, endpoint, terms->limit_milli, now, requested_at, "own");
+  changed = update_leaving (fleet, endpoint, terms->leaving, "own") || changed;
+  if (!changed)
     return;
   message = message_of (endpoint, now);
-  tell (fleet, NULL, &message, 1);
+  send_terms (fleet, NULL, &message, 1);
 }
 
 void
 ash_fleet_apply_terms (struct ash_fleet *fleet,
                        const struct ash_fleet_peer *peer,
-                       const struct Ash__EndpointTermsList *told)
+                       const struct Ash__EndpointTermsList *list)
 {
   struct ash_time now = ash_clock_now ();
 
-  for (size_t i = 0; i < told->n_terms; i++)
+  for (size_t i = 0; i < list->n_terms; i++)
     {
-      const struct Ash__EndpointTerms *terms = told->terms[i];
+      const struct Ash__EndpointTerms *terms = list->terms[i];
       struct ash_direct_endpoint *endpoint =
           ash_direct_find_hash (&fleet->router->endpoints, terms->endpoint);
-      struct ash_time said = ash_time_add (now, -(int64_t) terms->age_ms);
+      struct ash_time reported_at = ash_time_add (now, -(int64_t) terms->age_ms);
 
       /* Another life under the same id has said nothing of the kind. */
       if (!endpoint || endpoint->facts.born_ms != terms->born_ms)
         continue;
-      take_limit (fleet, endpoint, terms->limit_milli, said, said, peer->box);
-      take_leaving (fleet, endpoint, terms->leaving, peer->box);
+      update_limit (fleet, endpoint, terms->limit_milli, reported_at, reported_at, peer->box);
+      update_leaving (fleet, endpoint, terms->leaving, peer->box);
     }
 }
 
@@ -163,7 +163,8 @@
 static bool
 is_member (const struct ash_fleet_peer *peer, struct ash_time now)
 {
-  return !peer->leaving && (peer->linked || ash_time_diff (peer->seen, now) <= GONE_MS);
+  return !peer->leaving &&
+         (peer->linked || ash_time_diff (peer->last_linked, now) <= MEMBER_TIMEOUT_MS);
 }
 
 /* Of the routers that are there, and whether it is known of each where it is. */
@@ -180,10 +181,10 @@
 
 /* Those of the endpoint's own hall come first, as they send it most. */
 static bool
-comes_first (const struct ash_direct_endpoint *endpoint,
-             const struct ash_fleet_peer *peer,
-             const char *own_hall,
-             uint64_t own_order)
+precedes_self (const struct ash_direct_endpoint *endpoint,
+               const struct ash_fleet_peer *peer,
+               const char *own_hall,
+               uint64_t own_order)
 {
   bool is_near = strcmp (peer->hall, endpoint->facts.hall) == 0;
   bool own_is_near = strcmp (own_hall, endpoint->facts.hall) == 0;
@@ -194,10 +195,10 @@
 }
 
 static void
-deal (const struct ash_fleet *fleet,
-      struct ash_direct_endpoint *endpoint,
-      struct ash_time now,
-      uint64_t members)
+split_rate (const struct ash_fleet *fleet,
+            struct ash_direct_endpoint *endpoint,
+            struct ash_time now,
+            uint64_t members)
 {
   const struct ash_router_settings *settings = &fleet->router->settings;
   uint64_t own_order = ash_rate_limit_order (endpoint->hash, ash_hash_text (settings->box));
@@ -208,7 +209,7 @@
     if (is_member (peer, now))
       {
         count++;
-        before += comes_first (endpoint, peer, settings->hall, own_order);
+        before += precedes_self (endpoint, peer, settings->hall, own_order);
       }
   ash_rate_limit_deal (&endpoint->limit, now, members, count, before);
 }
@@ -228,6 +229,6 @@
       if (fleet->router->stopping)
         ash_rate_limit_waive (&endpoint->limit);
       else if (endpoint->limit.members != members)
-        deal (fleet, endpoint, now, members);
+        split_rate (fleet, endpoint, now, members);
     }
 }
--- a/daemon/fleet_terms.h
+++ b/daemon/fleet_terms.h
@@ -21,12 +21,12 @@
 void ash_fleet_update_terms (struct ash_fleet *fleet,
                              struct ash_direct_endpoint *endpoint,
                              const struct ash_endpoint_terms *terms,
-                             struct ash_time asked);
+                             struct ash_time requested_at);
 
 /** A peer tells what endpoints said. */
 void ash_fleet_apply_terms (struct ash_fleet *fleet,
                             const struct ash_fleet_peer *peer,
-                            const struct Ash__EndpointTermsList *told);
+                            const struct Ash__EndpointTermsList *list);
 
 /** Tells a peer all that is known. */
 void ash_fleet_send_terms (struct ash_fleet *fleet, const struct ash_fleet_peer *peer);
--- a/daemon/peer_sync.c
+++ b/daemon/peer_sync.c
@@ -7,17 +7,17 @@
 
 /* The store brings a change to all routers within some 30 ms, and heartbeats tell of it at most
  * one period (300 ms) later. Whoever lacks it so long after has a question that is silent. */
-#define CONFIG_BEHIND_MS 300
+#define CONFIG_LAG_MS 300
 
 /* Changes of the list may be gathered for 400 ms before they are asked for. */
-#define LIST_BEHIND_MS 700
+#define LIST_LAG_MS 700
 
 /* The same for a router that is told of changes by others of its hall: these come within a few ms
  * after the store's answer, or after the 400 ms for which answers are gathered. */
-#define TOLD_BEHIND_MS 500
+#define FOLLOWED_LAG_MS 500
 
 /* A peer that was asked and has not answered by then is as silent: another one is asked. */
-#define ASK_PERIOD_MS 500
+#define REQUEST_PERIOD_MS 500
 
 void
 ash_peer_sync_open (struct ash_peer_sync *peer_sync, struct ash_router *router)
@@ -39,7 +39,7 @@
 /* ---- asking ---- */
 
 static void
-ask_peer (struct ash_router *router, enum ash_store_part part, const char *box)
+request_from_peer (struct ash_router *router, enum ash_store_part part, const char *box)
 {
   struct Ash__ConfigWant config_want = ASH__CONFIG_WANT__INIT;
   struct Ash__EndpointListWant list_want = ASH__ENDPOINT_LIST_WANT__INIT;
@@ -59,42 +59,42 @@
 }
 
 static int64_t
-patience_ms (const struct ash_router *router, enum ash_store_part part)
+allowed_lag_ms (const struct ash_router *router, enum ash_store_part part)
 {
   if (ash_store_is_polled (&router->store, part))
-    return part == ASH_STORE_CONFIG ? CONFIG_BEHIND_MS : LIST_BEHIND_MS;
+    return part == ASH_STORE_CONFIG ? CONFIG_LAG_MS : LIST_LAG_MS;
   /* Those that ask for this router tell what is new, and may do so a little later than a word from
    * another hall. Nothing is to be waited for from a store that does not answer. */
-  return ash_store_is_followed (&router->store, part) ? TOLD_BEHIND_MS : 0;
+  return ash_store_is_followed (&router->store, part) ? FOLLOWED_LAG_MS : 0;
 }
 
 /* A question at the store that says nothing looks the same whether nothing is new or nothing
  * comes through. What peers have tells the two apart: without it a router that had been cut off
  * stayed 5 s behind after the cut, with it 0.6 s at most from when a peer has the change. */
 static void
-follow (struct ash_peer_sync *peer_sync, enum ash_store_part part, struct ash_time now)
+check_part (struct ash_peer_sync *peer_sync, enum ash_store_part part, struct ash_time now)
 {
   struct ash_router *router = peer_sync->router;
   struct ash_peer_news *news = &peer_sync->news[part];
   uint64_t own = own_revision (router, part);
   const struct ash_fleet_peer *peer;
 
-  if (!ash_peer_news_behind (news, now, own, patience_ms (router, part)) ||
-      ash_time_diff (peer_sync->asked[part], now) < ASK_PERIOD_MS)
+  if (!ash_peer_news_behind (news, now, own, allowed_lag_ms (router, part)) ||
+      ash_time_diff (peer_sync->last_request[part], now) < REQUEST_PERIOD_MS)
     return;
   if (part == ASH_STORE_SERVERS)
     ash_store_expect_lapses (&router->store, news->since);
   peer = ash_fleet_peer_with (&router->fleet, part, news->newest);
-  peer_sync->asked[part] = now;
+  peer_sync->last_request[part] = now;
   ash_log_event (&router->log, ASH_EV_BEHIND_PEERS,
                  "part=%d version=%" PRIu64 " newest=%" PRIu64
                  " for_ms=%lld store_answers=%d age_ms=%lld asked=%s",
                  (int) part, own, news->newest, (long long) ash_time_diff (news->since, now),
                  ash_store_is_answering (&router->store, part),
-                 (long long) ash_time_diff (router->store.readers[part].answered, now),
+                 (long long) ash_time_diff (router->store.readers[part].last_answer, now),
                  peer ? peer->box : "-");
   if (peer)
-    ask_peer (router, part, peer->box);
+    request_from_peer (router, part, peer->box);
   ash_store_restart_watch (&router->store, part, "peers have something newer");
 }
 
@@ -106,7 +106,7 @@
   struct ash_router *router = peer_sync->router;
 
   if (!ash_store_apply_list (&router->store, list, box))
-    ask_peer (router, ASH_STORE_SERVERS, box);
+    request_from_peer (router, ASH_STORE_SERVERS, box);
 }
 
 void
@@ -135,8 +135,8 @@
 void
 ash_peer_sync_tick (struct ash_peer_sync *peer_sync, struct ash_time now)
 {
-  follow (peer_sync, ASH_STORE_CONFIG, now);
-  follow (peer_sync, ASH_STORE_SERVERS, now);
+  check_part (peer_sync, ASH_STORE_CONFIG, now);
+  check_part (peer_sync, ASH_STORE_SERVERS, now);
 }
 
 bool
--- a/daemon/peer_sync.h
+++ b/daemon/peer_sync.h
@@ -22,7 +22,7 @@
 {
   struct ash_router *router;
   struct ash_peer_news news[ASH_PEER_SYNC_PARTS];
-  struct ash_time asked[ASH_PEER_SYNC_PARTS]; /**< when a peer was last asked */
+  struct ash_time last_request[ASH_PEER_SYNC_PARTS]; /**< when a peer was last asked */
 };
 
 void ash_peer_sync_open (struct ash_peer_sync *peer_sync, struct ash_router *router);
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -17,21 +17,21 @@
 
 /* Requests seldom last longer, streams' waits included: the longest on the users' sheets has 57
  * events, some 80 ms apart. */
-#define USUAL_MOST_MS 5000
+#define USUAL_DURATION_MS 5000
 
 /* Soon after the signal to stop many callers still use the address, and a request is taken if it
  * would end in time as requests do; later, only if it must. */
-#define STOP_BEGINS_MS 3000
+#define STOP_EARLY_PHASE_MS 3000
 
 /* In a planned stop, what may not end in time goes elsewhere at once: the caller has other
  * addresses. */
-#define LEAVING_RETRY_MS 10
+#define STOP_RETRY_AFTER_MS 10
 
 /* ---- requests ---- */
 
 /* Without an exchange. */
 static void
-refuse (struct ash_http_conn *conn,
+reject (struct ash_http_conn *conn,
         struct ash_router *router,
         const char *id,
         uint16_t status,
@@ -55,7 +55,7 @@
   struct ash_request_facts facts;
 
   ash_platform_request_read (&conn->reader.head, &facts);
-  refuse (conn, router, ash_request_log_id (&facts), status, why);
+  reject (conn, router, ash_request_log_id (&facts), status, why);
 }
 
 /* Nobody tries again after 401 or 404; so what peers know to be out of date may not say it. */
@@ -74,9 +74,9 @@
 /* More requests than slots of a plain endpoint queue there; an engine's streams slow
  * each other down, so fewer than its slots run. */
 static uint32_t
-cap_of (const struct ash_router *router,
-        const struct ash_route *route,
-        const struct ash_route_service *service)
+concurrency_limit (const struct ash_router *router,
+                   const struct ash_route *route,
+                   const struct ash_route_service *service)
 {
   const struct ash_direct_endpoint *endpoint;
 
@@ -115,23 +115,24 @@
 }
 
 static void
-fill_forward (struct ash_exchange *exchange)
+init_forward (struct ash_exchange *exchange)
 {
   const struct ash_route *route = exchange->route;
   struct ash_router *router = exchange->router;
   struct ash_forward *forward = &exchange->forward;
-  uint32_t part = ash_route_table_draw (exchange->table, route, ash_random_next (&router->random));
-  const struct ash_route_service *service = &exchange->table->services[part];
+  uint32_t service_index =
+      ash_route_table_draw (exchange->table, route, ash_random_next (&router->random));
+  const struct ash_route_service *service = &exchange->table->services[service_index];
   uint32_t caller_ms =
       exchange->facts.deadline_ms ? exchange->facts.deadline_ms : DEADLINE_DEFAULT_MS;
-  uint32_t most_ms = caller_ms < route->timeout_ms ? caller_ms : route->timeout_ms;
+  uint32_t max_ms = caller_ms < route->timeout_ms ? caller_ms : route->timeout_ms;
 
   *forward = (struct ash_forward){
     .repeat = route->repeat,
     .servers_max = route->servers_max,
     .aim_ms = route->aim_ms,
     .service = service->name,
-    .cap = cap_of (router, route, service),
+    .cap = concurrency_limit (router, route, service),
     .pause_aim_ms = service->has_engine ? route->pause_aim_ms : 0,
     .came = ash_clock_now (),
   };
@@ -140,26 +141,26 @@
   if (forward->pause_aim_ms)
     forward->prompt = prompt_terms (exchange, service);
   forward->deadline =
-      ash_time_add (forward->came, (int64_t) most_ms - DEADLINE_MARGIN_MS - router->suspended_ms);
+      ash_time_add (forward->came, (int64_t) max_ms - DEADLINE_MARGIN_MS - router->suspended_ms);
 }
 
 /* Whether a planned stop may come to its end before the answer does. What is under way then is cut,
  * and nobody knows whether it ran: so the time left is held against what the request may take. */
 static bool
-ends_too_soon (const struct ash_exchange *exchange)
+may_outlast_stop (const struct ash_exchange *exchange)
 {
   const struct ash_router *router = exchange->router;
   const struct ash_forward *forward = &exchange->forward;
-  int64_t most_ms = ash_time_diff (forward->came, forward->deadline);
+  int64_t max_ms = ash_time_diff (forward->came, forward->deadline);
 
   if (!router->stopping)
     return false;
   if (router->stop_expired)
     return true;
-  if (most_ms > USUAL_MOST_MS &&
-      ash_time_diff (router->stop_started_at, forward->came) <= STOP_BEGINS_MS)
-    most_ms = USUAL_MOST_MS;
-  return ash_time_diff (forward->came, ash_router_stop_deadline (router)) < most_ms;
+  if (max_ms > USUAL_DURATION_MS &&
+      ash_time_diff (router->stop_started_at, forward->came) <= STOP_EARLY_PHASE_MS)
+    max_ms = USUAL_DURATION_MS;
+  return ash_time_diff (forward->came, ash_router_stop_deadline (router)) < max_ms;
 }
 
 static void
@@ -206,17 +207,17 @@
     }
   exchange->account = account;
   exchange->facts = facts;
-  fill_forward (exchange);
+  init_forward (exchange);
   ash_resend_window_request (&ash_router_service (router, exchange->forward.service)->window,
                              &bound, exchange->forward.came);
-  if (ends_too_soon (exchange))
-    ash_exchange_end_with_status (exchange, 503, ASH_FORWARD_LEAVING, LEAVING_RETRY_MS);
+  if (may_outlast_stop (exchange))
+    ash_exchange_end_with_status (exchange, 503, ASH_FORWARD_LEAVING, STOP_RETRY_AFTER_MS);
   else
     ash_exchange_step (exchange);
 }
 
 static void
-on_gone (struct ash_http_conn *conn)
+on_disconnect (struct ash_http_conn *conn)
 {
   struct ash_exchange *exchange = conn->request;
 
@@ -235,7 +236,7 @@
     ash_http_call_pause (&exchange->call, false);
 }
 
-const struct ash_conn_handler ash_requests_handler = { on_request, on_gone, on_drained };
+const struct ash_conn_handler ash_requests_handler = { on_request, on_disconnect, on_drained };
 
 /* ---- the end of a stop ---- */
 
@@ -243,7 +244,7 @@
  * vouched that it did not or the connection never came up; nothing else may be told to be not run.
  */
 static void
-give_up (struct ash_exchange *exchange)
+abort_exchange (struct ash_exchange *exchange)
 {
   struct ash_forward *forward = &exchange->forward;
   uint16_t status;
@@ -252,18 +253,18 @@
     ash_forward_not_run (forward, false);
   status = ash_forward_status (forward, ASH_FORWARD_LEAVING);
   ash_exchange_end_with_status (exchange, status, ASH_FORWARD_LEAVING,
-                                status == 503 ? LEAVING_RETRY_MS : 0);
+                                status == 503 ? STOP_RETRY_AFTER_MS : 0);
 }
 
 /* One that was not read whole was sent nowhere. */
 static void
-refuse_partly_read (struct ash_router *router)
+reject_partly_read (struct ash_router *router)
 {
   struct ash_http_conn *conn;
 
   DL_FOREACH (router->frontend.conns, conn)
     if (!conn->dead && conn->state == ASH_CONN_READING)
-      refuse (conn, router, "-", 503, "stopping");
+      reject (conn, router, "-", 503, "stopping");
 }
 
 void
@@ -271,6 +272,6 @@
 {
   /* What callers sent ahead comes up as the request before it ends, and ends at once. */
   while (router->exchanges)
-    give_up (router->exchanges);
-  refuse_partly_read (router);
+    abort_exchange (router->exchanges);
+  reject_partly_read (router);
 }
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -11,11 +11,11 @@
 #define TICK_S 0.1
 
 /* A gap in the loop's turns so long means that the process was stopped. */
-#define PAUSE_MS 1000
+#define SUSPEND_GAP_MS 1000
 
 /* In a planned stop: how long callers may still come by an address that they keep,
  * against the time that an answer may be kept. */
-#define KEEP_TIMES 3
+#define ADDRESS_KEEP_FACTOR 3
 
 /* Left of the time to stop when what is still under way is given up: for the answers to be read,
  * and the rest for a busy small box to come round and end. */
@@ -31,7 +31,7 @@
 #define STOP_FLUSH_MS 150
 
 /* What came while this process was away is read within some milliseconds after. */
-#define WOKE_MS 50
+#define RESUME_READ_MS 50
 
 #define MS_PER_S 1000.0
 
@@ -57,7 +57,7 @@
 struct ash_router_service *
 ash_router_service (struct ash_router *router, const char *name)
 {
-  static struct ash_router_service none; /* without memory nothing is sent again for long */
+  static struct ash_router_service fallback; /* without memory nothing is sent again for long */
   struct ash_router_service *found;
 
   HASH_FIND_STR (router->services, name, found);
@@ -65,7 +65,7 @@
     return found;
   found = calloc (1, sizeof *found);
   if (!found)
-    return &none;
+    return &fallback;
   snprintf (found->name, sizeof found->name, "%s", name);
   HASH_ADD_STR (router->services, name, found);
   return found;
@@ -100,7 +100,7 @@
 }
 
 static void
-on_leaving (void *data, struct ash_direct_endpoint *endpoint)
+on_endpoint_removed (void *data, struct ash_direct_endpoint *endpoint)
 {
   struct ash_router *router = data;
 
@@ -114,7 +114,7 @@
 /* What is idle stands before the former life, and may be as silent as it is; so may the questions
  * to a rank. */
 static void
-on_reborn (void *data, struct ash_direct_endpoint *endpoint)
+on_endpoint_restarted (void *data, struct ash_direct_endpoint *endpoint)
 {
   struct ash_router *router = data;
 
@@ -152,14 +152,13 @@
 
 /* Both are the router's from now on. */
 static void
-put_in_force (struct ash_router *router,
-              struct ash_route_table *table,
-              char *text,
-              size_t text_bytes)
+activate_config (struct ash_router *router,
+                 struct ash_route_table *table,
+                 char *text,
+                 size_t text_bytes)
 {
-  char *former_text = router->config_text;
-  struct ash_config_text before = { ash_router_version (router), former_text,
-                                    router->config_bytes };
+  char *old_text = router->config_text;
+  struct ash_config_text before = { ash_router_version (router), old_text, router->config_bytes };
   struct ash_config_text after = { table->version, text, text_bytes };
 
   ash_route_table_unref (router->table);
@@ -169,7 +168,7 @@
   apply_limits (router);
   if (ash_store_is_polled (&router->store, ASH_STORE_CONFIG))
     ash_peer_sync_publish_config (&router->peer_sync, &before, &after);
-  free (former_text);
+  free (old_text);
 }
 
 void
@@ -203,7 +202,7 @@
                  (unsigned long long) table->version,
                  (unsigned long long) ash_router_version (router), source, table->route_count,
                  table->service_count, table->account_count);
-  put_in_force (router, table, copy, text_bytes);
+  activate_config (router, table, copy, text_bytes);
 }
 
 /* ---- time and signals ---- */
@@ -216,9 +215,9 @@
 }
 
 static bool
-nothing_left (const struct ash_router *router, struct ash_time now)
+stop_is_complete (const struct ash_router *router, struct ash_time now)
 {
-  int64_t keep_ms = (int64_t) router->settings.address_keep_ms * KEEP_TIMES;
+  int64_t keep_ms = (int64_t) router->settings.address_keep_ms * ADDRESS_KEEP_FACTOR;
 
   return ash_time_diff (router->stop_started_at, now) > keep_ms &&
          !ash_groups_holds (&router->groups) && !ash_http_listener_busy (&router->frontend);
@@ -236,7 +235,7 @@
 /* The last that happens before the process ends. The requests go first: each stands on its caller's
  * connection, and the end of a call to an endpoint would have it go on elsewhere. */
 static void
-give_up (struct ash_router *router)
+abort_requests (struct ash_router *router)
 {
   router->stop_expired = true;
   ash_requests_abort_all (router);
@@ -253,7 +252,7 @@
   if (router->stop_expired)
     ev_break (loop, EVBREAK_ALL);
   else
-    give_up (router);
+    abort_requests (router);
 }
 
 static void
@@ -269,15 +268,15 @@
   ash_store_tick (&router->store, now);
   ash_direct_tick (&router->endpoints, now);
   ash_suspects_tick (&router->suspects, now);
-  router->room = true;
-  if (router->stopping && !router->stop_expired && nothing_left (router, now))
-    give_up (router);
+  router->capacity_freed = true;
+  if (router->stopping && !router->stop_expired && stop_is_complete (router, now))
+    abort_requests (router);
 }
 
 /* The loop's timers don't count the time for which the machine was suspended: all that waits for
  * one is looked at now. */
 static void
-on_woke_timer (struct ev_loop *loop, ev_timer *timer, int events)
+on_resume_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct ash_router *router = timer->data;
 
@@ -292,7 +291,7 @@
 /* What others do is asked anew, nothing goes out on connections that may have ended meanwhile, and
  * what callers sent is as old as the time away may make it. */
 static void
-wake (struct ash_router *router, struct ash_time now, int64_t gap_ms)
+handle_resume (struct ash_router *router, struct ash_time now, int64_t gap_ms)
 {
   ash_log_event (&router->log, ASH_EV_WOKE, "gap_ms=%lld", (long long) gap_ms);
   ash_groups_woke (&router->groups);
@@ -301,14 +300,14 @@
   ash_router_close_idle_connections (router, now);
   router->suspended_ms = gap_ms;
   ev_timer_stop (router->loop, &router->resume_timer);
-  ev_timer_set (&router->resume_timer, WOKE_MS / MS_PER_S, 0);
+  ev_timer_set (&router->resume_timer, RESUME_READ_MS / MS_PER_S, 0);
   ev_timer_start (router->loop, &router->resume_timer);
 }
 
 /* First after the loop has slept, which lasts a tick at most. A longer gap means that
  * the process was stopped, or its machine suspended: what it holds of others is old. */
 static void
-on_after_sleep (struct ev_loop *loop, ev_check *check, int events)
+on_loop_check (struct ev_loop *loop, ev_check *check, int events)
 {
   struct ash_router *router = check->data;
   struct ash_time now = ash_clock_now ();
@@ -317,18 +316,18 @@
   (void) loop;
   (void) events;
   router->last_iteration = now;
-  if (gap_ms > PAUSE_MS)
-    wake (router, now, gap_ms);
+  if (gap_ms > SUSPEND_GAP_MS)
+    handle_resume (router, now, gap_ms);
 }
 
 /* Last before the loop sleeps: whatever made room in this turn is used. */
 static void
-on_before_sleep (struct ev_loop *loop, ev_prepare *prepare, int events)
+on_loop_prepare (struct ev_loop *loop, ev_prepare *prepare, int events)
 {
   struct ash_router *router = prepare->data;
 
   (void) events;
-  if (router->room)
+  if (router->capacity_freed)
     ash_exchange_step_waiting (router);
   if (router->stop_expired && !ash_http_listener_has_callers (&router->frontend))
     ev_break (loop, EVBREAK_ALL);
@@ -345,7 +344,7 @@
     {
       ash_log_event (&router->log, ASH_EV_CUT_SHORT, "signal=%d", watcher->signum);
       if (!router->stop_expired)
-        give_up (router);
+        abort_requests (router);
       return;
     }
   router->stopping = true;
@@ -401,14 +400,14 @@
 }
 
 static bool
-open_all (struct ash_router *router)
+open_listeners (struct ash_router *router)
 {
   const struct ash_router_settings *settings = &router->settings;
 
   if (!listen_at (router, &router->frontend, settings->frontend_listen, &ash_requests_handler) ||
       !listen_at (router, &router->readiness, settings->readiness_listen, &ash_readiness_handler) ||
       !listen_at (router, &router->directory, settings->directory_listen, &ash_directory_handler) ||
-      !listen_at (router, &router->figures, settings->metrics_listen, &ash_figures_handler))
+      !listen_at (router, &router->metrics_page, settings->metrics_listen, &ash_metrics_handler))
     return false;
   router->frontend.conn_max = settings->connections_max;
   ash_peer_sync_open (&router->peer_sync, router);
@@ -442,14 +441,14 @@
   ev_timer_start (router->loop, &router->tick);
   ev_init (&router->stop_timer, on_stop_timer);
   router->stop_timer.data = router;
-  ev_init (&router->resume_timer, on_woke_timer);
+  ev_init (&router->resume_timer, on_resume_timer);
   router->resume_timer.data = router;
   router->last_iteration = ash_clock_now ();
-  ev_check_init (&router->loop_check, on_after_sleep);
+  ev_check_init (&router->loop_check, on_loop_check);
   ev_set_priority (&router->loop_check, EV_MAXPRI);
   router->loop_check.data = router;
   ev_check_start (router->loop, &router->loop_check);
-  ev_prepare_init (&router->loop_prepare, on_before_sleep);
+  ev_prepare_init (&router->loop_prepare, on_loop_prepare);
   router->loop_prepare.data = router;
   ev_prepare_start (router->loop, &router->loop_prepare);
   watch_signal (router, &router->on_term, SIGTERM, on_stop);
@@ -479,11 +478,11 @@
     randombytes_buf (&router->incarnation, sizeof router->incarnation);
   ash_random_init (&router->random, router->incarnation);
   ash_direct_init (&router->endpoints, ash_random_next (&router->random));
-  router->endpoints.leaving = on_leaving;
-  router->endpoints.reborn = on_reborn;
+  router->endpoints.leaving = on_endpoint_removed;
+  router->endpoints.reborn = on_endpoint_restarted;
   router->endpoints.data = router;
   ash_metrics_init (&router->metrics);
-  router->frontend.fd = router->readiness.fd = router->directory.fd = router->figures.fd = -1;
+  router->frontend.fd = router->readiness.fd = router->directory.fd = router->metrics_page.fd = -1;
   return router->loop != NULL;
 }
 
@@ -496,7 +495,7 @@
   ash_http_listener_finish (&router->frontend);
   ash_http_listener_finish (&router->readiness);
   ash_http_listener_finish (&router->directory);
-  ash_http_listener_finish (&router->figures);
+  ash_http_listener_finish (&router->metrics_page);
   ash_store_close (&router->store);
   ash_groups_close (&router->groups);
   ash_suspects_close (&router->suspects);
@@ -523,7 +522,7 @@
   /* Before it can be reached: a signal that came in between ended the process with what callers had
    * sent it, 193 times of 200 that were signalled as soon as it could be connected to. */
   start_watchers (router);
-  ok = open_all (router);
+  ok = open_listeners (router);
   if (ok)
     {
       ash_log_event (&router->log, ASH_EV_STARTED, "incarnation=%016llx hall=%s frontend=%s",
--- a/daemon/router.h
+++ b/daemon/router.h
@@ -60,11 +60,11 @@
   struct ash_http_listener frontend;
   struct ash_http_listener readiness;
   struct ash_http_listener directory;
-  struct ash_http_listener figures;
+  struct ash_http_listener metrics_page;
 
   struct ash_exchange *exchanges;
   uint32_t waiting_count; /**< exchanges that wait for room */
-  bool room; /**< some may be had: those waiting are looked at before the loop sleeps */
+  bool capacity_freed; /**< some may be had: those waiting are looked at before the loop sleeps */
 
   bool stopping;
   bool stop_expired; /**< the stop is at its end: nothing goes to endpoints any more */
@@ -129,7 +129,7 @@
 /** Readiness, directory and figures: what their listeners call. */
 extern const struct ash_conn_handler ash_readiness_handler;
 extern const struct ash_conn_handler ash_directory_handler;
-extern const struct ash_conn_handler ash_figures_handler;
+extern const struct ash_conn_handler ash_metrics_handler;
 
 /** @return the connections to an endpoint; made when first asked for. */
 struct ash_http_pool *ash_router_pool (struct ash_router *router,
--- a/daemon/router_pages.c
+++ b/daemon/router_pages.c
@@ -19,7 +19,7 @@
 }
 
 static void
-ignore_gone (struct ash_http_conn *conn)
+ignore_disconnect (struct ash_http_conn *conn)
 {
   (void) conn; /* pages are answered at once: there is nothing to give up */
 }
@@ -37,16 +37,16 @@
     answer_text (conn, 503, router->stopping ? "stopping\n" : "no configuration yet\n");
 }
 
-const struct ash_conn_handler ash_readiness_handler = { on_readiness, ignore_gone, NULL };
+const struct ash_conn_handler ash_readiness_handler = { on_readiness, ignore_disconnect, NULL };
 
 /* ---- directory ---- */
 
 /* Of more peers than an answer can name some are taken by chance, each as likely as the others: the
  * first of a list would be the same for nearly all callers. @return how many. */
 static uint32_t
-choose_peers (struct ash_router *router, const char **addresses, uint32_t room)
+sample_peers (struct ash_router *router, const char **addresses, uint32_t addresses_max)
 {
-  uint32_t seen = 0;
+  uint32_t candidates = 0;
 
   for (const struct ash_fleet_peer *peer = router->fleet.peers; peer; peer = peer->hh.next)
     {
@@ -54,12 +54,13 @@
 
       if (!peer->linked || peer->leaving || !*peer->frontend)
         continue;
-      at = seen < room ? seen : ash_random_below (&router->random, seen + 1);
-      seen++;
-      if (at < room)
+      at = candidates < addresses_max ? candidates
+                                      : ash_random_below (&router->random, candidates + 1);
+      candidates++;
+      if (at < addresses_max)
         addresses[at] = peer->frontend;
     }
-  return seen < room ? seen : room;
+  return candidates < addresses_max ? candidates : addresses_max;
 }
 
 static void
@@ -72,7 +73,7 @@
 
   if (ash_router_ready (router))
     addresses[count++] = router->settings.frontend_listen;
-  count += choose_peers (router, addresses + count, ASH_PLATFORM_ADDRESSES_MAX - count);
+  count += sample_peers (router, addresses + count, ASH_PLATFORM_ADDRESSES_MAX - count);
   if (!count ||
       !ash_platform_directory_write (&body, addresses, count, router->settings.address_keep_ms))
     answer_text (conn, 503, "no entry is known that is ready\n");
@@ -82,7 +83,7 @@
   ash_buffer_finish (&body);
 }
 
-const struct ash_conn_handler ash_directory_handler = { on_directory, ignore_gone, NULL };
+const struct ash_conn_handler ash_directory_handler = { on_directory, ignore_disconnect, NULL };
 
 /* ---- figures ---- */
 
@@ -119,7 +120,7 @@
       snprintf (labels, sizeof labels, "part=\"%s\"",
                 part == ASH_STORE_CONFIG ? "config" : "endpoints");
       ash_metrics_set (metrics, "ash_store_answer_age_ms", labels,
-                       (uint64_t) ash_time_diff (reader->answered, now));
+                       (uint64_t) ash_time_diff (reader->last_answer, now));
     }
   for (const struct ash_direct_endpoint *endpoint = router->endpoints.endpoints; endpoint;
        endpoint = endpoint->hh.next)
@@ -137,7 +138,7 @@
 }
 
 static void
-on_figures (struct ash_http_conn *conn)
+on_metrics (struct ash_http_conn *conn)
 {
   struct ash_router *router = conn->listener->owner;
   char *text = NULL;
@@ -156,4 +157,4 @@
   free (text);
 }
 
-const struct ash_conn_handler ash_figures_handler = { on_figures, ignore_gone, NULL };
+const struct ash_conn_handler ash_metrics_handler = { on_metrics, ignore_disconnect, NULL };
--- a/daemon/store.c
+++ b/daemon/store.c
@@ -12,19 +12,19 @@
 
 /* An answer is due so long after the store should have given it: many times its usual
  * few milliseconds, so that a slow store is not asked twice. */
-#define ANSWER_SLACK_MS 1500
+#define ANSWER_TIMEOUT_MS 1500
 
 /* The same for a watch, whose answer is one event or none. With the wait of those that ask often
  * (1.5 s), a change whose answer was lost on its way is in force 2.3 s later. */
-#define WATCH_SLACK_MS 700
+#define WATCH_TIMEOUT_MARGIN_MS 700
 
 /* A connection to the store that is silent for so long is given up, a keep-alive probe
  * included: a second before the platform takes for granted that a box is in touch again. It
  * notices a cut without any call that the store would count, long before a question that waits. */
-#define SILENCE_MS 2000
+#define CONNECTION_SILENCE_MS 2000
 
 /* A question asked less long ago may still be on its way. */
-#define DOUBT_LEAST_MS 300
+#define RESTART_MIN_AGE_MS 300
 
 /* A watch without a change is answered when its wait is over, a listing at once; an answer that
  * comes so much later shows that the store was silent, and that endpoints could not tell it that
@@ -35,19 +35,19 @@
  * connection whose first packet was lost would try again only after a second. With each
  * time-out the next question has twice the time, up to ANSWER_SLACK_MS: a store that takes 500 ms
  * for an answer would not be read at all otherwise. */
-#define ANSWER_SOON_MS 300
+#define FIRST_ANSWER_TIMEOUT_MS 300
 
 /* Waits between failed questions: the first soon, since most failures are one lost
  * connection; the longest a small part of the time in which a change must be in force. */
 #define RETRY_FIRST_MS 50
-#define RETRY_LONGEST_MS 400
+#define RETRY_MAX_MS 400
 #define RETRY_FACTOR 2
 
 /* The same for a router that others of its hall come before: these see first that the store is
  * back, and tell. If all of a large fleet tried on, a store that is away would get thousands of
  * calls. */
-#define RETRY_OTHERS_MS 2500
-#define RETRY_OTHERS_FACTOR 7
+#define HALL_RETRY_MAX_MS 2500
+#define HALL_RETRY_FACTOR 7
 
 /* Like ASH_STORE_LAPSE_MS where peers know of the store's return first, from when they tell of a
  * newer list: its first change is a heartbeat (300 ms) older at most. An endpoint that has left
@@ -58,22 +58,22 @@
 /* From a whole listing to the first question for changes: by then a router that starts with many
  * others sees those of its hall that ask, and most need not ask at all. A router that has no link
  * by the first of the two times does not wait for others. */
-#define ALONE_MS 150
-#define FIRST_WATCH_MS 1000
+#define ISOLATED_WAIT_MS 150
+#define FIRST_WATCH_DELAY_MS 1000
 
 /* Without an answer for so long, the store is away: endpoints may have missed a heartbeat. */
-#define AWAY_MS 800
+#define OUTAGE_MS 800
 
 /* When all endpoints start, each adds its entry by itself, and each question has a price.
  * So after a few answers in a row that changed the list, what comes next is gathered for a
  * while: a fifth of the time in which a leaving endpoint must have been noticed. */
 #define BURST_ANSWERS 3
-#define BURST_MS 400
+#define BURST_DELAY_MS 400
 
 /* ---- answers ---- */
 
 static void
-take_item (void *data, const struct ash_store_item *item)
+handle_item (void *data, const struct ash_store_item *item)
 {
   struct ash_store_reader *reader = data;
   struct ash_router *router = reader->router;
@@ -99,7 +99,7 @@
 }
 
 static void
-rest (struct ash_store_reader *reader, int64_t ms)
+delay (struct ash_store_reader *reader, int64_t ms)
 {
   reader->state = ASH_STORE_DELAYED;
   set_timer (reader, ms);
@@ -108,9 +108,9 @@
 /* Whether others of the hall try for this router too. One that has read nothing yet can't do with
  * what they have read. */
 static bool
-leaves_it_to_others (const struct ash_store_reader *reader)
+relies_on_hall (const struct ash_store_reader *reader)
 {
-  return reader->place && !ash_fleet_first_of_hall (&reader->router->fleet);
+  return reader->position && !ash_fleet_first_of_hall (&reader->router->fleet);
 }
 
 /* How long a question that has failed rests. */
@@ -118,52 +118,52 @@
 retry_ms (const struct ash_store_reader *reader)
 {
   const struct ash_store_reader *list = &reader->router->store.readers[ASH_STORE_SERVERS];
-  bool others = leaves_it_to_others (reader);
-  int64_t longest_ms = others ? RETRY_OTHERS_MS : RETRY_LONGEST_MS;
+  bool relies = relies_on_hall (reader);
+  int64_t max_ms = relies ? HALL_RETRY_MAX_MS : RETRY_MAX_MS;
   int64_t wait_ms = RETRY_FIRST_MS;
 
   /* One question at a time shows whether the store is back. */
-  if (others && reader != list && list->failures > 1)
-    return longest_ms;
-  for (uint32_t i = 1; i < reader->failures && wait_ms < longest_ms; i++)
-    wait_ms *= others ? RETRY_OTHERS_FACTOR : RETRY_FACTOR;
+  if (relies && reader != list && list->failures > 1)
+    return max_ms;
+  for (uint32_t i = 1; i < reader->failures && wait_ms < max_ms; i++)
+    wait_ms *= relies ? HALL_RETRY_FACTOR : RETRY_FACTOR;
   return wait_ms;
 }
 
 static void
-fail (struct ash_store_reader *reader, const char *why)
+handle_failure (struct ash_store_reader *reader, const char *why)
 {
   struct ash_router *router = reader->router;
   struct ash_time now = ash_clock_now ();
   int64_t wait_ms;
 
-  if (reader->answers || !reader->failures)
+  if (reader->is_answering || !reader->failures)
     ash_log_event (&router->log, ASH_EV_PLATFORM_DOWN,
                    "part=%d why=\"%s\" status=%u revision=%" PRIu64 " age_ms=%lld",
-                   (int) reader->part, why, reader->status, reader->place,
-                   (long long) ash_time_diff (reader->answered, now));
+                   (int) reader->part, why, reader->status, reader->position,
+                   (long long) ash_time_diff (reader->last_answer, now));
   if (!reader->failures)
     reader->failing_since = now;
   /* One connection that was cut says nothing of the list; a store that stays away does. */
-  if (ash_time_diff (reader->failing_since, now) > AWAY_MS)
-    reader->trouble = now;
+  if (ash_time_diff (reader->failing_since, now) > OUTAGE_MS)
+    reader->last_outage = now;
   /* A listing that broke off begins anew. */
   if (reader->state == ASH_STORE_LISTING)
-    reader->place = 0;
+    reader->position = 0;
   *reader->page = '\0';
-  reader->answers = false;
+  reader->is_answering = false;
   reader->failures++;
   wait_ms = retry_ms (reader);
   /* Half to one and a half times, so that routers that failed together spread. */
   wait_ms = wait_ms / 2 + ash_random_below (&router->random, (uint32_t) wait_ms + 1);
-  rest (reader, wait_ms);
+  delay (reader, wait_ms);
 }
 
-static void ask (struct ash_store_reader *reader);
+static void send_request (struct ash_store_reader *reader);
 
 /* The list's reader has an answer: the other one need not wait longer. */
 static void
-wake_others (const struct ash_store_reader *reader)
+retry_other_readers (const struct ash_store_reader *reader)
 {
   struct ash_store *store = &reader->router->store;
 
@@ -174,26 +174,26 @@
       if (other == reader || other->state != ASH_STORE_DELAYED || !other->failures)
         continue;
       ev_timer_stop (reader->router->loop, &other->timer);
-      ask (other);
+      send_request (other);
     }
 }
 
 static void
-note_success (struct ash_store_reader *reader)
+record_success (struct ash_store_reader *reader)
 {
-  bool was_away = reader->failures > 0;
+  bool had_failed = reader->failures > 0;
 
-  if (!reader->answers)
+  if (!reader->is_answering)
     ash_log_event (&reader->router->log, ASH_EV_PLATFORM_UP, "part=%d revision=%" PRIu64,
-                   (int) reader->part, reader->place);
-  reader->answers = true;
+                   (int) reader->part, reader->position);
+  reader->is_answering = true;
   reader->failures = 0;
   reader->timeouts = 0;
   reader->distrust_idle = false;
-  reader->paused = false;
-  reader->answered = ash_clock_now ();
-  if (was_away)
-    wake_others (reader);
+  reader->was_suspended = false;
+  reader->last_answer = ash_clock_now ();
+  if (had_failed)
+    retry_other_readers (reader);
 }
 
 /* Counts answers that changed the list, as long as they come close together. */
@@ -202,27 +202,27 @@
 {
   struct ash_time now = ash_clock_now ();
 
-  if (!reader->changed)
+  if (!reader->list_changed)
     return false;
-  if (ash_time_diff (reader->changed_at, now) > 2 * BURST_MS)
+  if (ash_time_diff (reader->list_changed_at, now) > 2 * BURST_DELAY_MS)
     reader->burst = 0;
-  reader->changed_at = now;
+  reader->list_changed_at = now;
   return ++reader->burst > BURST_ANSWERS;
 }
 
 static void
-list_anew (struct ash_store_reader *reader)
+restart_listing (struct ash_store_reader *reader)
 {
-  reader->place = 0;
+  reader->position = 0;
   *reader->page = '\0';
   reader->state = ASH_STORE_DELAYED;
-  ask (reader);
+  send_request (reader);
 }
 
 /* Its revisions were given out again since, so what was read up to one of them says nothing of what
  * is below it now: all of the other part is read anew too. */
 static void
-list_others_anew (const struct ash_store_reader *reader)
+restart_other_listings (const struct ash_store_reader *reader)
 {
   struct ash_store *store = &reader->router->store;
 
@@ -233,28 +233,28 @@
       if (other == reader || other->state == ASH_STORE_FOLLOWING)
         continue;
       ash_http_call_cancel (&other->call);
-      list_anew (other);
+      restart_listing (other);
     }
 }
 
 /* Looks at the era that an answer is of. @return false if there is nothing more to take from it. */
 static bool
-take_era (struct ash_store_reader *reader)
+check_era (struct ash_store_reader *reader)
 {
   struct ash_store *store = &reader->router->store;
   bool first =
-      !store->era && !reader->place && reader->state == ASH_STORE_LISTING && !*reader->page;
+      !store->era && !reader->position && reader->state == ASH_STORE_LISTING && !*reader->page;
 
   if (reader->era_status == ASH_STORE_ERA_BAD)
     {
-      fail (reader, "its era can't be read");
+      handle_failure (reader, "its era can't be read");
       return false;
     }
   if (reader->era_status == ASH_STORE_ERA_NONE || reader->era == store->era)
     return true;
   if (reader->era < store->era)
     {
-      fail (reader, "an answer of a former era");
+      handle_failure (reader, "an answer of a former era");
       return false;
     }
   if (first && !store->entries && !ash_router_version (reader->router))
@@ -264,70 +264,70 @@
       return true;
     }
   ash_store_begin_era (store, reader->era, "store");
-  list_others_anew (reader);
-  if (reader->state == ASH_STORE_LISTING && !*reader->page && !reader->place)
+  restart_other_listings (reader);
+  if (reader->state == ASH_STORE_LISTING && !*reader->page && !reader->position)
     return true;
-  list_anew (reader);
+  restart_listing (reader);
   return false;
 }
 
 static void
-take_answer (struct ash_store_reader *reader)
+handle_answer (struct ash_store_reader *reader)
 {
   struct ash_router *router = reader->router;
-  struct ash_store_taker taker = { take_item, reader };
+  struct ash_store_taker taker = { handle_item, reader };
   struct ash_store_answer answer;
   bool listing = reader->state == ASH_STORE_LISTING;
-  uint64_t since = reader->place;
-  uint64_t place;
+  uint64_t since = reader->position;
+  uint64_t position;
 
-  reader->changed = false;
+  reader->list_changed = false;
   if (reader->part == ASH_STORE_SERVERS)
     router->store.changes.count = 0;
-  if (!take_era (reader))
+  if (!check_era (reader))
     return;
   if (reader->status == 410)
     {
       /* The changes since then are gone: all is read anew. What is missing then was
        * removed in between. */
-      list_anew (reader);
+      restart_listing (reader);
       return;
     }
   if (reader->status != 200 ||
       !ash_platform_store_read ((const char *) reader->answer.bytes + reader->answer.start,
                                 reader->answer.length, &taker, &answer))
     {
-      fail (reader, reader->status == 200 ? "unreadable answer" : "refused");
+      handle_failure (reader, reader->status == 200 ? "unreadable answer" : "refused");
       return;
     }
-  place = ash_place_of (router->store.era, answer.revision);
+  position = ash_place_of (router->store.era, answer.revision);
   if (listing && answer.more)
     {
       memcpy (reader->page, answer.next_page, sizeof reader->page);
       /* Pages are no snapshot: changes are watched from the first one on. */
-      if (!reader->place)
-        reader->place = place;
-      ask (reader);
+      if (!reader->position)
+        reader->position = position;
+      send_request (reader);
       return;
     }
   if (listing && reader->part == ASH_STORE_SERVERS)
-    ash_store_list_remove_unlisted (reader, reader->place ? reader->place : place);
+    ash_store_list_remove_unlisted (reader, reader->position ? reader->position : position);
   *reader->page = '\0';
-  if (!listing || !reader->place)
-    reader->place = place > reader->place ? place : reader->place;
-  if (reader->part == ASH_STORE_SERVERS && reader->place > router->endpoints.revision)
-    router->endpoints.revision = reader->place;
+  if (!listing || !reader->position)
+    reader->position = position > reader->position ? position : reader->position;
+  if (reader->part == ASH_STORE_SERVERS && reader->position > router->endpoints.revision)
+    router->endpoints.revision = reader->position;
   if (reader->part == ASH_STORE_SERVERS && !listing)
-    ash_store_list_publish (&router->store, since, reader->place);
-  note_success (reader);
+    ash_store_list_publish (&router->store, since, reader->position);
+  record_success (reader);
   reader->state = ASH_STORE_WATCHING;
   reader->just_listed = listing;
   if (listing)
-    rest (reader, ALONE_MS);
+    delay (reader, ISOLATED_WAIT_MS);
   else if (is_burst (reader))
-    rest (reader, BURST_MS);
+    delay (reader, BURST_DELAY_MS);
   else
-    ask (reader);
+    send_request (reader);
 }
 
 /* ---- calls ---- */
@@ -349,7 +349,7 @@
 
   ash_buffer_append (&reader->answer, bytes, length);
   /* A long answer over a slow link is not silent: cut and asked again, it would come no sooner. */
-  set_timer (reader, ANSWER_SLACK_MS);
+  set_timer (reader, ANSWER_TIMEOUT_MS);
 }
 
 static void
@@ -358,12 +358,12 @@
   struct ash_store_reader *reader = call->owner;
 
   ev_timer_stop (reader->router->loop, &reader->timer);
-  if (end == ASH_CALL_WHOLE && ash_time_before (reader->due, ash_clock_now ()))
-    reader->trouble = ash_clock_now ();
+  if (end == ASH_CALL_WHOLE && ash_time_before (reader->overdue_at, ash_clock_now ()))
+    reader->last_outage = ash_clock_now ();
   if (end == ASH_CALL_WHOLE)
-    take_answer (reader);
+    handle_answer (reader);
   else
-    fail (reader, end == ASH_CALL_NOT_SENT ? "can't connect" : "cut off");
+    handle_failure (reader, end == ASH_CALL_NOT_SENT ? "can't connect" : "cut off");
 }
 
 static const struct ash_call_handler call_handler = { on_head, on_body, on_end };
@@ -385,15 +385,15 @@
 
 /* How long an answer that is due at once may take. */
 static int64_t
-answer_due_ms (const struct ash_store_reader *reader)
+answer_timeout_ms (const struct ash_store_reader *reader)
 {
-  int64_t due_ms = ANSWER_SOON_MS;
+  int64_t timeout_ms = FIRST_ANSWER_TIMEOUT_MS;
 
-  if (reader->answers)
-    return ANSWER_SLACK_MS;
-  for (uint32_t i = 0; i < reader->timeouts && due_ms < ANSWER_SLACK_MS; i++)
-    due_ms *= 2;
-  return due_ms < ANSWER_SLACK_MS ? due_ms : ANSWER_SLACK_MS;
+  if (reader->is_answering)
+    return ANSWER_TIMEOUT_MS;
+  for (uint32_t i = 0; i < reader->timeouts && timeout_ms < ANSWER_TIMEOUT_MS; i++)
+    timeout_ms *= 2;
+  return timeout_ms < ANSWER_TIMEOUT_MS ? timeout_ms : ANSWER_TIMEOUT_MS;
 }
 
 /* Whether others ask for this part: all of it was read here once, and none of what they told since
@@ -401,12 +401,12 @@
 static bool
 may_follow (const struct ash_store_reader *reader)
 {
-  return !reader->paused && reader->place && !*reader->page && reader->state != ASH_STORE_LISTING &&
-         !ash_fleet_reads_store (&reader->router->fleet);
+  return !reader->was_suspended && reader->position && !*reader->page &&
+         reader->state != ASH_STORE_LISTING && !ash_fleet_reads_store (&reader->router->fleet);
 }
 
 static void
-ask (struct ash_store_reader *reader)
+send_request (struct ash_store_reader *reader)
 {
   struct ash_router *router = reader->router;
   const struct ash_router_settings *settings = &router->settings;
@@ -414,12 +414,12 @@
   /* A reader with trouble behind it asks for little at first: it learns sooner whether
    * the store is back. */
   uint32_t wait_ms = watch_wait_ms (reader);
-  int64_t due_ms = answer_due_ms (reader);
+  int64_t timeout_ms = answer_timeout_ms (reader);
 
   /* A place of a former era is none in this one. */
-  if (ash_place_era (reader->place) < router->store.era)
+  if (ash_place_era (reader->position) < router->store.era)
     {
-      reader->place = 0;
+      reader->position = 0;
       *reader->page = '\0';
     }
   if (may_follow (reader))
@@ -430,27 +430,27 @@
     }
   reader->just_listed = false;
   reader->status = 0;
-  reader->asked = ash_clock_now ();
-  reader->due = ash_time_add (reader->asked, OVERDUE_MS);
+  reader->requested_at = ash_clock_now ();
+  reader->overdue_at = ash_time_add (reader->requested_at, OVERDUE_MS);
   reader->wait_ms = 0;
   ash_buffer_consume (&reader->answer, reader->answer.length);
-  if (reader->place && !*reader->page && reader->state != ASH_STORE_LISTING)
+  if (reader->position && !*reader->page && reader->state != ASH_STORE_LISTING)
     {
       reader->state = ASH_STORE_WATCHING;
-      if (!reader->answers)
+      if (!reader->is_answering)
         wait_ms = 0;
       else
-        due_ms = WATCH_SLACK_MS;
-      due_ms += wait_ms;
+        timeout_ms = WATCH_TIMEOUT_MARGIN_MS;
+      timeout_ms += wait_ms;
       reader->wait_ms = wait_ms;
-      reader->due = ash_time_add (reader->due, wait_ms);
+      reader->overdue_at = ash_time_add (reader->overdue_at, wait_ms);
       ash_platform_store_watch (&request, settings->store_address, reader->part,
-                                ash_place_revision (reader->place), wait_ms);
+                                ash_place_revision (reader->position), wait_ms);
     }
   else
     {
       if (!*reader->page)
-        reader->listing++;
+        reader->listing_id++;
       reader->state = ASH_STORE_LISTING;
       ash_platform_store_range (&request, settings->store_address, reader->part,
                                 *reader->page ? reader->page : NULL);
@@ -459,9 +459,9 @@
   if (!ash_http_call_start (&reader->call, &router->store.pool, request.bytes + request.start,
                             request.length,
                             reader->distrust_idle ? ASH_TIME_NEVER : (struct ash_time){ 0 }))
-    fail (reader, "no socket");
+    handle_failure (reader, "no socket");
   else
-    set_timer (reader, due_ms);
+    set_timer (reader, timeout_ms);
   ash_buffer_finish (&request);
 }
 
@@ -471,10 +471,10 @@
 {
   const struct ash_store *store = &reader->router->store;
 
-  if (!ash_time_before (reader->due, ash_clock_now ()))
+  if (!ash_time_before (reader->overdue_at, ash_clock_now ()))
     return false;
   for (int part = 0; part < ASH_STORE_PARTS; part++)
-    if (!ash_time_before (store->readers[part].answered, reader->due))
+    if (!ash_time_before (store->readers[part].last_answer, reader->overdue_at))
       return false;
   return true;
 }
@@ -482,11 +482,11 @@
 /* Entries may have lapsed meanwhile, and may be all that it tells when it is back, whichever
  * question shows the silence. */
 static void
-note_silence (struct ash_store *store, struct ash_time since)
+record_outage (struct ash_store *store, struct ash_time since)
 {
   for (int part = 0; part < ASH_STORE_PARTS; part++)
-    if (ash_time_before (store->readers[part].trouble, since))
-      store->readers[part].trouble = since;
+    if (ash_time_before (store->readers[part].last_outage, since))
+      store->readers[part].last_outage = since;
 }
 
 static void
@@ -501,20 +501,20 @@
       if (reader->just_listed && ash_fleet_linked (&reader->router->fleet))
         {
           reader->just_listed = false;
-          rest (reader, FIRST_WATCH_MS - ALONE_MS);
+          delay (reader, FIRST_WATCH_DELAY_MS - ISOLATED_WAIT_MS);
         }
       else
-        ask (reader);
+        send_request (reader);
       return;
     }
   ash_http_call_cancel (&reader->call);
   if (was_silent (reader))
-    note_silence (&reader->router->store, reader->due);
+    record_outage (&reader->router->store, reader->overdue_at);
   /* What ends the watch of a reader that was well says nothing of how slow the store is. */
-  if (!reader->answers)
+  if (!reader->is_answering)
     reader->timeouts++;
   reader->distrust_idle = true;
-  fail (reader, "no answer in time");
+  handle_failure (reader, "no answer in time");
   /* What keeps one question from being answered may keep the other one too. */
   for (int part = 0; part < ASH_STORE_PARTS; part++)
     ash_store_restart_watch (&reader->router->store, (enum ash_store_part) part,
@@ -531,7 +531,7 @@
   store->router = router;
   if (!ash_http_pool_init (&store->pool, router->loop, router->settings.store_address))
     return false;
-  store->pool.silence_ms = SILENCE_MS;
+  store->pool.silence_ms = CONNECTION_SILENCE_MS;
   ash_store_list_init (store);
   for (int part = 0; part < ASH_STORE_PARTS; part++)
     {
@@ -541,12 +541,12 @@
         .router = router,
         .part = (enum ash_store_part) part,
         .call = { .handler = &call_handler, .owner = reader },
-        .answered = now,
-        .trouble = { now.ms - ASH_STORE_LAPSE_MS },
+        .last_answer = now,
+        .last_outage = { now.ms - ASH_STORE_LAPSE_MS },
       };
       ev_timer_init (&reader->timer, on_timer, 0, 0);
       reader->timer.data = reader;
-      ask (reader);
+      send_request (reader);
     }
   return true;
 }
@@ -569,13 +569,13 @@
 bool
 ash_store_is_answering (const struct ash_store *store, enum ash_store_part part)
 {
-  return store->readers[part].answers;
+  return store->readers[part].is_answering;
 }
 
 bool
 ash_store_is_polled (const struct ash_store *store, enum ash_store_part part)
 {
-  return store->readers[part].answers && store->readers[part].state != ASH_STORE_FOLLOWING;
+  return store->readers[part].is_answering && store->readers[part].state != ASH_STORE_FOLLOWING;
 }
 
 bool
@@ -591,19 +591,19 @@
 
   /* Only a watch may wait; whatever else is under way has a short bound of its own, and so has an
    * answer that has begun to come. */
-  if (reader->state != ASH_STORE_WATCHING || !reader->answers || reader->status ||
-      ash_time_diff (reader->asked, ash_clock_now ()) < DOUBT_LEAST_MS)
+  if (reader->state != ASH_STORE_WATCHING || !reader->is_answering || reader->status ||
+      ash_time_diff (reader->requested_at, ash_clock_now ()) < RESTART_MIN_AGE_MS)
     return;
   ash_http_call_cancel (&reader->call);
   reader->distrust_idle = true;
-  fail (reader, why);
+  handle_failure (reader, why);
 }
 
 /* Whether a question that is asked now ends before the one under way may. */
 static bool
-asks_sooner (const struct ash_store_reader *reader, struct ash_time now)
+would_finish_sooner (const struct ash_store_reader *reader, struct ash_time now)
 {
-  int64_t left_ms = reader->wait_ms - ash_time_diff (reader->asked, now);
+  int64_t left_ms = reader->wait_ms - ash_time_diff (reader->requested_at, now);
 
   return reader->state == ASH_STORE_WATCHING && !reader->status &&
          left_ms > reader->router->settings.short_wait_ms && left_ms > watch_wait_ms (reader);
@@ -616,16 +616,16 @@
 stop_following (struct ash_store_reader *reader)
 {
   struct ash_store *store = &reader->router->store;
-  uint64_t told = reader->router->endpoints.revision;
+  uint64_t position = reader->router->endpoints.revision;
 
   if (reader->part == ASH_STORE_SERVERS)
     {
-      if (told > reader->place)
-        reader->place = told;
+      if (position > reader->position)
+        reader->position = position;
       ash_store_expect_lapses (store, ash_clock_now ());
     }
   reader->state = ASH_STORE_WATCHING;
-  ask (reader);
+  send_request (reader);
 }
 
 void
@@ -637,10 +637,10 @@
 
       if (reader->state == ASH_STORE_FOLLOWING && ash_fleet_reads_store (&store->router->fleet))
         stop_following (reader);
-      if (!asks_sooner (reader, now))
+      if (!would_finish_sooner (reader, now))
         continue;
       ash_http_call_cancel (&reader->call);
-      ask (reader);
+      send_request (reader);
     }
   ash_store_list_tick (store, now);
 }
@@ -662,7 +662,7 @@
       struct ash_store_reader *reader = &store->readers[part];
 
       ash_http_call_cancel (&reader->call);
-      reader->paused = true;
-      fail (reader, "this process was paused");
+      reader->was_suspended = true;
+      handle_failure (reader, "this process was paused");
     }
 }
--- a/daemon/store.h
+++ b/daemon/store.h
@@ -41,23 +41,23 @@
   uint16_t status;
   enum ash_store_era era_status; /**< what the answer says of the store's era */
   uint64_t era;
-  uint64_t place;           /**< where the watch goes on; 0: all must be read first */
-  char page[256];           /**< of the listing; empty: the first */
-  uint32_t listing;         /**< number of the listing under way, to see what it misses */
-  struct ash_time asked;    /**< when the question that is under way was */
-  uint32_t wait_ms;         /**< how long the store may hold it */
-  struct ash_time due;      /**< a later answer shows that the store was silent */
-  struct ash_time answered; /**< the last sound answer */
+  uint64_t position;            /**< where the watch goes on; 0: all must be read first */
+  char page[256];               /**< of the listing; empty: the first */
+  uint32_t listing_id;          /**< number of the listing under way, to see what it misses */
+  struct ash_time requested_at; /**< when the question that is under way was */
+  uint32_t wait_ms;             /**< how long the store may hold it */
+  struct ash_time overdue_at;   /**< a later answer shows that the store was silent */
+  struct ash_time last_answer;  /**< the last sound answer */
   struct ash_time failing_since;
-  struct ash_time trouble; /**< when the store was last known to be away */
-  bool answers;            /**< the last question was answered */
-  bool changed;            /**< the last answer changed the list of endpoints */
-  struct ash_time changed_at;
+  struct ash_time last_outage; /**< when the store was last known to be away */
+  bool is_answering;           /**< the last question was answered */
+  bool list_changed;           /**< the last answer changed the list of endpoints */
+  struct ash_time list_changed_at;
   uint32_t burst;     /**< answers that changed it, close together */
   uint32_t failures;  /**< in a row */
   uint32_t timeouts;  /**< among them: answers due at once that did not come in time */
   bool just_listed;   /**< all has just been read; the first question for changes is to come */
-  bool paused;        /**< this process was stopped: what others told meanwhile is lost */
+  bool was_suspended; /**< this process was stopped: what others told meanwhile is lost */
   bool distrust_idle; /**< the last question was given up: kept connections may be as silent */
   ev_timer timer;
 };
@@ -68,9 +68,9 @@
   char id[ASH_DIRECT_NAME_BYTES];
   uint8_t *value;
   size_t value_bytes;
-  uint64_t digest;  /**< of what it says */
-  uint64_t place;   /**< in the store's history, up to which this is known to hold */
-  uint32_t listing; /**< the last one read from the store that had it */
+  uint64_t digest;     /**< of what it says */
+  uint64_t position;   /**< in the store's history, up to which this is known to hold */
+  uint32_t listing_id; /**< the last one read from the store that had it */
   UT_hash_handle hh;
 };
 
@@ -79,7 +79,7 @@
 {
   char (*ids)[ASH_DIRECT_NAME_BYTES];
   uint32_t count;
-  uint32_t room;
+  uint32_t capacity;
 };
 
 /** The store as this router sees it. */
--- a/daemon/store_list.c
+++ b/daemon/store_list.c
@@ -27,7 +27,7 @@
 #define DRAINING_FACTOR UINT64_C (0x9e3779b97f4a7c15)
 
 /* Of an empty list. Not 0, which peers tell that know of no digests. */
-#define DIGEST_OF_NONE 1
+#define EMPTY_LIST_DIGEST 1
 
 /* Of what counts for use: which endpoint, and whether it is leaving. */
 static uint64_t
@@ -50,16 +50,16 @@
 /* The store here and peers may tell of the same entry in any order: an older word does not
  * undo a newer one. */
 static bool
-is_outdated (const struct ash_store_entry *entry, uint64_t place)
+is_outdated (const struct ash_store_entry *entry, uint64_t position)
 {
-  return entry && place < entry->place;
+  return entry && position < entry->position;
 }
 
 static void
-keep_entry (struct ash_store *store,
-            const struct ash_store_item *item,
-            uint64_t place,
-            const struct ash_direct_facts *facts)
+put_entry (struct ash_store *store,
+           const struct ash_store_item *item,
+           uint64_t position,
+           const struct ash_direct_facts *facts)
 {
   struct ash_store_entry *entry = find_entry (store, item->name);
   uint8_t *value;
@@ -79,14 +79,14 @@
   free (entry->value);
   entry->value = value;
   entry->value_bytes = value ? item->value_bytes : 0;
-  entry->place = place;
+  entry->position = position;
   store->digest ^= entry->digest;
   entry->digest = digest_of (facts);
   store->digest ^= entry->digest;
 }
 
 static void
-drop_entry (struct ash_store *store, struct ash_store_entry *entry)
+remove_entry (struct ash_store *store, struct ash_store_entry *entry)
 {
   HASH_DEL (store->entries, entry);
   store->digest ^= entry->digest;
@@ -99,7 +99,7 @@
 uncertain_until (const struct ash_store *store)
 {
   struct ash_time lapse_until =
-      ash_time_add (store->readers[ASH_STORE_SERVERS].trouble, ASH_STORE_LAPSE_MS);
+      ash_time_add (store->readers[ASH_STORE_SERVERS].last_outage, ASH_STORE_LAPSE_MS);
 
   return ash_time_before (lapse_until, store->uncertain_until) ? store->uncertain_until
                                                                : lapse_until;
@@ -109,11 +109,11 @@
  * sound: while it is away entries lapse although their endpoints live. The id may be
  * the entry's own, so the entry goes last. */
 static void
-lose_endpoint (struct ash_store *store, const char *id, const char *source)
+remove_endpoint (struct ash_store *store, const char *id, const char *source)
 {
   struct ash_router *router = store->router;
   struct ash_time until = uncertain_until (store);
-  bool trusted = ash_time_before (until, ash_clock_now ());
+  bool is_certain = ash_time_before (until, ash_clock_now ());
   struct ash_store_entry *entry = find_entry (store, id);
   struct ash_direct_endpoint *endpoint = ash_direct_find (&router->endpoints, id);
 
@@ -123,22 +123,22 @@
                                                    .born_ms = endpoint->facts.born_ms,
                                                    .era = store->era,
                                                    .draining = endpoint->said_leaving });
-  if (endpoint && ash_direct_removed (&router->endpoints, id, trusted, until))
+  if (endpoint && ash_direct_removed (&router->endpoints, id, is_certain, until))
     {
-      store->readers[ASH_STORE_SERVERS].changed = true;
+      store->readers[ASH_STORE_SERVERS].list_changed = true;
       log_endpoint (router, ASH_EV_ENDPOINT_MISSING, &endpoint->facts, source);
     }
   if (entry)
-    drop_entry (store, entry);
+    remove_entry (store, entry);
 }
 
 /* An entry of another writer, or one that was spoiled, names no endpoint to use. What stood there
  * before gets nothing new, and the others hold. */
 static void
-drop_unusable (struct ash_store *store,
-               const struct ash_store_item *item,
-               const char *wrong,
-               const char *source)
+remove_unusable (struct ash_store *store,
+                 const struct ash_store_item *item,
+                 const char *wrong,
+                 const char *source)
 {
   struct ash_router *router = store->router;
   struct ash_direct_endpoint *endpoint = ash_direct_find (&router->endpoints, item->name);
@@ -148,15 +148,15 @@
                  "endpoint=%.63s wrong=\"%s\" bytes=%zu used_before=%d source=%s", item->name,
                  wrong, item->value_bytes, endpoint && ash_direct_usable (endpoint), source);
   if (endpoint && ash_direct_removed (&router->endpoints, item->name, true, (struct ash_time){ 0 }))
-    store->readers[ASH_STORE_SERVERS].changed = true;
+    store->readers[ASH_STORE_SERVERS].list_changed = true;
   if (entry)
-    drop_entry (store, entry);
+    remove_entry (store, entry);
 }
 
 /* One that says it is leaving is remembered, and so is one that is missing: a store that comes back
  * from an older copy lists both as if they stood ready. Such a one gets nothing new for now. */
 static void
-note_departure (struct ash_store *store, struct ash_direct_facts *facts)
+record_departure (struct ash_store *store, struct ash_direct_facts *facts)
 {
   uint64_t endpoint = ash_hash_text (facts->id);
 
@@ -171,43 +171,43 @@
 }
 
 static void
-take_endpoint (struct ash_store *store,
-               const struct ash_store_item *item,
-               uint64_t place,
-               const char *source)
+apply_endpoint (struct ash_store *store,
+                const struct ash_store_item *item,
+                uint64_t position,
+                const char *source)
 {
   struct ash_router *router = store->router;
   struct ash_direct_facts facts;
   const char *wrong;
 
-  if (is_outdated (find_entry (store, item->name), place))
+  if (is_outdated (find_entry (store, item->name), position))
     return;
   wrong = ash_platform_server_read (item->name, item->value, item->value_bytes, &facts);
   if (wrong)
     {
-      drop_unusable (store, item, wrong, source);
+      remove_unusable (store, item, wrong, source);
       return;
     }
-  keep_entry (store, item, place, &facts);
-  note_departure (store, &facts);
+  put_entry (store, item, position, &facts);
+  record_departure (store, &facts);
   if (!ash_direct_listed (&router->endpoints, &facts))
     return;
-  store->readers[ASH_STORE_SERVERS].changed = true;
-  router->room = true;
+  store->readers[ASH_STORE_SERVERS].list_changed = true;
+  router->capacity_freed = true;
   log_endpoint (router, facts.draining ? ASH_EV_ENDPOINT_LEAVING : ASH_EV_ENDPOINT_LISTED, &facts,
                 source);
 }
 
 void
-ash_store_list_remove_unlisted (struct ash_store_reader *reader, uint64_t place)
+ash_store_list_remove_unlisted (struct ash_store_reader *reader, uint64_t position)
 {
   struct ash_store *store = &reader->router->store;
   struct ash_store_entry *entry;
   struct ash_store_entry *next;
 
   HASH_ITER (hh, store->entries, entry, next)
-    if (entry->listing != reader->listing && entry->place <= place)
-      lose_endpoint (store, entry->id, "store");
+    if (entry->listing_id != reader->listing_id && entry->position <= position)
+      remove_endpoint (store, entry->id, "store");
 }
 
 /* Notes that the listing under way has it. */
@@ -217,31 +217,31 @@
   struct ash_store_entry *entry = find_entry (&reader->router->store, id);
 
   if (entry)
-    entry->listing = reader->listing;
+    entry->listing_id = reader->listing_id;
 }
 
 /* ---- what is told to those that follow ---- */
 
 static void
-note_change (struct ash_store_changes *changes, const char *id)
+record_change (struct ash_store_changes *changes, const char *id)
 {
-  if (changes->count == changes->room)
+  if (changes->count == changes->capacity)
     {
-      uint32_t room = 2 * changes->room + 16;
-      char (*ids)[ASH_DIRECT_NAME_BYTES] = realloc (changes->ids, room * sizeof *ids);
+      uint32_t capacity = 2 * changes->capacity + 16;
+      char (*ids)[ASH_DIRECT_NAME_BYTES] = realloc (changes->ids, capacity * sizeof *ids);
 
       /* Those that follow see by heartbeats that they lack something. */
       if (!ids)
         return;
       changes->ids = ids;
-      changes->room = room;
+      changes->capacity = capacity;
     }
   snprintf (changes->ids[changes->count++], sizeof changes->ids[0], "%s", id);
 }
 
 /* How long what is missing may still just have lapsed. */
 static uint32_t
-doubtful_ms (const struct ash_store *store)
+uncertain_ms (const struct ash_store *store)
 {
   int64_t left_ms = ash_time_diff (ash_clock_now (), uncertain_until (store));
 
@@ -263,7 +263,7 @@
 }
 
 void
-ash_store_list_publish (struct ash_store *store, uint64_t since, uint64_t place)
+ash_store_list_publish (struct ash_store *store, uint64_t since, uint64_t position)
 {
   struct ash_store_changes *changes = &store->changes;
   struct Ash__EndpointList list = ASH__ENDPOINT_LIST__INIT;
@@ -272,9 +272,9 @@
 
   if (!room || !since)
     return;
-  list.revision = place;
+  list.revision = position;
   list.since = since;
-  list.doubtful_ms = doubtful_ms (store);
+  list.doubtful_ms = uncertain_ms (store);
   list.ids = calloc (room, sizeof *list.ids);
   list.values = calloc (room, sizeof *list.values);
   list.removed = calloc (room, sizeof *list.removed);
@@ -293,17 +293,17 @@
 void
 ash_store_list_item (struct ash_store_reader *reader,
                      const struct ash_store_item *item,
-                     uint64_t place)
+                     uint64_t position)
 {
   struct ash_store *store = &reader->router->store;
 
   if (!item->removed)
-    take_endpoint (store, item, place, "store");
-  else if (!is_outdated (find_entry (store, item->name), place))
-    lose_endpoint (store, item->name, "store");
+    apply_endpoint (store, item, position, "store");
+  else if (!is_outdated (find_entry (store, item->name), position))
+    remove_endpoint (store, item->name, "store");
   mark_listed (reader, item->name);
   if (reader->state == ASH_STORE_WATCHING)
-    note_change (&store->changes, item->name);
+    record_change (&store->changes, item->name);
 }
 
 void
@@ -313,7 +313,7 @@
                  "era=%" PRIu64 " before=%" PRIu64 " source=%s", era, store->era, source);
   store->era = era;
   for (int part = 0; part < ASH_STORE_PARTS; part++)
-    store->readers[part].trouble = ash_clock_now ();
+    store->readers[part].last_outage = ash_clock_now ();
 }
 
 /* Those that an older copy has listed for so long that they must live. */
@@ -334,14 +334,14 @@
       item = (struct ash_store_item){ .name = entry->id,
                                       .value = entry->value,
                                       .value_bytes = entry->value_bytes };
-      take_endpoint (store, &item, entry->place, "kept");
+      apply_endpoint (store, &item, entry->position, "kept");
     }
 }
 
 void
 ash_store_list_init (struct ash_store *store)
 {
-  store->digest = DIGEST_OF_NONE;
+  store->digest = EMPTY_LIST_DIGEST;
 }
 
 void
@@ -351,7 +351,7 @@
   struct ash_store_entry *next;
 
   HASH_ITER (hh, store->entries, entry, next)
-    drop_entry (store, entry);
+    remove_entry (store, entry);
   free (store->changes.ids);
 }
 
@@ -363,7 +363,7 @@
   size_t count = HASH_COUNT (store->entries);
 
   list->revision = store->router->endpoints.revision;
-  list->doubtful_ms = doubtful_ms (store);
+  list->doubtful_ms = uncertain_ms (store);
   list->ids = calloc (count + 1, sizeof *list->ids);
   list->values = calloc (count + 1, sizeof *list->values);
   if (!list->ids || !list->values)
@@ -389,7 +389,7 @@
 
 /* The peer that told knows of a silence of the store. */
 static void
-take_doubt (struct ash_store *store, uint32_t ms)
+extend_uncertainty (struct ash_store *store, uint32_t ms)
 {
   struct ash_time until =
       ash_time_add (ash_clock_now (), ms < ASH_STORE_LAPSE_MS ? (int64_t) ms : ASH_STORE_LAPSE_MS);
@@ -400,21 +400,21 @@
 
 /* What a peer's list did not have and the store here has not told since. */
 static void
-lose_untold (struct ash_store *store, uint64_t place, const char *source)
+remove_older (struct ash_store *store, uint64_t position, const char *source)
 {
   struct ash_store_entry *entry;
   struct ash_store_entry *next;
 
   HASH_ITER (hh, store->entries, entry, next)
-    if (entry->place < place)
-      lose_endpoint (store, entry->id, source);
+    if (entry->position < position)
+      remove_endpoint (store, entry->id, source);
 }
 
 static void
-lose_removed (struct ash_store *store, const struct Ash__EndpointList *list, const char *source)
+apply_removals (struct ash_store *store, const struct Ash__EndpointList *list, const char *source)
 {
   for (size_t i = 0; i < list->n_removed; i++)
-    lose_endpoint (store, list->removed[i], source);
+    remove_endpoint (store, list->removed[i], source);
 }
 
 bool
@@ -432,7 +432,7 @@
     ash_store_begin_era (store, ash_place_era (list->revision), source);
   endpoints->revision = list->revision;
   if (list->doubtful_ms)
-    take_doubt (store, list->doubtful_ms);
+    extend_uncertainty (store, list->doubtful_ms);
   for (size_t i = 0; i < list->n_ids && i < list->n_values; i++)
     {
       struct ash_store_item item = {
@@ -441,11 +441,11 @@
         .value_bytes = list->values[i].len,
       };
 
-      take_endpoint (store, &item, list->revision, source);
+      apply_endpoint (store, &item, list->revision, source);
     }
   if (list->since)
-    lose_removed (store, list, source);
+    apply_removals (store, list, source);
   else
-    lose_untold (store, list->revision, source);
+    remove_older (store, list->revision, source);
   return true;
 }
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -8,13 +8,13 @@
 
 /* A machine whose process has ended refuses a connection within a round trip: a few milliseconds in
  * a region, some 40 to another one. Nothing at all says nothing. */
-#define PROBE_MS 100
+#define PROBE_TIMEOUT_MS 100
 
 #define MS_PER_S 1000.0
 
 /* A router that comes is told of so many requests by each peer: the newest, since such a request
  * comes again within seconds. */
-#define TELL_NEW_MAX 32
+#define SEND_NEW_MAX 32
 
 /* A connection to an endpoint, made to see whether anything listens there. */
 struct ash_suspect_probe
@@ -47,10 +47,10 @@
 
 /* @param box NULL: all peers that there are links to. */
 static void
-tell (struct ash_suspects *suspects,
-      const char *box,
-      struct Ash__SuspectRun messages[],
-      size_t count)
+send_runs (struct ash_suspects *suspects,
+           const char *box,
+           struct Ash__SuspectRun messages[],
+           size_t count)
 {
   struct Ash__SuspectRun *list[ASH_QUARANTINE_CUTS];
   struct Ash__SuspectRuns runs = ASH__SUSPECT_RUNS__INIT;
@@ -69,19 +69,19 @@
 void
 ash_suspects_send (struct ash_suspects *suspects, const char *box)
 {
-  struct Ash__SuspectRun messages[TELL_NEW_MAX * ASH_QUARANTINE_RUNS];
+  struct Ash__SuspectRun messages[SEND_NEW_MAX * ASH_QUARANTINE_RUNS];
   const struct ash_quarantine_suspect *suspect = suspects->quarantine.suspects;
   uint32_t skip = HASH_COUNT (suspect);
   struct ash_time now = ash_clock_now ();
   size_t count = 0;
 
-  for (skip = skip > TELL_NEW_MAX ? skip - TELL_NEW_MAX : 0; skip; skip--)
+  for (skip = skip > SEND_NEW_MAX ? skip - SEND_NEW_MAX : 0; skip; skip--)
     suspect = suspect->hh.next;
   for (; suspect; suspect = suspect->hh.next)
     for (uint32_t i = 0; i < suspect->count; i++)
       messages[count++] = message_of (&suspect->runs[i], now);
   if (count)
-    tell (suspects, box, messages, count);
+    send_runs (suspects, box, messages, count);
 }
 
 /* ---- evidence ---- */
@@ -96,10 +96,10 @@
 
 /* Says so if the request is kept away since this run. */
 static void
-note_quarantined (struct ash_suspects *suspects,
-                  const struct ash_quarantine_run *run,
-                  struct ash_time now,
-                  const char *source)
+report_quarantine (struct ash_suspects *suspects,
+                   const struct ash_quarantine_run *run,
+                   struct ash_time now,
+                   const char *source)
 {
   int64_t left_ms = ash_suspects_left_ms (suspects, run->request, now);
   char digest[ASH_ID_TEXT_BYTES];
@@ -116,7 +116,9 @@
 }
 
 static void
-take_end (struct ash_suspects *suspects, uint64_t endpoint, enum ash_quarantine_proof proof)
+handle_endpoint_end (struct ash_suspects *suspects,
+                     uint64_t endpoint,
+                     enum ash_quarantine_proof proof)
 {
   struct ash_quarantine_run found[ASH_QUARANTINE_CUTS];
   struct Ash__SuspectRun messages[ASH_QUARANTINE_CUTS];
@@ -133,20 +135,20 @@
                  proof == ASH_QUARANTINE_REFUSES ? "refuses" : "reborn");
   for (size_t i = 0; i < count; i++)
     messages[i] = message_of (&found[i], now);
-  tell (suspects, NULL, messages, count);
+  send_runs (suspects, NULL, messages, count);
   for (size_t i = 0; i < count; i++)
-    note_quarantined (suspects, &found[i], now, "own");
+    report_quarantine (suspects, &found[i], now, "own");
 }
 
 void
 ash_suspects_record_restart (struct ash_suspects *suspects, uint64_t endpoint)
 {
-  take_end (suspects, endpoint, ASH_QUARANTINE_REBORN);
+  handle_endpoint_end (suspects, endpoint, ASH_QUARANTINE_REBORN);
 }
 
 /* @return whether it was suspected. */
 static bool
-clear (struct ash_suspects *suspects, struct ash_id request, const char *source)
+clear_suspect (struct ash_suspects *suspects, struct ash_id request, const char *source)
 {
   char digest[ASH_ID_TEXT_BYTES];
 
@@ -163,12 +165,12 @@
 {
   struct Ash__SuspectRun message = ASH__SUSPECT_RUN__INIT;
 
-  if (!clear (suspects, request, "own"))
+  if (!clear_suspect (suspects, request, "own"))
     return;
   message.request_hi = request.hi;
   message.request_lo = request.lo;
   message.cleared = true;
-  tell (suspects, NULL, &message, 1);
+  send_runs (suspects, NULL, &message, 1);
 }
 
 void
@@ -180,19 +182,19 @@
 
   for (size_t i = 0; i < message->n_runs; i++)
     {
-      const struct Ash__SuspectRun *told = message->runs[i];
+      const struct Ash__SuspectRun *item = message->runs[i];
       struct ash_quarantine_run run = {
-        .request = { told->request_hi, told->request_lo },
-        .endpoint = told->endpoint,
-        .ended = ash_time_add (now, -(int64_t) told->age_ms),
-        .spoke = told->spoke,
+        .request = { item->request_hi, item->request_lo },
+        .endpoint = item->endpoint,
+        .ended = ash_time_add (now, -(int64_t) item->age_ms),
+        .spoke = item->spoke,
       };
 
-      run.sent = ash_time_add (run.ended, -(int64_t) told->lasted_ms);
-      if (told->cleared)
-        clear (suspects, run.request, peer);
+      run.sent = ash_time_add (run.ended, -(int64_t) item->lasted_ms);
+      if (item->cleared)
+        clear_suspect (suspects, run.request, peer);
       else if (ash_quarantine_take (&suspects->quarantine, &run))
-        note_quarantined (suspects, &run, now, peer);
+        report_quarantine (suspects, &run, now, peer);
     }
 }
 
@@ -209,15 +211,15 @@
 }
 
 static void
-end_probe (struct ash_suspect_probe *probe, bool refused)
+finish_probe (struct ash_suspect_probe *probe, bool refused)
 {
   struct ash_suspects *suspects = probe->suspects;
   uint64_t endpoint = probe->endpoint;
 
   free_probe (probe);
   if (refused)
-    take_end (suspects, endpoint, ASH_QUARANTINE_REFUSES);
-  suspects->handler->asked (suspects->router, endpoint);
+    handle_endpoint_end (suspects, endpoint, ASH_QUARANTINE_REFUSES);
+  suspects->handler->probed (suspects->router, endpoint);
 }
 
 static void
@@ -225,20 +227,20 @@
 {
   (void) bytes;
   (void) length;
-  end_probe (stream->owner, false);
+  finish_probe (stream->owner, false);
 }
 
 static void
 on_probe_end (struct ash_stream *stream, enum ash_stream_end end)
 {
-  end_probe (stream->owner, end == ASH_STREAM_NO_CONNECT && stream->refused);
+  finish_probe (stream->owner, end == ASH_STREAM_NO_CONNECT && stream->refused);
 }
 
 /* The connection is up: something listens. */
 static void
 on_probe_drained (struct ash_stream *stream)
 {
-  end_probe (stream->owner, false);
+  finish_probe (stream->owner, false);
 }
 
 static const struct ash_stream_handler probe_handler = { on_probe_data, on_probe_end,
@@ -251,7 +253,7 @@
 
   (void) loop;
   (void) events;
-  end_probe (probe, probe->refused);
+  finish_probe (probe, probe->refused);
 }
 
 static void
@@ -267,7 +269,7 @@
   probe->open = ash_stream_connect (&probe->stream, loop, address, &probe_handler, probe);
   probe->refused = !probe->open && errno == ECONNREFUSED;
   /* One that could not be begun ends when the loop comes round: its owner is at work now. */
-  ev_timer_init (&probe->timer, on_probe_timer, probe->open ? PROBE_MS / MS_PER_S : 0, 0);
+  ev_timer_init (&probe->timer, on_probe_timer, probe->open ? PROBE_TIMEOUT_MS / MS_PER_S : 0, 0);
   probe->timer.data = probe;
   ev_timer_start (loop, &probe->timer);
   DL_APPEND (suspects->probes, probe);
--- a/daemon/suspects.h
+++ b/daemon/suspects.h
@@ -22,7 +22,7 @@
 struct ash_suspects_handler
 {
   /** An endpoint was asked whether it still stands: what waited for that may go on. */
-  void (*asked) (struct ash_router *router, uint64_t endpoint);
+  void (*probed) (struct ash_router *router, uint64_t endpoint);
   /** From now on this request is kept away from endpoints. */
   void (*quarantined) (struct ash_router *router, struct ash_id request);
 };
