--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * An exchange's life: sent to an endpoint, sent again where that is allowed, kept waiting, and
- * ended once what comes next is a final answer.
+ * Decides what an exchange does next: send the request to an endpoint, resend it where that is
+ * safe, wait for a free slot, or end with a final answer.
  */
 #include "daemon/exchange.h"
 
@@ -11,7 +11,7 @@
 
 #define MS_PER_S 1000.0
 
-/* How long a stream that broke may wait for a place to go on. */
+/* How long a request whose endpoint failed may wait for a slot at another endpoint. */
 #define RESUME_WAIT_MS 400
 
 /* ---- sending ---- */
@@ -36,7 +36,7 @@
   };
 }
 
-/* When something is to be done if nothing happens until then. */
+/* Starts the timer for the next check of the exchange, at `until` at the latest. */
 static void
 set_timer (struct ash_exchange *exchange, struct ash_time until)
 {
@@ -135,7 +135,8 @@
 
 /* ---- the endpoint's answer ---- */
 
-/* The endpoint ran it and says that it failed: asked elsewhere if that is allowed. */
+/* The endpoint ran the request and reported a server error: resends it to another endpoint if that
+ * is safe. */
 static void
 handle_server_error (struct ash_exchange *exchange)
 {
@@ -171,7 +172,8 @@
   if (answer->is_event_stream)
     ash_exchange_end_stream (exchange);
   else if (exchange->forward.began && !answer->passthrough)
-    /* A stream that was to go on got an answer that is none. */
+    /* The caller has part of a stream, but the endpoint that was to resume it sent another kind of
+     * answer. */
     ash_exchange_step (exchange);
   else if (failed)
     handle_server_error (exchange);
@@ -199,7 +201,7 @@
   ash_exchange_release_slot (exchange);
   if (end == ASH_CALL_NOT_SENT)
     ash_forward_not_run (&exchange->forward, false);
-  /* What was passed on of an answer that is no stream can't be taken up elsewhere. */
+  /* Another endpoint can't resume an answer that is no event stream. */
   if (answer->passthrough)
     {
       ash_exchange_end_with_status (exchange, 502, ASH_FORWARD_FAILED, 0);
@@ -218,7 +220,7 @@
   on_end,
 };
 
-/* ---- time ---- */
+/* ---- timer ---- */
 
 static void
 on_timer (struct ev_loop *loop, ev_timer *timer, int events)
--- a/daemon/exchange.h
+++ b/daemon/exchange.h
@@ -1,9 +1,13 @@
 /**
  * @file
- * A caller's request from its last byte to its answer's, as the files that handle it share it.
- * Calls go one way: requests.c begins an exchange, exchange.c moves it on, exchange_watch.c judges
- * the endpoint that has it, exchange_cut.c takes in that its connection ended, exchange_end.c ends
- * it, exchange_answer.c takes the answer's bytes.
+ * A caller's HTTP request, from the time it has been read completely until its answer has been
+ * sent. Shared by the files that handle it:
+ * - requests.c creates an exchange
+ * - exchange.c decides what it does next
+ * - exchange_watch.c monitors the endpoint that it was sent to
+ * - exchange_cut.c handles lost connections to endpoints
+ * - exchange_answer.c receives the endpoint's answer
+ * - exchange_end.c ends the exchange
  */
 #ifndef ASH_EXCHANGE_H
 #define ASH_EXCHANGE_H
@@ -17,23 +21,23 @@
 
 #define ASH_STATUS_OK 200
 #define ASH_STATUS_MULTIPLE_CHOICES 300
-#define ASH_STATUS_MISDIRECTED 421 /* another one has that address by now */
+#define ASH_STATUS_MISDIRECTED 421 /* another endpoint now has that address */
 #define ASH_STATUS_SERVER_ERROR 500
 
-/** What the present answer of an endpoint has shown so far. */
+/** State of the answer that is being received from an endpoint. */
 struct ash_exchange_answer
 {
   uint16_t status;
-  bool not_run;         /**< the endpoint vouches that it did not run the request */
-  bool invalid;         /**< it can't be the endpoint's answer to this request */
-  bool is_event_stream; /**< it is a stream of events */
-  uint64_t length;      /**< of the body of an answer to HEAD, which does not come */
-  bool passthrough;     /**< too large to be held: passed on as it comes */
+  bool not_run;         /**< the endpoint guarantees that it did not run the request */
+  bool invalid;         /**< malformed or unauthenticated; it is discarded */
+  bool is_event_stream; /**< a stream of events, which another endpoint can resume */
+  uint64_t length;      /**< Content-Length of an answer to HEAD, which has no body */
+  bool passthrough;     /**< too large to buffer: the body is passed on as it arrives */
   struct ash_buffer fields;
   struct ash_buffer body;
 };
 
-/** A caller's request that is under way. */
+/** A caller's request in progress. */
 struct ash_exchange
 {
   struct ash_router *router;
@@ -44,124 +48,140 @@
   const struct ash_route_account *account;
   struct ash_request_facts facts;
   struct ash_forward forward;
-  struct ash_direct_endpoint *endpoint; /**< that the call goes to */
-  struct ash_time sent_at;              /**< when it went there */
-  struct ash_time last_received;        /**< the last byte or event from there */
-  struct ash_time idle_valid_since;     /**< kept connections that were heard from since will do */
+  struct ash_direct_endpoint *endpoint; /**< the request is in flight there; NULL: nowhere */
+  struct ash_time sent_at;              /**< when the request was last sent to an endpoint */
+  struct ash_time last_received;    /**< when data last came from the endpoint; at first sent_at */
+  struct ash_time idle_valid_since; /**< idle connections may be used if data came since */
   struct ash_exchange_answer answer;
   struct ash_event_stream event_stream;
   bool has_event;
-  int64_t last_event;            /**< passed on */
-  struct ash_time event_sent_at; /**< when */
+  int64_t last_event;            /**< id of the last event that was sent to the caller */
+  struct ash_time event_sent_at; /**< when the last event was sent to the caller */
   bool waiting;
-  uint64_t awaited_probe; /**< it goes on once this endpoint was asked whether it stands; 0: none */
+  uint64_t awaited_probe; /**< hash of the endpoint whose probe must end before the request is
+                             resent; 0: none */
   bool has_digest;
-  struct ash_id digest; /**< of what is asked; worked out when first needed */
+  struct ash_id digest; /**< identifies the request by its contents; computed on first use */
   ev_timer timer;
   struct ash_exchange *prev;
   struct ash_exchange *next;
 };
 
-/* ---- exchange.c: its life ---- */
+/* ---- exchange.c: state machine ---- */
 
 /**
- * Begins an exchange of a connection's request; its account, facts and forward are the caller's to
- * fill in before the first step.
- * @return NULL if memory is short.
+ * Creates an exchange for the request that a connection has read. The caller must set its account,
+ * facts and forward before the first ash_exchange_step().
+ * @return the exchange, which frees itself when it ends; NULL: out of memory.
  */
 struct ash_exchange *ash_exchange_new (struct ash_router *router,
                                        struct ash_http_conn *conn,
                                        const struct ash_route *route);
 
-/** Does what comes next. The exchange may be gone afterwards. */
+/**
+ * Performs the next action: sends the request, waits, or ends the exchange. May free the exchange.
+ */
 void ash_exchange_step (struct ash_exchange *exchange);
 
-/* ---- exchange_watch.c: the endpoint that has it ---- */
+/* ---- exchange_watch.c: monitoring the endpoint ---- */
 
-/** Takes evidence on the endpoint, and logs if that is passed over from now on. */
+/** Records evidence about the endpoint's health, and logs if the endpoint is ejected for it. */
 void ash_exchange_record_evidence (struct ash_exchange *exchange,
                                    enum ash_direct_evidence evidence);
 
 /**
- * @param until when the exchange is to be looked at again at the latest.
- * @return when it is to be looked at if nothing comes: the deadline, the end of a silence that may
- * be borne, or until.
+ * @param until upper bound of the result.
+ * @return when to check the exchange if nothing arrives: at its deadline, when the endpoint has
+ * been silent for too long, or at @p until.
  */
 struct ash_time ash_exchange_next_check (const struct ash_exchange *exchange,
                                          struct ash_time now,
                                          struct ash_time until);
 
-/** @return whether the request is to go elsewhere since nothing comes. Doubts all endpoints' idle
- * connections if its own bytes are not acknowledged. */
+/**
+ * Closes idle connections to all endpoints if the endpoint's kernel has not acknowledged the
+ * request.
+ * @return whether the endpoint has been silent for so long that the request should be sent to
+ * another one.
+ */
 bool ash_exchange_check_silence (struct ash_exchange *exchange, struct ash_time now);
 
-/** Nothing came for long: doubts the endpoint's other kept connections. */
+/** Closes the endpoint's idle connections that may be dead, after it has been silent for long. */
 void ash_exchange_close_idle_connections (struct ash_exchange *exchange, struct ash_time now);
 
-/** The request's time is up before anything came: takes what that says of the endpoint. */
+/** Records evidence about an endpoint that has not answered before the request's deadline. */
 void ash_exchange_record_timeout (struct ash_exchange *exchange, struct ash_time now);
 
-/* ---- exchange_cut.c: connections that end under it ---- */
+/* ---- exchange_cut.c: lost connections to endpoints ---- */
 
-/** @return what names this request in each submission: see ash_id_from_request(). */
+/**
+ * @return an id of the request's contents, the same each time a caller submits it: see
+ * ash_id_from_request().
+ */
 struct ash_id ash_exchange_digest (struct ash_exchange *exchange);
 
-/** The connection to its endpoint has ended before the answer did. */
+/** The connection to the endpoint closed before the answer was complete. */
 void ash_exchange_record_disconnect (struct ash_exchange *exchange);
 
-/** It got a whole answer: whatever ended endpoints, it was not this request. */
+/** The request got a complete answer: it is no longer suspected of terminating endpoints. */
 void ash_exchange_record_success (struct ash_exchange *exchange);
 
-/** @return how long its request is kept away from endpoints; 0: it is not. */
+/** @return how many ms the request stays quarantined; 0: it is not. */
 int64_t ash_exchange_quarantined_ms (struct ash_exchange *exchange, struct ash_time now);
 
-/* ---- exchange_end.c: its end ---- */
+/* ---- exchange_end.c: ending an exchange ---- */
 
-/** Counts the exchange among those that wait for room, or no longer. */
+/**
+ * Sets whether the exchange waits for a free slot, and updates the router's count of waiting ones.
+ */
 void ash_exchange_set_waiting (struct ash_exchange *exchange, bool waiting);
 
-/** Gives the endpoint's place back, if it has one. */
+/** Releases the request's slot at its endpoint, if it has one. */
 void ash_exchange_release_slot (struct ash_exchange *exchange);
 
-/** A caller's id as a log may hold it: nothing that could pass for further fields. */
+/**
+ * @return the caller's request id for log lines; a placeholder if it contains characters that could
+ * be read as further log fields.
+ */
 const char *ash_request_log_id (const struct ash_request_facts *facts);
 
-/** The same of an exchange's request. */
+/** @return the request id of an exchange, as ash_request_log_id() has it. */
 const char *ash_exchange_id (const struct ash_exchange *exchange);
 
-/** @return the time since the request came, in ms. */
+/** @return ms since the request was received. */
 int64_t ash_exchange_age_ms (const struct ash_exchange *exchange);
 
 /**
- * Ends the exchange with the router's own answer, or breaks off one that has begun.
- * @param retry_after_ms 0: the answer says nothing of a further try.
+ * Ends the exchange with an answer made by the router, or closes the connection if part of an
+ * answer has been sent. Frees the exchange.
+ * @param retry_after_ms of the answer's Retry-After field; 0: no such field.
  */
 void ash_exchange_end_with_status (struct ash_exchange *exchange,
                                    uint16_t status,
                                    enum ash_forward_reason reason,
                                    uint32_t retry_after_ms);
 
-/** Ends the exchange with the endpoint's own answer, as it made it. */
+/** Ends the exchange with the endpoint's answer, unchanged. Frees the exchange. */
 void ash_exchange_end_with_answer (struct ash_exchange *exchange);
 
-/** Ends the exchange after its stream's last event. */
+/** Ends the exchange after the last event of its stream. Frees the exchange. */
 void ash_exchange_end_stream (struct ash_exchange *exchange);
 
-/** Ends the exchange of a caller that is gone. */
+/** Ends the exchange after its caller has disconnected. Frees the exchange. */
 void ash_exchange_end_disconnected (struct ash_exchange *exchange);
 
 /* ---- exchange_answer.c: the endpoint's answer ---- */
 
-/** Forgets what an answer has shown. */
+/** Frees the buffers of an answer and resets its state. */
 void ash_exchange_answer_clear (struct ash_exchange_answer *answer);
 
-/** Sends the caller the head of the answer; its body follows as it comes. */
+/** Sends the status and header to the caller; the body follows as it arrives. */
 void ash_exchange_answer_begin (struct ash_exchange *exchange);
 
-/** The answer's head came. @return false if it is another request's. */
+/** Handles the header of an answer. @return false: the answer belongs to another request. */
 bool ash_exchange_answer_head (struct ash_http_call *call, const struct ash_http_head *head);
 
-/** A part of the answer's body came: held, or passed on. */
+/** Handles a part of an answer's body: buffers it or passes it on. */
 void ash_exchange_answer_body (struct ash_http_call *call, const uint8_t *bytes, size_t length);
 
 #endif
--- a/daemon/exchange_answer.c
+++ b/daemon/exchange_answer.c
@@ -1,18 +1,18 @@
 /**
  * @file
- * What an exchange does with an endpoint's answer as it comes: told from another request's, held
- * until it is whole, or passed on event by event.
+ * Receives an endpoint's answer: checks that it belongs to the request, then buffers it until it is
+ * complete or passes it on event by event.
  */
 #include "daemon/exchange.h"
 #include "daemon/fleet_terms.h"
 
 #include <string.h>
 
-/* Answers up to this size are held until they are whole, so that one that breaks off
- * can be asked for again. */
+/* Answers up to this size are buffered until they are complete, so that the request can be resent
+ * if the connection breaks. */
 #define HOLD_MAX_BYTES (128 * 1024)
 
-/* A caller that does not read holds its endpoint back above this. */
+/* Reading from the endpoint pauses while more than this waits to be sent to the caller. */
 #define QUEUE_MAX_BYTES (64 * 1024)
 
 void
@@ -42,7 +42,8 @@
   struct ash_answer_facts facts;
 
   ash_platform_answer_read (head, &facts);
-  /* Another request's answer: read and dropped, ours comes after it. */
+  /* The answer to an earlier request on this connection: it is discarded, and the answer to this
+   * request follows. */
   if (facts.attempt_id && exchange->facts.attempt_id &&
       strcmp (facts.attempt_id, exchange->facts.attempt_id) != 0)
     return false;
@@ -58,13 +59,14 @@
                             exchange->sent_at);
   answer->is_event_stream =
       exchange->route->stream && head->status == ASH_STATUS_OK && !answer->invalid;
-  /* A stream that goes on keeps the head of its first endpoint. */
+  /* A resumed stream keeps the header of the first endpoint. */
   if (!exchange->forward.began && !ash_platform_answer_write (&answer->fields, head))
     answer->invalid = true;
   return true;
 }
 
-/* Prompts that are kept back may go once passes are as usual. */
+/* Passes the duration of a forward pass to the prompt gate, which releases held prompts once passes
+ * take their usual time again. */
 static void
 record_pass (struct ash_exchange *exchange, int64_t pause_ms)
 {
@@ -81,13 +83,13 @@
                  router->waiting_count);
 }
 
-/* The pause since the event before says how fast the endpoint's passes are. */
+/* The pause between two events shows how long the endpoint's forward passes take. */
 static void
 record_pause (struct ash_exchange *exchange)
 {
   int64_t pause_ms = ash_time_diff (exchange->event_sent_at, exchange->last_received);
 
-  /* Two events that came at once are of one pass. */
+  /* Events that arrive together come from the same pass. */
   if (pause_ms < 1)
     return;
   record_pass (exchange, pause_ms);
@@ -102,7 +104,7 @@
 
   while (ash_event_stream_next (&exchange->event_stream, &event))
     {
-      /* One that came before the stream moved is not passed on twice. */
+      /* The caller already has events up to last_event from the previous endpoint. */
       bool is_repeat = event.has_id && exchange->has_event && event.id <= exchange->last_event;
 
       if (!is_repeat)
--- a/daemon/exchange_cut.c
+++ b/daemon/exchange_cut.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Connections to endpoints that end under an exchange, and requests that are kept away from
- * endpoints since these have ended under them.
+ * Connections to endpoints that close during an exchange, and requests that are quarantined because
+ * endpoint processes ended while running them.
  */
 #include "daemon/exchange.h"
 
@@ -20,7 +20,7 @@
   return exchange->digest;
 }
 
-/* Whether a part of the present endpoint's answer has come. */
+/* Whether part of the current endpoint's answer has arrived. */
 static bool
 has_answer_data (const struct ash_exchange *exchange)
 {
@@ -61,8 +61,9 @@
   log_disconnect (exchange, &run);
   ash_suspects_record_disconnect (
       suspects, &ash_router_pool (exchange->router, exchange->endpoint)->address, &run);
-  /* What ended an endpoint before may be ending the next one now: it is not sent on before that is
-   * known. Others are not held up. */
+  /* A request during which an endpoint process ended before may have ended this one too: it is not
+   * resent until a probe has shown whether this endpoint still runs. Other requests are resent at
+   * once. */
   if (ash_quarantine_ends (&suspects->quarantine, run.request))
     exchange->awaited_probe = run.endpoint;
 }
@@ -86,7 +87,7 @@
   return ash_suspects_left_ms (suspects, ash_exchange_digest (exchange), now);
 }
 
-/* ---- what the task of suspects tells ---- */
+/* ---- notifications from suspects.c ---- */
 
 static void
 on_probed (struct ash_router *router, uint64_t endpoint)
@@ -99,8 +100,8 @@
       ash_exchange_step (exchange);
 }
 
-/* Those that wait at an endpoint have not begun to run, or not for long: taken back, they may leave
- * it standing. */
+/* Cancels the running copies of a request that has just been quarantined. A copy that is queued at
+ * an endpoint or has just started there may not have ended the process yet. */
 static void
 on_quarantined (struct ash_router *router, struct ash_id request)
 {
--- a/daemon/exchange_end.c
+++ b/daemon/exchange_end.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * How an exchange ends: its final answer to the caller, its line in the log, its counts, and what
- * it held given back.
+ * Ends an exchange: sends the final answer to the caller, logs and counts it, and frees the
+ * exchange.
  */
 #include "daemon/exchange.h"
 
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -1,26 +1,28 @@
 /**
  * @file
- * An exchange's watch on the endpoint that it was sent to: how long that may be silent, and what
- * its answer or silence says of it and of the connections to it.
+ * Monitors the endpoint that an exchange was sent to: how long it may be silent, and what its
+ * answer or silence shows about the endpoint and the connections to it.
  */
 #include "daemon/exchange.h"
 
-/* A connection to an endpoint comes up within a few milliseconds. One that takes so much
- * longer met a full queue or a cut; the kernel would try again only after a second. */
+/* A connection to an endpoint is established within a few milliseconds. An attempt that takes
+ * longer has met a full accept queue or a network fault, and the kernel would retry it only after a
+ * second. */
 #define CONNECT_TIMEOUT_MS 350
 
-/* How long an endpoint may be silent before a repeatable request is sent elsewhere,
- * against the aim: an answer so late has lost most of its worth. */
+/* How long an endpoint may be silent before a repeatable request is sent to another one: this
+ * multiple of the route's latency target, and at least SILENCE_MIN_MS. A later answer is of little
+ * use to the caller. */
 #define SILENCE_AIM_FACTOR 3
 #define SILENCE_MIN_MS 900
 
-/* Between two events of a stream that may go on elsewhere. Callers give up after two
- * seconds; what depends on a lost endpoint stands still for one and a half. */
+/* Longest pause between two events before another endpoint resumes the stream. Callers give up
+ * after 2 s, and ranks that depend on a lost endpoint stall for 1.5 s. */
 #define EVENT_PAUSE_MAX_MS 1650
 
-/* After this part of those times, what matters is whether the endpoint's kernel has the request:
- * one whose bytes are not acknowledged after 450 ms, two retransmissions of the kernel included,
- * waits on a connection that is silent, not on an endpoint that is slow. */
+/* Once this fraction of the silence limit has passed, the exchange checks whether the endpoint's
+ * kernel has acknowledged the request. If not, the connection is dead, rather than the endpoint
+ * slow: half of SILENCE_MIN_MS includes two retransmissions. */
 #define ACK_CHECK_DIVISOR 2
 
 void
@@ -82,16 +84,17 @@
   return earlier (until, exchange->forward.deadline);
 }
 
-/* A connection that answered in the second half of the silence was sound when this one was not:
- * other endpoints' too, since what silences one often silences all that were open. */
+/* @return the middle of the silence. A connection that received data later worked while the
+ * connection of this exchange did not. Connections to other endpoints are judged by the same time,
+ * since a network fault often breaks all connections that were open. */
 static struct ash_time
 valid_since (const struct ash_exchange *exchange, struct ash_time now)
 {
   return ash_time_add (exchange->last_received, ash_time_diff (exchange->last_received, now) / 2);
 }
 
-/* Nothing came for long: the endpoint's other kept connections may be as silent, and a request that
- * may not be repeated would fail on each of them. */
+/* After a long silence the endpoint's idle connections may be dead too, and a request that may not
+ * be repeated would fail on each of them. */
 void
 ash_exchange_close_idle_connections (struct ash_exchange *exchange, struct ash_time now)
 {
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -10,14 +10,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A heartbeat names so many other routers at most, from a random one on. */
+/* Upper limit of routers that a heartbeat lists, from a random one on. */
 #define KNOWN_PEERS_MAX 64
 
-/* A router that comes is told of all others by the seeds, and by so many others where these do not
- * live any more. */
+/* A new router gets the list of all routers from the seeds, and from about this many other routers
+ * in case the seeds no longer run. */
 #define LISTS_TO_NEW_PEER 8
 
-/* A router without a link for so long does not come back under its name. */
+/* A router that has had no link for this long is not expected to return under its name. */
 #define PEER_EXPIRY_MS 30000
 
 static struct ash_fleet_peer *
@@ -60,7 +60,7 @@
   snprintf (peer->hall, sizeof peer->hall, "%s", heartbeat->hall);
   peer->leaving = heartbeat->leaving;
   peer->version = heartbeat->revision;
-  /* What it was told of endpoints that it did not know yet it has dropped. */
+  /* It has discarded reports about endpoints that came before its list of endpoints. */
   peer->needs_full_report =
       peer->needs_full_report || (heartbeat->endpoints_revision && !peer->endpoints_revision);
   peer->endpoints_revision = heartbeat->endpoints_revision;
@@ -126,7 +126,8 @@
       ash_peer_sync_send_config (&router->peer_sync, peer->box);
       break;
     case ASH__EVENT__KIND_CONFIG_OFFER:
-      /* Several peers may have been asked; a megabyte is not read again to be thrown away. */
+      /* Several peers may have been asked for it: a document of a megabyte that is not newer is not
+       * parsed. */
       if (event->config_offer->revision <= ash_router_version (router))
         break;
       ash_router_offer_config (router, (const char *) event->config_offer->document.data,
@@ -151,7 +152,7 @@
       ash_fleet_apply_terms (fleet, peer, event->endpoint_terms);
       break;
     default:
-      break; /* messages of the roles with agents */
+      break; /* messages between roles that involve agents */
     }
 }
 
@@ -174,10 +175,10 @@
   return false;
 }
 
-/* Whether a heartbeat to that peer names the others, so that all find each other. One that has just
- * come learns of all from the seeds; besides about one peer a period is told, for pairs that missed
- * each other. If all were told of all each time a link changes, that would be most of what a large
- * fleet sends between halls. */
+/* Whether the next heartbeat to a peer lists the other routers, so that all discover each other. A
+ * new router gets the full list from the seeds. Besides, about one random peer per period gets a
+ * list, for pairs that missed each other. Lists to all peers at every change of a link would be
+ * most of a large fleet's traffic between halls. */
 static bool
 should_name_peers (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
@@ -190,7 +191,7 @@
   return is_seed (fleet) || ash_random_below (random, linked) < LISTS_TO_NEW_PEER;
 }
 
-/* The arrays are freed by the sender of the heartbeat, their texts are ours. */
+/* The caller frees the arrays; the strings belong to the peers. */
 static void
 add_known_peers (struct ash_fleet *fleet, struct Ash__Heartbeat *heartbeat, uint32_t peers_max)
 {
@@ -250,7 +251,7 @@
   return ash_talk_far_beat_ms (heartbeat_ms, fleet->far_linked);
 }
 
-/* ---- life ---- */
+/* ---- start and end ---- */
 
 bool
 ash_fleet_open (struct ash_fleet *fleet, struct ash_router *router)
@@ -350,15 +351,16 @@
   bool ready = ash_router_ready (fleet->router);
   bool answered = ash_store_is_answering (&fleet->router->store, ASH_STORE_SERVERS);
 
-  /* Callers are sent here, or no longer: those whose heartbeats come seldom hear of it now. */
+  /* Whether callers may be sent here has changed: peers that get heartbeats seldom must know
+   * now. */
   if (ready != fleet->ready_sent)
     ash_peers_beat (&fleet->links);
-  /* The own hall asks less, or more, once it knows. */
+  /* The routers of the own hall choose the store's readers by this. */
   else if (answered != fleet->store_answered)
     ash_fleet_notify_hall (fleet);
   fleet->ready_sent = ready;
   fleet->store_answered = answered;
-  /* Once a tick, not at each question: at 400 routers it takes 1.4 to 2.0 ms. */
+  /* Done once per tick instead of at each query: with 400 routers it takes 1.4 to 2.0 ms. */
   ash_fleet_choose_readers (fleet);
 
   fleet->far_linked = 0;
@@ -415,6 +417,6 @@
 uint32_t
 ash_fleet_size (const struct ash_fleet *fleet)
 {
-  /* All that were ever heard of: one that is cut off spends its part too. */
+  /* All known routers: an isolated one still uses its part of the limits. */
   return HASH_COUNT (fleet->peers) + 1;
 }
--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -10,11 +10,10 @@
 #define MS_PER_S 1000.0
 #define MILLI 1000.0
 
-/* What peers are told of changes only is told whole this often, in messages: what one missed of an
- * endpoint that it did not know yet is right a second later. */
+/* One in so many reports has the load of all endpoints, the others only changes. It corrects within
+ * a second what a peer ignored because it did not know the endpoint yet. */
 #define FULL_REPORT_EVERY 20
 
-/* Takes back what the peer said last. */
 void
 ash_fleet_clear_loads (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
@@ -25,7 +24,7 @@
       struct ash_direct_endpoint *endpoint = ash_direct_find_hash (set, peer->load_endpoints[i]);
       uint32_t load = (uint32_t) peer->load_in_flight[i];
 
-      /* An endpoint that was listed after the peer's word has nothing to take back. */
+      /* An endpoint that was added after the report does not include it. */
       if (endpoint)
         endpoint->elsewhere -= load < endpoint->elsewhere ? load : endpoint->elsewhere;
     }
@@ -36,7 +35,7 @@
   peer->load_count = 0;
 }
 
-/* Those that a peer that watches groups tells to be slow. */
+/* Applies the endpoints that the leader of the maps reports as slow. */
 static void
 apply_slow (struct ash_fleet *fleet, const struct Ash__EndpointLoads *loads)
 {
@@ -68,7 +67,7 @@
   return true;
 }
 
-/* There is room for one more. */
+/* The arrays must have room for another endpoint. */
 static void
 set_load (struct ash_fleet *fleet, struct ash_fleet_peer *peer, uint64_t hash, uint64_t in_flight)
 {
@@ -114,7 +113,8 @@
     set_load (fleet, peer, loads->endpoints[i], loads->in_flight[i]);
 }
 
-/* Only what was told here first: what peers tell is not told on, or it would never end. */
+/* Only the leader, which measures paces itself, reports them: if routers forwarded reports, these
+ * would never end. */
 static size_t
 list_slow (const struct ash_fleet *fleet,
            uint64_t slow[ASH_FLEET_SLOW_MAX],
@@ -138,8 +138,8 @@
   return count;
 }
 
-/* Fills in this router's own work: at each endpoint, or where it has changed since the audience was
- * last told. */
+/* Fills in this router's requests in flight: at all endpoints, or only where they have changed
+ * since the last report to the audience. */
 static void
 list_loads (const struct ash_fleet *fleet, int audience, struct Ash__EndpointLoads *loads)
 {
@@ -158,7 +158,6 @@
   loads->n_in_flight = loads->n_endpoints;
 }
 
-/* A peer whose hall is not known yet counts as near. */
 int
 ash_fleet_audience_of (const struct ash_fleet *fleet, const struct ash_fleet_peer *peer)
 {
@@ -167,8 +166,8 @@
   return is_near ? ASH_FLEET_NEAR : ASH_FLEET_FAR;
 }
 
-/* One that has just come knows nothing of this router's work. Nobody else is told, or each router
- * that comes would have all tell all. */
+/* Sends all loads to peers that have just connected. The others get nothing, or each new router
+ * would cause full reports among all. */
 static void
 send_full_reports (struct ash_fleet *fleet)
 {
@@ -241,7 +240,7 @@
       struct ash_fleet_audience *audience = &fleet->audiences[i];
       uint32_t due_ms = i == ASH_FLEET_FAR ? far_ms : period_ms;
 
-      /* Half a period early is nearer than half a period late. */
+      /* Rounds to the nearest period of the timer. */
       if (!audience->loads_changed ||
           ash_time_diff (audience->last_sent, now) + period_ms / 2 < due_ms)
         continue;
--- a/daemon/fleet_loads.h
+++ b/daemon/fleet_loads.h
@@ -1,34 +1,37 @@
 /**
  * @file
- * How much work each router has at each endpoint, as routers tell each other: those of the own hall
- * often, the others less often where there are many. For the files of the fleet only.
+ * Reports between routers of how many requests each has at each endpoint: frequent within a hall,
+ * and less frequent to other halls if these have many routers. Internal to the fleet modules.
  */
 #ifndef ASH_FLEET_LOADS_H
 #define ASH_FLEET_LOADS_H
 
 #include "daemon/fleet.h"
 
-/** Peers that are told at the same times: see ASH_DIRECT_AUDIENCES. */
+/**
+ * Peers that are sent reports at the same times, as indexes below ASH_DIRECT_AUDIENCES: those of
+ * the own hall, and those of other halls.
+ */
 enum ash_fleet_audience_kind
 {
   ASH_FLEET_NEAR,
   ASH_FLEET_FAR,
 };
 
-/** @return the audience that a peer belongs to; one whose hall is not known yet is near. */
+/** @return the audience of a peer; a peer whose hall is not known yet counts as near. */
 int ash_fleet_audience_of (const struct ash_fleet *fleet, const struct ash_fleet_peer *peer);
 
-/** Starts to tell the others. */
+/** Starts the periodic reports. */
 void ash_fleet_start_load_reports (struct ash_fleet *fleet);
 
 void ash_fleet_stop_load_reports (struct ash_fleet *fleet);
 
-/** Takes a peer's word. */
+/** Applies a peer's report. */
 void ash_fleet_apply_loads (struct ash_fleet *fleet,
                             struct ash_fleet_peer *peer,
                             const struct Ash__EndpointLoads *loads);
 
-/** Takes back what a peer said last. */
+/** Subtracts the loads that a peer last reported. */
 void ash_fleet_clear_loads (struct ash_fleet *fleet, struct ash_fleet_peer *peer);
 
 #endif
--- a/daemon/fleet_roles.c
+++ b/daemon/fleet_roles.c
@@ -6,18 +6,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Routers that ask the store often: one that is lost, and one that is being stopped, leave one. */
+/* Routers of the fleet that poll the store at short intervals: one remains if another is lost while
+ * a third is being stopped. */
 #define FREQUENT_READERS 3
 
-/* Routers of a hall that ask the store at all, likewise. If all of a large fleet asked, most calls
- * would be to learn of the same endpoint. */
+/* Routers of each hall that poll the store, for the same reason. If all routers of a large fleet
+ * did, most calls to the store would report the same endpoint. */
 #define HALL_READERS 3
 
-/* Routers that stand ready to go on with a change: one of them may be lost or stopped too. */
+/* Routers that are kept informed of a map change so that they can continue it: one of them may be
+ * lost or stopped too. */
 #define SUCCESSORS 2
 
-/* Several times what lies between two words of a router that changes a map, and longer than a small
- * box is busy with one thing. */
+/* A router that changes a map and sends nothing for this long counts as lost. This is several times
+ * the interval between its messages, and longer than a small box is busy with one task. */
 #define MAP_CHANGE_SILENCE_MS 300
 
 static struct ash_asker
@@ -81,7 +83,7 @@
   return fleet->reads_store;
 }
 
-/* Routers there are at least: those heard of, or the seeds if they are more. */
+/* @return the minimum number of routers: those known, or the seeds if these are more. */
 static uint32_t
 known_count (const struct ash_fleet *fleet)
 {
@@ -94,8 +96,9 @@
   return known > seeds ? known : seeds;
 }
 
-/* One that said that it changes a map and has gone silent may have left a group standing: it is not
- * waited for as long as a link. It tells those that come next several times meanwhile. */
+/* Whether a router stopped sending while it changed a map, and may have left a group blocked. The
+ * link's longer timeout is not waited for, since a router that changes a map sends several messages
+ * in that time to those that would lead next. */
 static bool
 is_stuck (const struct ash_fleet_peer *peer, struct ash_time now)
 {
@@ -140,7 +143,7 @@
   return before;
 }
 
-/* The peer that would lead after that one, or first of all after NULL; NULL: there is none. */
+/* @return the peer that would lead after `after`, or first if that is NULL; NULL: there is none. */
 static const struct ash_fleet_peer *
 next_leader (const struct ash_fleet *fleet, const struct ash_fleet_peer *after)
 {
--- a/daemon/fleet_roles.h
+++ b/daemon/fleet_roles.h
@@ -1,14 +1,17 @@
 /**
  * @file
- * Which routers do what for all: who asks the store, who leads the groups. Each works it out for
- * itself; two that do the same thing do no harm. For the files of the fleet only.
+ * Which routers perform tasks for all: reading the store, and leading the changes of expert maps.
+ * Each router decides on its own from its links; two that perform the same task do no harm.
+ * Internal to the fleet modules.
  */
 #ifndef ASH_FLEET_ROLES_H
 #define ASH_FLEET_ROLES_H
 
 #include "daemon/fleet.h"
 
-/** Works out who of the fleet asks the store, as this router sees it. */
+/**
+ * Decides whether this router reads the store, and how often, from the peers that it is linked to.
+ */
 void ash_fleet_choose_readers (struct ash_fleet *fleet);
 
 #endif
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -4,14 +4,15 @@
 
 #include <string.h>
 
-/* Endpoints whose terms one message tells at most. */
+/* Upper limit of endpoints in one message. */
 #define TERMS_MAX 64
 
-/* A router without a link for no longer than this counts as there: links may break at many routers
- * at once, and if each then took the whole rate an endpoint would get several times as much. */
+/* A router whose link has been down for this long no longer counts as a member. Links may break at
+ * many routers at once: if each of them then used the whole rate limit, the endpoint would get a
+ * multiple of it. */
 #define MEMBER_TIMEOUT_MS 5000
 
-/* ---- telling peers ---- */
+/* ---- sending to peers ---- */
 
 static struct Ash__EndpointTerms
 message_of (const struct ash_direct_endpoint *endpoint, struct ash_time now)
@@ -27,7 +28,7 @@
   return message;
 }
 
-/* @param peer NULL: all that there are links to. */
+/* @param peer NULL: all linked peers. */
 static void
 send_terms (struct ash_fleet *fleet,
             const struct ash_fleet_peer *peer,
@@ -59,15 +60,15 @@
 
   for (struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints;
        endpoint && count < TERMS_MAX; endpoint = endpoint->hh.next)
-    /* That it names no rate any more, too: the peer may know an older word. */
+    /* A removed rate limit is sent too: the peer may have the old one. */
     if (endpoint->limit.heard.ms || endpoint->said_leaving)
       messages[count++] = message_of (endpoint, now);
   send_terms (fleet, peer, messages, count);
 }
 
-/* ---- taking what was said ---- */
+/* ---- applying terms ---- */
 
-/* @return whether it is news. */
+/* @return whether the rate limit has changed. */
 static bool
 update_limit (struct ash_fleet *fleet,
               struct ash_direct_endpoint *endpoint,
@@ -86,7 +87,7 @@
   return true;
 }
 
-/* @return whether it is news. */
+/* @return whether the endpoint had not been known to be leaving. */
 static bool
 update_leaving (struct ash_fleet *fleet,
                 struct ash_direct_endpoint *endpoint,
@@ -102,7 +103,7 @@
   return true;
 }
 
-/* Asked of this router alone: peers are not told. */
+/* The endpoint asks only this router to back off: peers don't get it. */
 static void
 apply_backoff (struct ash_fleet *fleet,
                struct ash_direct_endpoint *endpoint,
@@ -150,7 +151,7 @@
           ash_direct_find_hash (&fleet->router->endpoints, terms->endpoint);
       struct ash_time reported_at = ash_time_add (now, -(int64_t) terms->age_ms);
 
-      /* Another life under the same id has said nothing of the kind. */
+      /* Terms of another incarnation of the endpoint don't apply to this one. */
       if (!endpoint || endpoint->facts.born_ms != terms->born_ms)
         continue;
       update_limit (fleet, endpoint, terms->limit_milli, reported_at, reported_at, peer->box);
@@ -158,7 +159,7 @@
     }
 }
 
-/* ---- dealing rates out ---- */
+/* ---- splitting rate limits ---- */
 
 static bool
 is_member (const struct ash_fleet_peer *peer, struct ash_time now)
@@ -167,7 +168,7 @@
          (peer->linked || ash_time_diff (peer->last_linked, now) <= MEMBER_TIMEOUT_MS);
 }
 
-/* Of the routers that are there, and whether it is known of each where it is. */
+/* @return a digest of the member routers, and of whether the hall of each is known; never 0. */
 static uint64_t
 members_digest (const struct ash_fleet *fleet, struct ash_time now)
 {
@@ -179,7 +180,8 @@
   return digest ? digest : 1;
 }
 
-/* Those of the endpoint's own hall come first, as they send it most. */
+/* Whether a peer precedes this router when the endpoint's rate limit is split. Routers in the
+ * endpoint's hall come first, as they send it the most requests. */
 static bool
 precedes_self (const struct ash_direct_endpoint *endpoint,
                const struct ash_fleet_peer *peer,
@@ -217,7 +219,7 @@
 void
 ash_fleet_split_rates (struct ash_fleet *fleet, struct ash_time now)
 {
-  uint64_t members = 0; /* not needed while no endpoint names a rate */
+  uint64_t members = 0; /* computed only if an endpoint has a rate limit */
 
   for (struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints; endpoint;
        endpoint = endpoint->hh.next)
@@ -225,7 +227,8 @@
       if (!endpoint->limit.milli_per_s)
         continue;
       members = members ? members : members_digest (fleet, now);
-      /* The others deal among themselves from the moment on at which they are told. */
+      /* A stopping router gets no part: the other routers split the limit without it as soon as
+       * they know that it stops. */
       if (fleet->router->stopping)
         ash_rate_limit_waive (&endpoint->limit);
       else if (endpoint->limit.members != members)
--- a/daemon/fleet_terms.h
+++ b/daemon/fleet_terms.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What endpoints say of how they want to be used: told to all peers, and the rates that they name
- * dealt out among the routers.
+ * The terms that endpoints set in their answers: a rate limit, a time to back off, or that they are
+ * leaving. Limits and leaving are forwarded to all peers, and limits are split among the routers.
  */
 #ifndef ASH_FLEET_TERMS_H
 #define ASH_FLEET_TERMS_H
@@ -15,23 +15,23 @@
 struct ash_fleet_peer;
 
 /**
- * An endpoint said so in an answer to this router.
- * @param asked when the request of the answer was sent.
+ * Applies the terms that came with an endpoint's answer to this router.
+ * @param requested_at when the request was sent.
  */
 void ash_fleet_update_terms (struct ash_fleet *fleet,
                              struct ash_direct_endpoint *endpoint,
                              const struct ash_endpoint_terms *terms,
                              struct ash_time requested_at);
 
-/** A peer tells what endpoints said. */
+/** Applies terms that a peer forwards. */
 void ash_fleet_apply_terms (struct ash_fleet *fleet,
                             const struct ash_fleet_peer *peer,
                             const struct Ash__EndpointTermsList *list);
 
-/** Tells a peer all that is known. */
+/** Sends the known terms of all endpoints to a peer. */
 void ash_fleet_send_terms (struct ash_fleet *fleet, const struct ash_fleet_peer *peer);
 
-/** Time goes on: parts of rates follow the routers that are there. */
+/** Runs the timers: splits rate limits again if the set of routers has changed. */
 void ash_fleet_split_rates (struct ash_fleet *fleet, struct ash_time now);
 
 #endif
--- a/daemon/peer_sync.c
+++ b/daemon/peer_sync.c
@@ -5,18 +5,20 @@
 #include <inttypes.h>
 #include <stdlib.h>
 
-/* The store brings a change to all routers within some 30 ms, and heartbeats tell of it at most
- * one period (300 ms) later. Whoever lacks it so long after has a question that is silent. */
+/* The store reports a change to all routers within some 30 ms, and heartbeats report it at most one
+ * period (300 ms) later. A router that still lacks the change this long after has a watch that is
+ * dead. */
 #define CONFIG_LAG_MS 300
 
-/* Changes of the list may be gathered for 400 ms before they are asked for. */
+/* The same for the list of endpoints, whose changes may be collected for 400 ms between two
+ * watches. */
 #define LIST_LAG_MS 700
 
-/* The same for a router that is told of changes by others of its hall: these come within a few ms
- * after the store's answer, or after the 400 ms for which answers are gathered. */
+/* The same for a router that gets changes from others of its hall: changes arrive a few ms after
+ * the store's answer, or after the 400 ms for which answers are collected. */
 #define FOLLOWED_LAG_MS 500
 
-/* A peer that was asked and has not answered by then is as silent: another one is asked. */
+/* If a peer has not answered a request by then, another peer is asked. */
 #define REQUEST_PERIOD_MS 500
 
 void
@@ -25,7 +27,7 @@
   *peer_sync = (struct ash_peer_sync){ .router = router };
 }
 
-/* A configuration that was looked at and refused for its findings is not missing. */
+/* A configuration that was rejected for errors is not missing. */
 static uint64_t
 own_revision (const struct ash_router *router, enum ash_store_part part)
 {
@@ -36,7 +38,7 @@
   return version > router->refused_version ? version : router->refused_version;
 }
 
-/* ---- asking ---- */
+/* ---- requests ---- */
 
 static void
 request_from_peer (struct ash_router *router, enum ash_store_part part, const char *box)
@@ -63,14 +65,17 @@
 {
   if (ash_store_is_polled (&router->store, part))
     return part == ASH_STORE_CONFIG ? CONFIG_LAG_MS : LIST_LAG_MS;
-  /* Those that ask for this router tell what is new, and may do so a little later than a word from
-   * another hall. Nothing is to be waited for from a store that does not answer. */
+  /* The routers that read the store for this one forward changes, possibly a little later than a
+   * heartbeat from another hall arrives. If the store does not answer, there is nothing to wait
+   * for. */
   return ash_store_is_followed (&router->store, part) ? FOLLOWED_LAG_MS : 0;
 }
 
-/* A question at the store that says nothing looks the same whether nothing is new or nothing
- * comes through. What peers have tells the two apart: without it a router that had been cut off
- * stayed 5 s behind after the cut, with it 0.6 s at most from when a peer has the change. */
+/* Checks whether peers have a newer revision of a part for too long, and requests it from one of
+ * them. A watch that returns nothing looks the same whether there is no change or the connection
+ * is dead; the peers' revisions show which. Without this check a router that had been isolated
+ * remained outdated for 5 s afterwards, with it for 0.6 s at most from when a peer has the
+ * change. */
 static void
 check_part (struct ash_peer_sync *peer_sync, enum ash_store_part part, struct ash_time now)
 {
@@ -120,9 +125,10 @@
 
   ash_peer_news_told (&peer_sync->news[ASH_STORE_CONFIG], now, peer->version,
                       own_revision (router, ASH_STORE_CONFIG));
-  /* The revision of a list grows with whatever changes in the store, so only lists that differ
-   * count. They do for some ms at each change that comes to a peer first. Of a peer that tells no
-   * digest nobody knows whether its list differs: it is of use only without the store. */
+  /* The revision of the list grows with every change in the store, so only lists with other
+   * contents count. Contents differ for some ms at each change that a peer receives first. If a
+   * peer reports no digest, its list can't be compared and counts only while the store does not
+   * answer. */
   if (!peer->endpoints_digest && ash_store_is_answering (&router->store, ASH_STORE_SERVERS))
     ash_peer_news_same (list, now, own_list, own_list);
   else if (peer->endpoints_digest != router->store.digest)
@@ -156,7 +162,8 @@
   struct ash_fleet *fleet = &peer_sync->router->fleet;
   struct Ash__ConfigDelta *delta = NULL;
 
-  /* With the former one unknown, those that follow ask for the whole text once they hear of it. */
+  /* Without a previous text, the routers that follow request the whole text when a heartbeat
+   * reports its version. */
   if (before->length)
     delta = ash_config_delta_make (before, after);
   if (delta)
@@ -169,8 +176,9 @@
   ash_fleet_notify_hall (fleet);
 }
 
-/* One that does not fit is left: another of those that ask may have told of the steps between, and
- * if not, the heartbeats will show that something is missing. */
+/* A difference from another version than the active one is ignored: another router that reads the
+ * store may have sent the steps between, and if not, heartbeats will show that something is
+ * missing. */
 void
 ash_peer_sync_apply_delta (struct ash_peer_sync *peer_sync,
                            const struct Ash__ConfigDelta *delta,
@@ -190,7 +198,7 @@
   free (text);
 }
 
-/* ---- answering ---- */
+/* ---- answers to requests ---- */
 
 void
 ash_peer_sync_send_config (struct ash_peer_sync *peer_sync, const char *box)
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Callers' requests: denied, refused in a planned stop, or routed and begun as an exchange; and the
- * end of a stop, which ends them all.
+ * Callers' requests: rejected, or routed and turned into an exchange. Also aborts all requests at
+ * the end of a planned stop.
  */
 #include "controllers/pass_model.h"
 #include "daemon/exchange.h"
@@ -9,27 +9,28 @@
 #include <string.h>
 #include <utlist.h>
 
-/* A final answer is sent this much before the time is up, so that it arrives in time. */
+/* The final answer is sent this long before the caller's deadline, so that it arrives in time. */
 #define DEADLINE_MARGIN_MS 25
 
-/* Without a caller's word on how long it waits. */
+/* Used if the caller sends no deadline. */
 #define DEADLINE_DEFAULT_MS 30000
 
-/* Requests seldom last longer, streams' waits included: the longest on the users' sheets has 57
- * events, some 80 ms apart. */
+/* Requests seldom take longer, including the waits of streams: the longest that users have
+ * specified has 57 events, some 80 ms apart. */
 #define USUAL_DURATION_MS 5000
 
-/* Soon after the signal to stop many callers still use the address, and a request is taken if it
- * would end in time as requests do; later, only if it must. */
+/* For this long after the signal to stop, when many callers still use the address, a request is
+ * accepted if one of USUAL_DURATION_MS would end in time; later, only if its deadline is before the
+ * end of the stop. */
 #define STOP_EARLY_PHASE_MS 3000
 
-/* In a planned stop, what may not end in time goes elsewhere at once: the caller has other
- * addresses. */
+/* Retry-After for requests that a stopping router rejects: short, because the caller has the
+ * addresses of other routers. */
 #define STOP_RETRY_AFTER_MS 10
 
 /* ---- requests ---- */
 
-/* Without an exchange. */
+/* Answers a request that has no exchange. */
 static void
 reject (struct ash_http_conn *conn,
         struct ash_router *router,
@@ -58,7 +59,8 @@
   reject (conn, router, ash_request_log_id (&facts), status, why);
 }
 
-/* Nobody tries again after 401 or 404; so what peers know to be out of date may not say it. */
+/* Callers don't retry after 401 or 404, so a router that knows its configuration to be outdated
+ * answers 503 instead. */
 static void
 deny_by_config (struct ash_http_conn *conn,
                 struct ash_router *router,
@@ -71,8 +73,8 @@
     deny (conn, router, status, why);
 }
 
-/* More requests than slots of a plain endpoint queue there; an engine's streams slow
- * each other down, so fewer than its slots run. */
+/* @return how many requests an endpoint may have. A plain endpoint queues some requests beyond its
+ * slots. An engine may get fewer than its slots, because its streams slow each other down. */
 static uint32_t
 concurrency_limit (const struct ash_router *router,
                    const struct ash_route *route,
@@ -96,7 +98,7 @@
   return router->settings.plain_queue + 1;
 }
 
-/* What holds for a prompt that is to be read by the service's engines. */
+/* The limits for sending a prompt to the service's engines. */
 static struct ash_prompt_terms
 prompt_terms (const struct ash_exchange *exchange, const struct ash_route_service *service)
 {
@@ -136,16 +138,17 @@
     .pause_aim_ms = service->has_engine ? route->pause_aim_ms : 0,
     .came = ash_clock_now (),
   };
-  /* One that is read just after this process was away may have waited for as long: its caller waits
-   * no longer than it said, and an endpoint that is told more works for nobody. */
   if (forward->pause_aim_ms)
     forward->prompt = prompt_terms (exchange, service);
+  /* A request that is read just after the process was suspended may have waited all that time. The
+   * caller's deadline includes it, and an endpoint that works longer does so for nobody. */
   forward->deadline =
       ash_time_add (forward->came, (int64_t) max_ms - DEADLINE_MARGIN_MS - router->suspended_ms);
 }
 
-/* Whether a planned stop may come to its end before the answer does. What is under way then is cut,
- * and nobody knows whether it ran: so the time left is held against what the request may take. */
+/* Whether a planned stop may end before the request does. The request would then be aborted, and
+ * the caller would not know whether it ran. So the time left is compared with the time that the
+ * request may take. */
 static bool
 may_outlast_stop (const struct ash_exchange *exchange)
 {
@@ -240,9 +243,9 @@
 
 /* ---- the end of a stop ---- */
 
-/* No further endpoint is asked. What was sent somewhere may have run, unless the endpoint has
- * vouched that it did not or the connection never came up; nothing else may be told to be not run.
- */
+/* Ends the exchange without trying another endpoint. A request that was sent is reported as
+ * possibly run, unless the endpoint guarantees that it did not run or the connection was never
+ * established. */
 static void
 abort_exchange (struct ash_exchange *exchange)
 {
@@ -256,7 +259,7 @@
                                 status == 503 ? STOP_RETRY_AFTER_MS : 0);
 }
 
-/* One that was not read whole was sent nowhere. */
+/* Requests that have not been read completely were not sent to any endpoint. */
 static void
 reject_partly_read (struct ash_router *router)
 {
@@ -270,7 +273,8 @@
 void
 ash_requests_abort_all (struct ash_router *router)
 {
-  /* What callers sent ahead comes up as the request before it ends, and ends at once. */
+  /* A pipelined request starts when the one before it ends, and is rejected immediately because the
+   * stop has expired. */
   while (router->exchanges)
     abort_exchange (router->exchanges);
   reject_partly_read (router);
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -10,27 +10,29 @@
 
 #define TICK_S 0.1
 
-/* A gap in the loop's turns so long means that the process was stopped. */
+/* A longer gap between two iterations of the event loop means that the process was suspended. */
 #define SUSPEND_GAP_MS 1000
 
-/* In a planned stop: how long callers may still come by an address that they keep,
- * against the time that an answer may be kept. */
+/* In a planned stop callers may still come for this multiple of address_keep_ms, the time for which
+ * they may cache the router's address. */
 #define ADDRESS_KEEP_FACTOR 3
 
-/* Left of the time to stop when what is still under way is given up: for the answers to be read,
- * and the rest for a busy small box to come round and end. */
+/* Requests are aborted this long before the time to stop is over: callers must still read the
+ * answers, and a small busy box needs the rest to end the process. */
 #define STOP_MARGIN_MS 400
 
-/* A connection to an endpoint whose kernel answers nothing for so long is given up, also while it
- * rests: a probe after a second and its answer. Idle ones are kept for up to 3.3 s. A packet that
- * was lost is sent again after 0.2, 0.6 and 1.4 s, and then only after 3. */
+/* A connection to an endpoint, also an idle one, is closed if the endpoint's kernel has
+ * acknowledged nothing for this long: a keep-alive probe after a second and the time for its
+ * answer. Idle connections are kept for up to 3.3 s. A lost packet is retransmitted after 0.2, 0.6
+ * and 1.4 s, and then only after 3 s. */
 #define ENDPOINT_SILENCE_MS 2000
 
-/* How long callers may take to read the last answers. Those that read take some milliseconds; a
- * connection closed sooner loses what its socket did not take at once. */
+/* How long callers have to read the last answers. It takes them some milliseconds; closing a
+ * connection sooner loses the data that its socket could not send immediately. */
 #define STOP_FLUSH_MS 150
 
-/* What came while this process was away is read within some milliseconds after. */
+/* Data that arrived while the process was suspended is read within some milliseconds of its
+ * resumption. */
 #define RESUME_READ_MS 50
 
 #define MS_PER_S 1000.0
@@ -57,7 +59,7 @@
 struct ash_router_service *
 ash_router_service (struct ash_router *router, const char *name)
 {
-  static struct ash_router_service fallback; /* without memory nothing is sent again for long */
+  static struct ash_router_service fallback; /* if out of memory; its retry budget soon runs out */
   struct ash_router_service *found;
 
   HASH_FIND_STR (router->services, name, found);
@@ -111,8 +113,8 @@
   endpoint->owner = NULL;
 }
 
-/* What is idle stands before the former life, and may be as silent as it is; so may the questions
- * to a rank. */
+/* Idle connections and requests to the rank belong to the endpoint's former process, and may be as
+ * dead as it is. */
 static void
 on_endpoint_restarted (void *data, struct ash_direct_endpoint *endpoint)
 {
@@ -150,7 +152,7 @@
                    findings->items[i].text, (unsigned long long) ash_router_version (router));
 }
 
-/* Both are the router's from now on. */
+/* Takes ownership of table and text. */
 static void
 activate_config (struct ash_router *router,
                  struct ash_route_table *table,
@@ -205,7 +207,7 @@
   activate_config (router, table, copy, text_bytes);
 }
 
-/* ---- time and signals ---- */
+/* ---- timers and signals ---- */
 
 struct ash_time
 ash_router_stop_deadline (const struct ash_router *router)
@@ -232,8 +234,8 @@
   ev_timer_start (router->loop, &router->stop_timer);
 }
 
-/* The last that happens before the process ends. The requests go first: each stands on its caller's
- * connection, and the end of a call to an endpoint would have it go on elsewhere. */
+/* Ends all requests, shortly before the process exits. Requests end first: each one depends on its
+ * caller's connection, and a closed call to an endpoint would be retried at another one. */
 static void
 abort_requests (struct ash_router *router)
 {
@@ -273,8 +275,8 @@
     abort_requests (router);
 }
 
-/* The loop's timers don't count the time for which the machine was suspended: all that waits for
- * one is looked at now. */
+/* The loop's timers don't count the time for which the machine was suspended: everything that waits
+ * for a timer is checked now. */
 static void
 on_resume_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
@@ -288,8 +290,9 @@
     set_stop_timer (router, ash_time_diff (ash_clock_now (), ash_router_stop_deadline (router)));
 }
 
-/* What others do is asked anew, nothing goes out on connections that may have ended meanwhile, and
- * what callers sent is as old as the time away may make it. */
+/* Requests to peers and the store are repeated, and idle connections closed, since the other side
+ * may have closed them during the suspension. Callers' requests that are read now may be as old as
+ * the suspension is long. */
 static void
 handle_resume (struct ash_router *router, struct ash_time now, int64_t gap_ms)
 {
@@ -304,8 +307,8 @@
   ev_timer_start (router->loop, &router->resume_timer);
 }
 
-/* First after the loop has slept, which lasts a tick at most. A longer gap means that
- * the process was stopped, or its machine suspended: what it holds of others is old. */
+/* Runs first after the loop has blocked, which it does for one tick at most. A longer gap means
+ * that the process or its machine was suspended: what it knows of other processes is outdated. */
 static void
 on_loop_check (struct ev_loop *loop, ev_check *check, int events)
 {
@@ -320,7 +323,8 @@
     handle_resume (router, now, gap_ms);
 }
 
-/* Last before the loop sleeps: whatever made room in this turn is used. */
+/* Runs last before the loop blocks: retries waiting requests if a slot may have become free in this
+ * iteration. */
 static void
 on_loop_prepare (struct ev_loop *loop, ev_prepare *prepare, int events)
 {
@@ -369,7 +373,7 @@
   ash_findings_init (&findings, router->settings_path);
   ash_router_settings_read_file (&settings, router->settings_path, &findings);
   ash_log_event (&router->log, ASH_EV_RELOADED, "findings=%u", findings.count);
-  /* Addresses and the box's name hold for the process's life. */
+  /* Addresses and the box's name can't change while the process runs. */
   if (!findings.count)
     {
       router->settings.wait_ms = settings.wait_ms;
@@ -384,7 +388,7 @@
   ash_findings_finish (&findings);
 }
 
-/* ---- life ---- */
+/* ---- start and end ---- */
 
 static bool
 listen_at (struct ash_router *router,
@@ -519,8 +523,9 @@
   router->settings_path = settings_path;
   if (!init (router))
     return false;
-  /* Before it can be reached: a signal that came in between ended the process with what callers had
-   * sent it, 193 times of 200 that were signalled as soon as it could be connected to. */
+  /* Signal handlers must be installed before the listeners open: in a test that sent a signal as
+   * soon as it could connect, the signal came first in 193 of 200 runs and ended the process
+   * together with callers' requests. */
   start_watchers (router);
   ok = open_listeners (router);
   if (ok)
--- a/daemon/router.h
+++ b/daemon/router.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The router: an entry that sends callers' requests straight to endpoints. Here
- * is what its tasks share; each task is a file of its own.
+ * The router: accepts callers' requests and sends them directly to endpoints. Declares the state
+ * that its modules share.
  */
 #ifndef ASH_ROUTER_H
 #define ASH_ROUTER_H
@@ -22,7 +22,7 @@
 
 struct ash_exchange;
 
-/** A service's count of requests sent again. */
+/** A service's retry budget and prompt gate. */
 struct ash_router_service
 {
   char name[ASH_DIRECT_NAME_BYTES];
@@ -44,10 +44,10 @@
   struct ash_random random;
   uint64_t incarnation;
 
-  struct ash_route_table *table; /**< in force; NULL: none yet */
-  char *config_text;             /**< what it was read from, for peers */
+  struct ash_route_table *table; /**< the active configuration; NULL: none yet */
+  char *config_text;             /**< the text of the active configuration, to send to peers */
   size_t config_bytes;
-  uint64_t refused_version; /**< of the last configuration that had findings; 0: none, or it had no
+  uint64_t refused_version; /**< of the newest configuration that had errors; 0: none, or it had no
                                version */
   struct ash_direct_set endpoints;
   struct ash_router_service *services;
@@ -63,79 +63,85 @@
   struct ash_http_listener metrics_page;
 
   struct ash_exchange *exchanges;
-  uint32_t waiting_count; /**< exchanges that wait for room */
-  bool capacity_freed; /**< some may be had: those waiting are looked at before the loop sleeps */
+  uint32_t waiting_count; /**< exchanges that wait for a free slot */
+  bool capacity_freed;    /**< an endpoint may have a free slot: waiting exchanges retry before the
+                             loop blocks */
 
   bool stopping;
-  bool stop_expired; /**< the stop is at its end: nothing goes to endpoints any more */
+  bool stop_expired; /**< the time to stop is over: requests are aborted, and none goes to an
+                        endpoint */
   struct ash_time stop_started_at;
   ev_timer stop_timer;
   ev_timer tick;
   ev_check loop_check;
-  struct ash_time last_iteration; /**< of the loop */
-  ev_timer resume_timer;          /**< what came while the process was away is read by then */
-  int64_t suspended_ms;           /**< until then: for how long it was away; else 0 */
+  struct ash_time last_iteration; /**< when the event loop last woke up */
+  ev_timer resume_timer; /**< runs when data that arrived during a suspension has been read */
+  int64_t suspended_ms;  /**< how long the process was suspended, until resume_timer runs; else 0 */
   ev_prepare loop_prepare;
   ev_signal on_term;
   ev_signal on_int;
   ev_signal on_hup;
 };
 
-/** Runs a router to its end. @return false if it could not start. */
+/** Runs a router until it is stopped. @return false: it could not start. */
 bool ash_router_run (struct ash_router *router, const char *settings_path);
 
 /**
- * Takes a configuration into force unless it is not newer, or has findings.
- * @param source who gave it, for the log.
+ * Activates a configuration, unless its version is not newer than the active one or it has errors.
+ * @param source who sent it, for the log.
  */
 void ash_router_offer_config (struct ash_router *router,
                               const char *text,
                               size_t text_bytes,
                               const char *source);
 
-/** @return the version in force, 0 for none. */
+/** @return the version of the active configuration; 0: none. */
 uint64_t ash_router_version (const struct ash_router *router);
 
-/** @return whether callers may be sent here. */
+/** @return whether callers may send requests here. */
 bool ash_router_ready (const struct ash_router *router);
 
-/** @return when a planned stop that has begun gives up what is still under way. */
+/** @return when a planned stop that has begun aborts the remaining requests. */
 struct ash_time ash_router_stop_deadline (const struct ash_router *router);
 
-/** @return what is kept of a service; made when first asked for. */
+/** @return the state of a service, created on first use. */
 struct ash_router_service *ash_router_service (struct ash_router *router, const char *name);
 
-/** @return what bounds requests that are sent again. */
+/** @return the limits on resending requests. */
 struct ash_resend_bound ash_router_resend_bound (const struct ash_router *router);
 
-/** Requests of callers: what the frontend's listener calls. */
+/** Callbacks of the frontend listener, for callers' requests. */
 extern const struct ash_conn_handler ash_requests_handler;
 
-/** What requests under way hear of those that are suspected. */
+/** Callbacks for exchanges when an endpoint has been probed or a request quarantined. */
 extern const struct ash_suspects_handler ash_exchange_suspects_handler;
 
-/** The process was away: looks at all requests as if their timers were due. */
+/** After the process was suspended: checks all requests as if their timers had expired. */
 void ash_exchange_check_all (struct ash_router *router);
 
-/** Looks at all requests that wait for room. */
+/** Retries all requests that wait for a free slot. */
 void ash_exchange_step_waiting (struct ash_router *router);
 
 /**
- * Ends all requests: with a 503 what has surely not run, with a 502 what may have, broken off what
- * has begun. Afterwards none goes to an endpoint, and new ones are refused.
+ * Ends all requests: with status 503 if they have certainly not run, with 502 if they may have run;
+ * answers that have begun are broken off. Afterwards no request goes to an endpoint, and new ones
+ * are rejected.
  */
 void ash_requests_abort_all (struct ash_router *router);
 
-/** Readiness, directory and figures: what their listeners call. */
+/** Callbacks of the listeners for the readiness, directory and metrics pages. */
 extern const struct ash_conn_handler ash_readiness_handler;
 extern const struct ash_conn_handler ash_directory_handler;
 extern const struct ash_conn_handler ash_metrics_handler;
 
-/** @return the connections to an endpoint; made when first asked for. */
+/** @return the connection pool of an endpoint, created on first use; NULL: out of memory. */
 struct ash_http_pool *ash_router_pool (struct ash_router *router,
                                        struct ash_direct_endpoint *endpoint);
 
-/** Open connections may have gone silent: closes idle ones to endpoints, not heard from since. */
+/**
+ * After a sign of dead connections: closes idle ones to all endpoints that have received nothing
+ * since @p since.
+ */
 void ash_router_close_idle_connections (struct ash_router *router, struct ash_time since);
 
 #endif
--- a/daemon/router_main.c
+++ b/daemon/router_main.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * ashspindle-router: the program of an entry box that sends requests straight to
+ * ashspindle-router: the program of an entry box that sends callers' requests directly to
  * endpoints.
  */
 #include "daemon/command_line.h"
@@ -8,7 +8,7 @@
 
 #include <stdlib.h>
 
-/* Where the settings lie if no file is named. */
+/* Environment variable that names the settings file if the command line doesn't. */
 #define SETTINGS_VARIABLE "ASHSPINDLE_CONFIG"
 
 const char *argp_program_version = "ashspindle-router " ASH_VERSION;
--- a/daemon/router_pages.c
+++ b/daemon/router_pages.c
@@ -1,7 +1,6 @@
 /**
  * @file
- * The router's small pages: whether it is ready, which addresses callers may use,
- * and its figures.
+ * The router's auxiliary HTTP pages: readiness, the addresses that callers may use, and metrics.
  */
 #include "daemon/router.h"
 #include "platform/directory.h"
@@ -21,7 +20,7 @@
 static void
 ignore_disconnect (struct ash_http_conn *conn)
 {
-  (void) conn; /* pages are answered at once: there is nothing to give up */
+  (void) conn; /* pages are answered immediately: there is nothing to cancel */
 }
 
 /* ---- readiness ---- */
@@ -41,8 +40,9 @@
 
 /* ---- directory ---- */
 
-/* Of more peers than an answer can name some are taken by chance, each as likely as the others: the
- * first of a list would be the same for nearly all callers. @return how many. */
+/* Fills in the addresses of ready peers. If there are too many, reservoir sampling gives each the
+ * same chance: always taking the first would send nearly all callers to the same routers. @return
+ * how many. */
 static uint32_t
 sample_peers (struct ash_router *router, const char **addresses, uint32_t addresses_max)
 {
@@ -85,7 +85,7 @@
 
 const struct ash_conn_handler ash_directory_handler = { on_directory, ignore_disconnect, NULL };
 
-/* ---- figures ---- */
+/* ---- metrics ---- */
 
 static void
 set_gauges (struct ash_router *router)
--- a/daemon/store.c
+++ b/daemon/store.c
@@ -10,63 +10,65 @@
 
 #define MS_PER_S 1000.0
 
-/* An answer is due so long after the store should have given it: many times its usual
- * few milliseconds, so that a slow store is not asked twice. */
+/* A request times out if no data of its answer arrives for this long: many times the usual few
+ * milliseconds, so that a slow store does not get every request twice. */
 #define ANSWER_TIMEOUT_MS 1500
 
-/* The same for a watch, whose answer is one event or none. With the wait of those that ask often
- * (1.5 s), a change whose answer was lost on its way is in force 2.3 s later. */
+/* Added to the waiting time of a watch, whose answer is one event or none. With the waiting time of
+ * routers that poll often (1.5 s), a change whose answer was lost is active 2.3 s later. */
 #define WATCH_TIMEOUT_MARGIN_MS 700
 
-/* A connection to the store that is silent for so long is given up, a keep-alive probe
- * included: a second before the platform takes for granted that a box is in touch again. It
- * notices a cut without any call that the store would count, long before a question that waits. */
+/* A connection to the store is closed if it is silent for this long, including a keep-alive probe.
+ * That is one second before the platform assumes that a box is reachable again. Probes detect a
+ * network fault long before a pending watch times out, and without calls that count against the
+ * store. */
 #define CONNECTION_SILENCE_MS 2000
 
-/* A question asked less long ago may still be on its way. */
+/* A younger request is not restarted: it may still be on its way. */
 #define RESTART_MIN_AGE_MS 300
 
-/* A watch without a change is answered when its wait is over, a listing at once; an answer that
- * comes so much later shows that the store was silent, and that endpoints could not tell it that
- * they live. */
+/* A watch without a change is answered when its waiting time ends, a listing immediately. An answer
+ * that is this much later shows that the store was unavailable, and that endpoints could not renew
+ * their entries. */
 #define OVERDUE_MS 400
 
-/* An answer that is due at once from a store that has not answered the last question: a
- * connection whose first packet was lost would try again only after a second. With each
- * time-out the next question has twice the time, up to ANSWER_SLACK_MS: a store that takes 500 ms
- * for an answer would not be read at all otherwise. */
+/* Timeout of an immediate answer if the store did not answer the last request: the kernel retries a
+ * connection whose first packet was lost only after a second. Each timeout doubles it, up to
+ * ANSWER_TIMEOUT_MS; otherwise a store that takes 500 ms for an answer could never be read. */
 #define FIRST_ANSWER_TIMEOUT_MS 300
 
-/* Waits between failed questions: the first soon, since most failures are one lost
- * connection; the longest a small part of the time in which a change must be in force. */
+/* Delays between failed requests. The first is short, since most failures are one lost connection;
+ * the longest is a small part of the time within which a change must be active. */
 #define RETRY_FIRST_MS 50
 #define RETRY_MAX_MS 400
 #define RETRY_FACTOR 2
 
-/* The same for a router that others of its hall come before: these see first that the store is
- * back, and tell. If all of a large fleet tried on, a store that is away would get thousands of
- * calls. */
+/* The same for a router that is not among the first of its hall: those detect first that the store
+ * is back, and forward its changes. If all routers of a large fleet kept retrying, an unreachable
+ * store would get thousands of calls. */
 #define HALL_RETRY_MAX_MS 2500
 #define HALL_RETRY_FACTOR 7
 
-/* Like ASH_STORE_LAPSE_MS where peers know of the store's return first, from when they tell of a
- * newer list: its first change is a heartbeat (300 ms) older at most. An endpoint that has left
- * must get nothing more 2 s after the store has said so, so there is less time than above; it is
- * enough for those that renew their entries every 1.2 s. */
+/* Like ASH_STORE_LAPSE_MS, but counted from the time at which peers report a newer list, if they
+ * notice the store's return first: the first change after it is at most a heartbeat (300 ms) older.
+ * An endpoint that has left must get no more requests 2 s after the store has removed it, so this
+ * is shorter than ASH_STORE_LAPSE_MS; it suffices for endpoints that renew their entries every 1.2
+ * s. */
 #define BEHIND_LAPSE_MS 1500
 
-/* From a whole listing to the first question for changes: by then a router that starts with many
- * others sees those of its hall that ask, and most need not ask at all. A router that has no link
- * by the first of the two times does not wait for others. */
+/* Delays between a complete listing and the first watch. After the second one, a router that starts
+ * together with many others is linked to those of its hall that poll the store, and most routers
+ * need not poll at all. A router without any link after the first one does not wait longer. */
 #define ISOLATED_WAIT_MS 150
 #define FIRST_WATCH_DELAY_MS 1000
 
-/* Without an answer for so long, the store is away: endpoints may have missed a heartbeat. */
+/* After this long without an answer the store counts as unavailable: endpoints may have missed a
+ * heartbeat to it. */
 #define OUTAGE_MS 800
 
-/* When all endpoints start, each adds its entry by itself, and each question has a price.
- * So after a few answers in a row that changed the list, what comes next is gathered for a
- * while: a fifth of the time in which a leaving endpoint must have been noticed. */
+/* When all endpoints start, each adds its own entry, and every request to the store has a cost. So
+ * after this many consecutive answers that changed the list, the next watch is delayed to collect
+ * changes. The delay is a fifth of the time within which a leaving endpoint must be noticed. */
 #define BURST_ANSWERS 3
 #define BURST_DELAY_MS 400
 
@@ -105,15 +107,15 @@
   set_timer (reader, ms);
 }
 
-/* Whether others of the hall try for this router too. One that has read nothing yet can't do with
- * what they have read. */
+/* Whether other routers of the hall retry for this one too. A router that has read nothing yet must
+ * retry itself. */
 static bool
 relies_on_hall (const struct ash_store_reader *reader)
 {
   return reader->position && !ash_fleet_first_of_hall (&reader->router->fleet);
 }
 
-/* How long a question that has failed rests. */
+/* @return the delay before a failed request is retried. */
 static int64_t
 retry_ms (const struct ash_store_reader *reader)
 {
@@ -122,7 +124,8 @@
   int64_t max_ms = relies ? HALL_RETRY_MAX_MS : RETRY_MAX_MS;
   int64_t wait_ms = RETRY_FIRST_MS;
 
-  /* One question at a time shows whether the store is back. */
+  /* Only the reader of the list keeps retrying: one request at a time shows whether the store is
+   * back. */
   if (relies && reader != list && list->failures > 1)
     return max_ms;
   for (uint32_t i = 1; i < reader->failures && wait_ms < max_ms; i++)
@@ -144,24 +147,26 @@
                    (long long) ash_time_diff (reader->last_answer, now));
   if (!reader->failures)
     reader->failing_since = now;
-  /* One connection that was cut says nothing of the list; a store that stays away does. */
+  /* A single lost connection does not make the list unreliable; a store that stays unreachable
+   * does. */
   if (ash_time_diff (reader->failing_since, now) > OUTAGE_MS)
     reader->last_outage = now;
-  /* A listing that broke off begins anew. */
+  /* An interrupted listing starts again. */
   if (reader->state == ASH_STORE_LISTING)
     reader->position = 0;
   *reader->page = '\0';
   reader->is_answering = false;
   reader->failures++;
   wait_ms = retry_ms (reader);
-  /* Half to one and a half times, so that routers that failed together spread. */
+  /* Random, 0.5 to 1.5 times the delay, so that routers that failed together don't retry
+   * together. */
   wait_ms = wait_ms / 2 + ash_random_below (&router->random, (uint32_t) wait_ms + 1);
   delay (reader, wait_ms);
 }
 
 static void send_request (struct ash_store_reader *reader);
 
-/* The list's reader has an answer: the other one need not wait longer. */
+/* The store answers again: the other reader retries immediately. */
 static void
 retry_other_readers (const struct ash_store_reader *reader)
 {
@@ -196,7 +201,8 @@
     retry_other_readers (reader);
 }
 
-/* Counts answers that changed the list, as long as they come close together. */
+/* Counts answers that changed the list, and starts again after a pause. @return whether there were
+ * several within a short time. */
 static bool
 is_burst (struct ash_store_reader *reader)
 {
@@ -219,8 +225,9 @@
   send_request (reader);
 }
 
-/* Its revisions were given out again since, so what was read up to one of them says nothing of what
- * is below it now: all of the other part is read anew too. */
+/* After a change of the era: the store has assigned the same revisions again, so what has been
+ * read up to a revision may differ from what it has now. Restarts the listings of the other
+ * parts too. */
 static void
 restart_other_listings (const struct ash_store_reader *reader)
 {
@@ -237,7 +244,7 @@
     }
 }
 
-/* Looks at the era that an answer is of. @return false if there is nothing more to take from it. */
+/* Checks the era of an answer. @return false: the answer must not be used. */
 static bool
 check_era (struct ash_store_reader *reader)
 {
@@ -259,7 +266,7 @@
     }
   if (first && !store->entries && !ash_router_version (reader->router))
     {
-      /* The first word from the store: nothing is known of another era. */
+      /* The first answer from the store: nothing is known from another era. */
       store->era = reader->era;
       return true;
     }
@@ -288,8 +295,8 @@
     return;
   if (reader->status == 410)
     {
-      /* The changes since then are gone: all is read anew. What is missing then was
-       * removed in between. */
+      /* The store no longer has all changes since the position: restarts the listing. Entries that
+       * it lacks were removed in between. */
       restart_listing (reader);
       return;
     }
@@ -304,7 +311,8 @@
   if (listing && answer.more)
     {
       memcpy (reader->page, answer.next_page, sizeof reader->page);
-      /* Pages are no snapshot: changes are watched from the first one on. */
+      /* The pages are not a snapshot: changes are watched from the position of the first page
+       * on. */
       if (!reader->position)
         reader->position = position;
       send_request (reader);
@@ -348,7 +356,8 @@
   struct ash_store_reader *reader = call->owner;
 
   ash_buffer_append (&reader->answer, bytes, length);
-  /* A long answer over a slow link is not silent: cut and asked again, it would come no sooner. */
+  /* The timeout restarts with each part of the answer: repeating a request over a slow link would
+   * not be faster. */
   set_timer (reader, ANSWER_TIMEOUT_MS);
 }
 
@@ -368,9 +377,9 @@
 
 static const struct ash_call_handler call_handler = { on_head, on_body, on_end };
 
-/* How long the store may hold a question. A watch that brings nothing can't be told from one whose
- * answer was lost, so a few routers ask often, for the whole fleet: if all waited for 20 s, one
- * lost answer at each would leave all of them behind for as long. */
+/* @return how long the store may wait with the answer to a watch. A watch without changes looks the
+ * same as one whose answer was lost, so a few routers poll often for the whole fleet: if all waited
+ * for 20 s, one lost answer at each would leave them all outdated for as long. */
 static uint32_t
 watch_wait_ms (const struct ash_store_reader *reader)
 {
@@ -383,7 +392,7 @@
   return wait_ms;
 }
 
-/* How long an answer that is due at once may take. */
+/* @return the timeout of a request that the store should answer immediately. */
 static int64_t
 answer_timeout_ms (const struct ash_store_reader *reader)
 {
@@ -396,8 +405,8 @@
   return timeout_ms < ANSWER_TIMEOUT_MS ? timeout_ms : ANSWER_TIMEOUT_MS;
 }
 
-/* Whether others ask for this part: all of it was read here once, and none of what they told since
- * was lost in a pause. */
+/* Whether this reader may leave polling to other routers: it has read everything once, and lost no
+ * forwarded changes in a suspension of the process. */
 static bool
 may_follow (const struct ash_store_reader *reader)
 {
@@ -411,12 +420,12 @@
   struct ash_router *router = reader->router;
   const struct ash_router_settings *settings = &router->settings;
   struct ash_buffer request = { 0 };
-  /* A reader with trouble behind it asks for little at first: it learns sooner whether
-   * the store is back. */
+  /* After a failure the first watch has no waiting time: its answer shows sooner whether the store
+   * is back. */
   uint32_t wait_ms = watch_wait_ms (reader);
   int64_t timeout_ms = answer_timeout_ms (reader);
 
-  /* A place of a former era is none in this one. */
+  /* A position of an older era is not valid in this one. */
   if (ash_place_era (reader->position) < router->store.era)
     {
       reader->position = 0;
@@ -465,7 +474,8 @@
   ash_buffer_finish (&request);
 }
 
-/* Whether the store said nothing at all since the answer was due: not even to another reader. */
+/* Whether the store has sent no valid answer, not even to another reader, since the answer was
+ * due. */
 static bool
 was_silent (const struct ash_store_reader *reader)
 {
@@ -479,8 +489,9 @@
   return true;
 }
 
-/* Entries may have lapsed meanwhile, and may be all that it tells when it is back, whichever
- * question shows the silence. */
+/* Records that the store has been unavailable since then. Entries may have expired meanwhile,
+ * and the list may lack them when the store is back, whichever request shows that it was
+ * unavailable. */
 static void
 record_outage (struct ash_store *store, struct ash_time since)
 {
@@ -510,18 +521,19 @@
   ash_http_call_cancel (&reader->call);
   if (was_silent (reader))
     record_outage (&reader->router->store, reader->overdue_at);
-  /* What ends the watch of a reader that was well says nothing of how slow the store is. */
+  /* The timeout of a watch, after the last request was answered, does not show that the store is
+   * slow. */
   if (!reader->is_answering)
     reader->timeouts++;
   reader->distrust_idle = true;
   handle_failure (reader, "no answer in time");
-  /* What keeps one question from being answered may keep the other one too. */
+  /* The fault that blocks one request may block the other reader's too. */
   for (int part = 0; part < ASH_STORE_PARTS; part++)
     ash_store_restart_watch (&reader->router->store, (enum ash_store_part) part,
                              "the other one is silent");
 }
 
-/* ---- life ---- */
+/* ---- start and end ---- */
 
 bool
 ash_store_open (struct ash_store *store, struct ash_router *router)
@@ -589,8 +601,8 @@
 {
   struct ash_store_reader *reader = &store->readers[part];
 
-  /* Only a watch may wait; whatever else is under way has a short bound of its own, and so has an
-   * answer that has begun to come. */
+  /* Only a watch waits for long: all other requests have a short timeout, and so has an answer that
+   * has begun to arrive. */
   if (reader->state != ASH_STORE_WATCHING || !reader->is_answering || reader->status ||
       ash_time_diff (reader->requested_at, ash_clock_now ()) < RESTART_MIN_AGE_MS)
     return;
@@ -599,7 +611,7 @@
   handle_failure (reader, why);
 }
 
-/* Whether a question that is asked now ends before the one under way may. */
+/* Whether a new watch would end before the current one may. */
 static bool
 would_finish_sooner (const struct ash_store_reader *reader, struct ash_time now)
 {
@@ -609,9 +621,10 @@
          left_ms > reader->router->settings.short_wait_ms && left_ms > watch_wait_ms (reader);
 }
 
-/* Those that asked for this router are gone or can't. What they told was whole up to its
- * revision. Why they stopped is not known: in a silence of the store that this router has not seen
- * itself entries may have lapsed though their endpoints live. */
+/* The routers that polled the store for this one have disappeared or can't reach it. What they
+ * forwarded is complete up to the list's revision. Why they stopped is not known: while the
+ * store was unavailable, unnoticed by this router, entries may have expired although their
+ * endpoints run. */
 static void
 stop_following (struct ash_store_reader *reader)
 {
--- a/daemon/store.h
+++ b/daemon/store.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * What the router reads from the platform's store: the configuration and the list
- * of endpoints. Each is read whole once and then watched for changes; nothing is
- * ever written. While the store does not answer, peers may give what they have.
+ * Reads the configuration and the list of endpoints from the platform's store. Each is read
+ * completely once and then watched for changes; nothing is ever written. While the store does not
+ * answer, peers may supply what they have.
  */
 #ifndef ASH_STORE_H
 #define ASH_STORE_H
@@ -18,16 +18,16 @@
 
 struct ash_router;
 
-/** Parts that are read, each on its own. */
+/** Parts of the store that are read, each by its own reader. */
 #define ASH_STORE_PARTS 2
 
 /** What a reader is doing. */
 enum ash_store_state
 {
-  ASH_STORE_DELAYED,   /**< until its timer */
-  ASH_STORE_LISTING,   /**< all items are being read */
-  ASH_STORE_WATCHING,  /**< the next change is awaited */
-  ASH_STORE_FOLLOWING, /**< others of the hall ask, and tell what is new */
+  ASH_STORE_DELAYED,   /**< no request is active; the next one is sent when the timer expires */
+  ASH_STORE_LISTING,   /**< a page of the complete contents has been requested */
+  ASH_STORE_WATCHING,  /**< a long poll waits for the next change */
+  ASH_STORE_FOLLOWING, /**< other routers of the hall poll the store and forward changes */
 };
 
 /** Reads one part. */
@@ -39,42 +39,44 @@
   struct ash_http_call call;
   struct ash_buffer answer;
   uint16_t status;
-  enum ash_store_era era_status; /**< what the answer says of the store's era */
+  enum ash_store_era era_status; /**< whether the answer has an era, and a valid one */
   uint64_t era;
-  uint64_t position;            /**< where the watch goes on; 0: all must be read first */
-  char page[256];               /**< of the listing; empty: the first */
-  uint32_t listing_id;          /**< number of the listing under way, to see what it misses */
-  struct ash_time requested_at; /**< when the question that is under way was */
-  uint32_t wait_ms;             /**< how long the store may hold it */
-  struct ash_time overdue_at;   /**< a later answer shows that the store was silent */
-  struct ash_time last_answer;  /**< the last sound answer */
+  uint64_t position; /**< store position after which the watch continues; 0: everything must be read
+                        first */
+  char page[256];    /**< token of the next page of a listing; empty: the first page */
+  uint32_t listing_id;          /**< counts listings, to find entries that the current one lacks */
+  struct ash_time requested_at; /**< when the current request was sent */
+  uint32_t wait_ms;             /**< how long the store may wait with its answer */
+  struct ash_time overdue_at; /**< an answer after this time shows that the store was unavailable */
+  struct ash_time last_answer; /**< when the last valid answer came */
   struct ash_time failing_since;
-  struct ash_time last_outage; /**< when the store was last known to be away */
-  bool is_answering;           /**< the last question was answered */
+  struct ash_time last_outage; /**< when the store was last known to be unavailable */
+  bool is_answering;           /**< the last request was answered */
   bool list_changed;           /**< the last answer changed the list of endpoints */
   struct ash_time list_changed_at;
-  uint32_t burst;     /**< answers that changed it, close together */
-  uint32_t failures;  /**< in a row */
-  uint32_t timeouts;  /**< among them: answers due at once that did not come in time */
-  bool just_listed;   /**< all has just been read; the first question for changes is to come */
-  bool was_suspended; /**< this process was stopped: what others told meanwhile is lost */
-  bool distrust_idle; /**< the last question was given up: kept connections may be as silent */
+  uint32_t burst;    /**< consecutive answers that changed the list, close together */
+  uint32_t failures; /**< consecutive failed requests */
+  uint32_t timeouts; /**< consecutive failed requests whose immediate answer did not come in time */
+  bool just_listed;  /**< everything has just been read; the first watch is yet to start */
+  bool was_suspended; /**< the process was suspended: changes that peers sent meanwhile are lost */
+  bool distrust_idle; /**< the last request timed out: idle connections may be dead too and are not
+                         used */
   ev_timer timer;
 };
 
-/** An entry of the list as it stands in the store, for peers. */
+/** An entry of the list of endpoints as the store has it, kept for peers. */
 struct ash_store_entry
 {
   char id[ASH_DIRECT_NAME_BYTES];
   uint8_t *value;
   size_t value_bytes;
-  uint64_t digest;     /**< of what it says */
-  uint64_t position;   /**< in the store's history, up to which this is known to hold */
-  uint32_t listing_id; /**< the last one read from the store that had it */
+  uint64_t digest;     /**< of its contents */
+  uint64_t position;   /**< store position up to which the entry is known to be current */
+  uint32_t listing_id; /**< the last listing that had this entry */
   UT_hash_handle hh;
 };
 
-/** What an answer has changed, for those that follow. */
+/** The ids that an answer has changed, for the routers that follow this one. */
 struct ash_store_changes
 {
   char (*ids)[ASH_DIRECT_NAME_BYTES];
@@ -82,60 +84,71 @@
   uint32_t capacity;
 };
 
-/** The store as this router sees it. */
+/** The router's view of the store. */
 struct ash_store
 {
   struct ash_router *router;
   struct ash_http_pool pool;
   struct ash_store_reader readers[ASH_STORE_PARTS];
   struct ash_store_entry *entries;
-  uint64_t digest; /**< of all entries: the same for the same ones, in whatever order */
-  uint64_t era;    /**< of what is known here: see controllers/place.h */
+  uint64_t digest; /**< of all entries, independent of their order */
+  uint64_t era;    /**< the store's era, which rises when it is restored from an older copy */
   struct ash_departed departed;
   struct ash_store_changes changes;
-  uint64_t calls;                  /**< questions asked */
-  struct ash_time uncertain_until; /**< what is missing may have lapsed, as far as peers tell */
+  uint64_t calls;                  /**< requests sent */
+  struct ash_time uncertain_until; /**< until then entries may be missing only because they expired
+                                      by mistake */
 };
 
-/** Starts reading. @return false if the address is none. */
+/** Starts reading. @return false: the store's address is invalid. */
 bool ash_store_open (struct ash_store *store, struct ash_router *router);
 
 void ash_store_close (struct ash_store *store);
 
-/** @return whether the store answers questions for that part, as far as this router knows. */
+/** @return whether the store answered the last request for that part. */
 bool ash_store_is_answering (const struct ash_store *store, enum ash_store_part part);
 
-/** @return whether what is new is to be awaited from the store itself: it answers and is asked. */
+/**
+ * @return whether this router gets changes of that part directly from the store: it polls the
+ * store, and the store answers.
+ */
 bool ash_store_is_polled (const struct ash_store *store, enum ash_store_part part);
 
-/** @return whether others of the hall ask for that part, and tell what is new. */
+/** @return whether other routers of the hall poll the store for that part and forward changes. */
 bool ash_store_is_followed (const struct ash_store *store, enum ash_store_part part);
 
 /**
- * Something else shows that the question that waits for that part's next change is silent: it
- * is given up and asked anew, for an answer at once.
+ * Restarts the watch of a part with an immediate answer, after another sign that the watch is dead.
+ * @param why for the log.
  */
 void ash_store_restart_watch (struct ash_store *store, enum ash_store_part part, const char *why);
 
 /**
- * Peers have had a newer list since then, which did not come here. What it lacks may have lapsed in
- * a silence of the store that this process has not noticed, and is used on for a short while.
+ * Peers have had a newer list of endpoints than this router since @p since. Entries that it lacks
+ * may have expired while the store was unavailable, which this process did not notice. Their
+ * endpoints stay in use for a short time.
  */
 void ash_store_expect_lapses (struct ash_store *store, struct ash_time since);
 
-/** Time goes on: who asks often from now on does not wait for a question that may take long. */
+/**
+ * Runs the timers: starts to poll if this router has become a reader, and replaces a watch that
+ * waits longer than it now should.
+ */
 void ash_store_tick (struct ash_store *store, struct ash_time now);
 
-/** The process was paused: what is under way is asked anew. */
+/** After a suspension of this process: restarts the current requests. */
 void ash_store_resume (struct ash_store *store);
 
-/** Fills a list for a peer; its arrays are freed by ash_store_list_free(). */
+/**
+ * Fills a list for a peer; ash_store_list_free() frees its arrays. @return false: out of memory.
+ */
 bool ash_store_fill_list (const struct ash_store *store, struct Ash__EndpointList *list);
 void ash_store_list_free (struct Ash__EndpointList *list);
 
 /**
- * Takes a peer's list, or its changes, if it is newer than what is known here.
- * @return false if there are changes before these that did not come: the whole list is needed.
+ * Applies a peer's list, or its changes, if it is newer than the list here.
+ * @param source the peer's box, for the log.
+ * @return false: changes before these are missing, and the complete list is needed.
  */
 bool ash_store_apply_list (struct ash_store *store,
                            const struct Ash__EndpointList *list,
--- a/daemon/store_list.c
+++ b/daemon/store_list.c
@@ -22,14 +22,15 @@
                  source);
 }
 
-/* Any odd number with bits all over will do. A complement instead would cancel out, since digests
- * are combined by XOR: two endpoints that leave would change nothing. */
+/* Multiplies the digest of a draining endpoint: an odd number with bits in all positions.
+ * Complementing the digest instead would cancel out, since digests are combined by XOR: two
+ * draining endpoints would change nothing. */
 #define DRAINING_FACTOR UINT64_C (0x9e3779b97f4a7c15)
 
-/* Of an empty list. Not 0, which peers tell that know of no digests. */
+/* Digest of an empty list. Not 0, which peers send that don't support digests. */
 #define EMPTY_LIST_DIGEST 1
 
-/* Of what counts for use: which endpoint, and whether it is leaving. */
+/* @return a digest of what matters for using the endpoint: its id, and whether it is draining. */
 static uint64_t
 digest_of (const struct ash_direct_facts *facts)
 {
@@ -47,8 +48,8 @@
   return entry;
 }
 
-/* The store here and peers may tell of the same entry in any order: an older word does not
- * undo a newer one. */
+/* Whether the entry is newer than an update at this store position. Updates come from the store and
+ * from peers in any order, and an older one must not replace a newer one. */
 static bool
 is_outdated (const struct ash_store_entry *entry, uint64_t position)
 {
@@ -72,7 +73,7 @@
       snprintf (entry->id, sizeof entry->id, "%s", item->name);
       HASH_ADD_STR (store->entries, id, entry);
     }
-  /* The item's value may be the entry's own. */
+  /* item->value may be the entry's own value, so it is copied before the entry's is freed. */
   value = malloc (item->value_bytes + 1);
   if (value)
     memcpy (value, item->value, item->value_bytes);
@@ -94,7 +95,7 @@
   free (entry);
 }
 
-/* Until when an endpoint that is missing now may just have lapsed. */
+/* @return until when a missing entry may only have expired while the store was unavailable. */
 static struct ash_time
 uncertain_until (const struct ash_store *store)
 {
@@ -105,9 +106,9 @@
                                                                : lapse_until;
 }
 
-/* An entry is missing. Whether the endpoint is gone depends on whether the store was
- * sound: while it is away entries lapse although their endpoints live. The id may be
- * the entry's own, so the entry goes last. */
+/* Removes a missing entry. Its endpoint is removed too if the store has been available all the
+ * time; otherwise the entry may have expired although the endpoint runs. `id` may point into the
+ * entry, which is therefore freed last. */
 static void
 remove_endpoint (struct ash_store *store, const char *id, const char *source)
 {
@@ -132,8 +133,8 @@
     remove_entry (store, entry);
 }
 
-/* An entry of another writer, or one that was spoiled, names no endpoint to use. What stood there
- * before gets nothing new, and the others hold. */
+/* Removes an entry that can't be read, since another program wrote it or it is corrupt. The
+ * endpoint that had the id gets no new requests; other endpoints are not affected. */
 static void
 remove_unusable (struct ash_store *store,
                  const struct ash_store_item *item,
@@ -153,8 +154,8 @@
     remove_entry (store, entry);
 }
 
-/* One that says it is leaving is remembered, and so is one that is missing: a store that comes back
- * from an older copy lists both as if they stood ready. Such a one gets nothing new for now. */
+/* Remembers endpoints that report to be leaving. A store that is restored from an older copy lists
+ * these, and those that have left, as ready. Such an endpoint is treated as draining for now. */
 static void
 record_departure (struct ash_store *store, struct ash_direct_facts *facts)
 {
@@ -210,7 +211,7 @@
       remove_endpoint (store, entry->id, "store");
 }
 
-/* Notes that the listing under way has it. */
+/* Marks an entry as contained in the current listing. */
 static void
 mark_listed (struct ash_store_reader *reader, const char *id)
 {
@@ -220,7 +221,7 @@
     entry->listing_id = reader->listing_id;
 }
 
-/* ---- what is told to those that follow ---- */
+/* ---- changes for the routers that follow ---- */
 
 static void
 record_change (struct ash_store_changes *changes, const char *id)
@@ -230,7 +231,7 @@
       uint32_t capacity = 2 * changes->capacity + 16;
       char (*ids)[ASH_DIRECT_NAME_BYTES] = realloc (changes->ids, capacity * sizeof *ids);
 
-      /* Those that follow see by heartbeats that they lack something. */
+      /* The routers that follow find out by heartbeats that they lack a change. */
       if (!ids)
         return;
       changes->ids = ids;
@@ -239,7 +240,7 @@
   snprintf (changes->ids[changes->count++], sizeof changes->ids[0], "%s", id);
 }
 
-/* How long what is missing may still just have lapsed. */
+/* @return for how many ms more a missing entry may only have expired. */
 static uint32_t
 uncertain_ms (const struct ash_store *store)
 {
@@ -288,7 +289,7 @@
   ash_store_list_free (&list);
 }
 
-/* ---- answers of the store ---- */
+/* ---- the store's answers ---- */
 
 void
 ash_store_list_item (struct ash_store_reader *reader,
@@ -316,7 +317,8 @@
     store->readers[part].last_outage = ash_clock_now ();
 }
 
-/* Those that an older copy has listed for so long that they must live. */
+/* Applies the entries of endpoints that a restored store has listed for so long that they must be
+ * running. */
 void
 ash_store_list_tick (struct ash_store *store, struct ash_time now)
 {
@@ -387,7 +389,7 @@
   free (list->values);
 }
 
-/* The peer that told knows of a silence of the store. */
+/* Applies a peer's report that missing entries may only have expired, for `ms` more. */
 static void
 extend_uncertainty (struct ash_store *store, uint32_t ms)
 {
@@ -398,7 +400,8 @@
     store->uncertain_until = until;
 }
 
-/* What a peer's list did not have and the store here has not told since. */
+/* Removes the entries that a peer's list lacks, unless the store has reported them here at a later
+ * position. */
 static void
 remove_older (struct ash_store *store, uint64_t position, const char *source)
 {
--- a/daemon/store_list.h
+++ b/daemon/store_list.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * The list of endpoints as the store and peers tell it: the part of the router's store (store.h)
- * that keeps entries, decides which endpoints they make, and tells peers. It asks nothing itself;
- * store.c does, and calls this.
+ * The list of endpoints, as the store and peers supply it: the part of the router's view of the
+ * store (store.h) that keeps entries, derives endpoints from them, and forwards changes to peers.
+ * It sends no requests to the store; store.c does, and calls these functions.
  */
 #ifndef ASH_STORE_LIST_H
 #define ASH_STORE_LIST_H
@@ -10,8 +10,8 @@
 #include "daemon/store.h"
 
 /**
- * So long after the store's return an entry that is missing may just have lapsed: endpoints
- * that live are back in the list within two seconds.
+ * For this long after the store has come back, in ms, a missing entry may only have expired while
+ * the store was unavailable: running endpoints renew their entries within 2 s.
  */
 #define ASH_STORE_LAPSE_MS 2300
 
@@ -19,25 +19,35 @@
 
 void ash_store_list_finish (struct ash_store *store);
 
-/** Takes an item of an answer of the store. @param place of it, see controllers/place.h. */
+/** Applies an item of the store's answer. @param position the store position of the item. */
 void ash_store_list_item (struct ash_store_reader *reader,
                           const struct ash_store_item *item,
                           uint64_t position);
 
-/** What a whole listing did not have is missing, as far as no peer had it later. @param place of
- * the listing's first page. */
+/**
+ * Removes the entries that a complete listing lacked, unless a peer has reported them at a later
+ * position.
+ * @param position the store position of the listing's first page.
+ */
 void ash_store_list_remove_unlisted (struct ash_store_reader *reader, uint64_t position);
 
-/** What the store has just said goes to the own hall at once. @param since the place before.
- * @param place up to which it has said it: the list may be newer here, through a peer. */
+/**
+ * Sends the changes in the store's last answer to the own hall immediately.
+ * @param since the store position before the answer.
+ * @param position the store position of the answer. The list here may be newer, through a peer.
+ */
 void ash_store_list_publish (struct ash_store *store, uint64_t since, uint64_t position);
 
-/** Time goes on. */
+/**
+ * Runs the timers: uses endpoints again that had left, according to a newer copy of the store, but
+ * have long been listed since.
+ */
 void ash_store_list_tick (struct ash_store *store, struct ash_time now);
 
 /**
- * The store has come back from an older copy, as an answer or a peer tells. What it lacks endpoints
- * write again within two seconds, so what is missing until then may live.
+ * Records that the store has been restored from an older copy, as an answer or a peer reports.
+ * Endpoints write again within 2 s what the copy lacks; until then, missing ones may be running.
+ * @param source who reported it, for the log.
  */
 void ash_store_begin_era (struct ash_store *store, uint64_t era, const char *source);
 
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -6,17 +6,18 @@
 #include <stdlib.h>
 #include <utlist.h>
 
-/* A machine whose process has ended refuses a connection within a round trip: a few milliseconds in
- * a region, some 40 to another one. Nothing at all says nothing. */
+/* Timeout of a probe. A machine whose process has ended refuses connections within a round trip: a
+ * few milliseconds within a region, some 40 to another region. If a probe gets no reaction at all,
+ * it shows nothing. */
 #define PROBE_TIMEOUT_MS 100
 
 #define MS_PER_S 1000.0
 
-/* A router that comes is told of so many requests by each peer: the newest, since such a request
- * comes again within seconds. */
+/* Upper limit of requests in the evidence for a newly linked peer: the newest ones, since callers
+ * resubmit such a request within seconds. */
 #define SEND_NEW_MAX 32
 
-/* A connection to an endpoint, made to see whether anything listens there. */
+/* A connection to an endpoint, made to find out whether anything accepts it. */
 struct ash_suspect_probe
 {
   struct ash_suspects *suspects;
@@ -29,7 +30,7 @@
   struct ash_suspect_probe *next;
 };
 
-/* ---- telling peers ---- */
+/* ---- sending to peers ---- */
 
 static struct Ash__SuspectRun
 message_of (const struct ash_quarantine_run *run, struct ash_time now)
@@ -45,7 +46,7 @@
   return message;
 }
 
-/* @param box NULL: all peers that there are links to. */
+/* @param box NULL: all linked peers. */
 static void
 send_runs (struct ash_suspects *suspects,
            const char *box,
@@ -94,7 +95,7 @@
   return ash_quarantine_left_ms (&suspects->quarantine, request, now);
 }
 
-/* Says so if the request is kept away since this run. */
+/* Logs and reports it if this run has made the request quarantined. */
 static void
 report_quarantine (struct ash_suspects *suspects,
                    const struct ash_quarantine_run *run,
@@ -146,7 +147,7 @@
   handle_endpoint_end (suspects, endpoint, ASH_QUARANTINE_REBORN);
 }
 
-/* @return whether it was suspected. */
+/* @return whether the request was suspected. */
 static bool
 clear_suspect (struct ash_suspects *suspects, struct ash_id request, const char *source)
 {
@@ -198,7 +199,7 @@
     }
 }
 
-/* ---- asking ---- */
+/* ---- probes ---- */
 
 static void
 free_probe (struct ash_suspect_probe *probe)
@@ -236,7 +237,7 @@
   finish_probe (stream->owner, end == ASH_STREAM_NO_CONNECT && stream->refused);
 }
 
-/* The connection is up: something listens. */
+/* The connection has been established: the endpoint still runs. */
 static void
 on_probe_drained (struct ash_stream *stream)
 {
@@ -268,7 +269,8 @@
   probe->endpoint = endpoint;
   probe->open = ash_stream_connect (&probe->stream, loop, address, &probe_handler, probe);
   probe->refused = !probe->open && errno == ECONNREFUSED;
-  /* One that could not be begun ends when the loop comes round: its owner is at work now. */
+  /* A probe that failed to start ends in the next iteration of the event loop, since its caller is
+   * not ready for the result. */
   ev_timer_init (&probe->timer, on_probe_timer, probe->open ? PROBE_TIMEOUT_MS / MS_PER_S : 0, 0);
   probe->timer.data = probe;
   ev_timer_start (loop, &probe->timer);
@@ -289,7 +291,7 @@
   start_probe (suspects, run->endpoint, address);
 }
 
-/* ---- life ---- */
+/* ---- start and end ---- */
 
 void
 ash_suspects_open (struct ash_suspects *suspects,
--- a/daemon/suspects.h
+++ b/daemon/suspects.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * Requests under which endpoints end, as a task: when the connection to an endpoint ends under a
- * request, asks whether anything still listens there, keeps what that shows
- * (controllers/quarantine) and shares it with all peers, since such a request comes again at any of
- * them.
+ * Finds requests that terminate the processes of endpoints. When the connection to an endpoint
+ * closes during a request, it probes whether the endpoint still accepts connections, records the
+ * result as evidence (controllers/quarantine) and sends it to all peers, since callers resubmit
+ * such a request to any router.
  */
 #ifndef ASH_SUSPECTS_H
 #define ASH_SUSPECTS_H
@@ -18,24 +18,25 @@
 struct ash_router;
 struct ash_suspect_probe;
 
-/** What the task tells those that have requests under way. */
+/** Notifications to the owner of the requests in progress. */
 struct ash_suspects_handler
 {
-  /** An endpoint was asked whether it still stands: what waited for that may go on. */
+  /** An endpoint has been probed: requests that waited for the result may continue. */
   void (*probed) (struct ash_router *router, uint64_t endpoint);
-  /** From now on this request is kept away from endpoints. */
+  /** The request is quarantined from now on: no endpoint may get it. */
   void (*quarantined) (struct ash_router *router, struct ash_id request);
 };
 
-/** The task. */
+/** State of the search for requests that terminate endpoints. */
 struct ash_suspects
 {
   struct ash_router *router;
   const struct ash_suspects_handler *handler;
   struct ash_quarantine quarantine;
   struct ash_suspect_probe *probes;
-  uint64_t ended;       /**< endpoints that this router saw ending under requests */
-  uint64_t quarantined; /**< requests that were, as known here */
+  uint64_t ended; /**< endpoint processes that this router found to have ended during requests */
+  uint64_t
+      quarantined; /**< times that this router found or learned that a request is quarantined */
 };
 
 void ash_suspects_open (struct ash_suspects *suspects,
@@ -44,31 +45,34 @@
 
 void ash_suspects_close (struct ash_suspects *suspects);
 
-/** Time goes on. */
+/** Runs the timers: removes old evidence. */
 void ash_suspects_tick (struct ash_suspects *suspects, struct ash_time now);
 
-/** A connection ended under a run: the endpoint is asked whether it still stands. */
+/**
+ * A connection to an endpoint closed while it ran a request: probes whether the endpoint still
+ * accepts connections.
+ */
 void ash_suspects_record_disconnect (struct ash_suspects *suspects,
                                      const struct sockaddr_in *address,
                                      const struct ash_quarantine_run *run);
 
-/** @return how long the request is kept away from endpoints; 0: it is not. */
+/** @return how many ms the request stays quarantined; 0: it is not. */
 int64_t ash_suspects_left_ms (const struct ash_suspects *suspects,
                               struct ash_id request,
                               struct ash_time now);
 
-/** The list tells of a new life of an endpoint. */
+/** The list of endpoints has a new incarnation of an endpoint: its previous process has ended. */
 void ash_suspects_record_restart (struct ash_suspects *suspects, uint64_t endpoint);
 
-/** The request got a whole answer. */
+/** The request got a complete answer: it is no longer suspected. */
 void ash_suspects_record_success (struct ash_suspects *suspects, struct ash_id request);
 
-/** A peer tells what it has seen. */
+/** Applies the evidence that a peer has sent. */
 void ash_suspects_receive (struct ash_suspects *suspects,
                            const char *peer,
                            const struct Ash__SuspectRuns *message);
 
-/** The link to a peer has come up: it is told of what is known. */
+/** Sends the newest evidence to a peer whose link has just been established. */
 void ash_suspects_send (struct ash_suspects *suspects, const char *box);
 
 #endif
