--- a/daemon/exchange.h
+++ b/daemon/exchange.h
@@ -29,10 +29,10 @@
 {
   uint16_t status;
   bool not_run;         /**< the endpoint guarantees that it did not run the request */
-  bool invalid;         /**< malformed or unauthenticated; it is discarded */
-  bool is_event_stream; /**< a stream of events, which another endpoint can resume */
+  bool invalid;         /**< the answer is malformed or unauthenticated and is discarded */
+  bool is_event_stream; /**< the answer is a stream of events, which another endpoint can resume */
   uint64_t length;      /**< Content-Length of an answer to HEAD, which has no body */
-  bool passthrough;     /**< too large to buffer: the body is passed on as it arrives */
+  bool passthrough; /**< the answer is too large to buffer: its body is passed on as it arrives */
   struct ash_buffer fields;
   struct ash_buffer body;
 };
@@ -48,10 +48,11 @@
   const struct ash_route_account *account;
   struct ash_request_facts facts;
   struct ash_forward forward;
-  struct ash_direct_endpoint *endpoint; /**< the request is in flight there; NULL: nowhere */
-  struct ash_time sent_at;              /**< when the request was last sent to an endpoint */
-  struct ash_time last_received;    /**< when data last came from the endpoint; at first sent_at */
-  struct ash_time idle_valid_since; /**< idle connections may be used if data came since */
+  struct ash_direct_endpoint
+      *endpoint;                 /**< the endpoint at which the request is in flight; NULL: none */
+  struct ash_time sent_at;       /**< when the request was last sent to an endpoint */
+  struct ash_time last_received; /**< when data last came from the endpoint; initially sent_at */
+  struct ash_time idle_valid_since; /**< idle connections may be reused if data came since then */
   struct ash_exchange_answer answer;
   struct ash_event_stream event_stream;
   bool has_event;
@@ -106,7 +107,7 @@
  */
 bool ash_exchange_check_silence (struct ash_exchange *exchange, struct ash_time now);
 
-/** Closes the endpoint's idle connections that may be dead, after it has been silent for long. */
+/** After a long silence of the endpoint: closes idle connections to it, which may be dead too. */
 void ash_exchange_close_idle_connections (struct ash_exchange *exchange, struct ash_time now);
 
 /** Records evidence about an endpoint that has not answered before the request's deadline. */
@@ -132,7 +133,8 @@
 /* ---- exchange_end.c: ending an exchange ---- */
 
 /**
- * Sets whether the exchange waits for a free slot, and updates the router's count of waiting ones.
+ * Sets whether the exchange waits for a free slot, and updates the router's count of waiting
+ * exchanges.
  */
 void ash_exchange_set_waiting (struct ash_exchange *exchange, bool waiting);
 
@@ -145,7 +147,7 @@
  */
 const char *ash_request_log_id (const struct ash_request_facts *facts);
 
-/** @return the request id of an exchange, as ash_request_log_id() has it. */
+/** @return the request id of an exchange for log lines: see ash_request_log_id(). */
 const char *ash_exchange_id (const struct ash_exchange *exchange);
 
 /** @return ms since the request was received. */
@@ -175,7 +177,10 @@
 /** Frees the buffers of an answer and resets its state. */
 void ash_exchange_answer_clear (struct ash_exchange_answer *answer);
 
-/** Sends the status and header to the caller; the body follows as it arrives. */
+/**
+ * Sends the status and header of the endpoint's answer to the caller; the body follows as it
+ * arrives.
+ */
 void ash_exchange_answer_begin (struct ash_exchange *exchange);
 
 /** Handles the header of an answer. @return false: the answer belongs to another request. */
--- a/daemon/exchange_answer.c
+++ b/daemon/exchange_answer.c
@@ -83,13 +83,13 @@
                  router->waiting_count);
 }
 
-/* The pause between two events shows how long the endpoint's forward passes take. */
+/* Records the pause between two events, which shows how long the endpoint's forward passes take. */
 static void
 record_pause (struct ash_exchange *exchange)
 {
   int64_t pause_ms = ash_time_diff (exchange->event_sent_at, exchange->last_received);
 
-  /* Events that arrive together come from the same pass. */
+  /* Events that arrive together come from the same forward pass of the model. */
   if (pause_ms < 1)
     return;
   record_pass (exchange, pause_ms);
--- a/daemon/exchange_cut.c
+++ b/daemon/exchange_cut.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Connections to endpoints that close during an exchange, and requests that are quarantined because
- * endpoint processes ended while running them.
+ * Handles connections to endpoints that close during an exchange, and requests that are quarantined
+ * because endpoint processes ended while running them.
  */
 #include "daemon/exchange.h"
 
@@ -100,8 +100,8 @@
       ash_exchange_step (exchange);
 }
 
-/* Cancels the running copies of a request that has just been quarantined. A copy that is queued at
- * an endpoint or has just started there may not have ended the process yet. */
+/* Cancels the copies of a request that has just been quarantined. An endpoint where the copy is
+ * still queued or has just started may survive. */
 static void
 on_quarantined (struct ash_router *router, struct ash_id request)
 {
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -20,9 +20,9 @@
  * after 2 s, and ranks that depend on a lost endpoint stall for 1.5 s. */
 #define EVENT_PAUSE_MAX_MS 1650
 
-/* Once this fraction of the silence limit has passed, the exchange checks whether the endpoint's
- * kernel has acknowledged the request. If not, the connection is dead, rather than the endpoint
- * slow: half of SILENCE_MIN_MS includes two retransmissions. */
+/* Divisor of the silence limit: after that part of it the exchange checks whether the endpoint's
+ * kernel has acknowledged the request. If it has not after 450 ms (half of SILENCE_MIN_MS), which
+ * includes two retransmissions, the connection is dead rather than the endpoint slow. */
 #define ACK_CHECK_DIVISOR 2
 
 void
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Upper limit of routers that a heartbeat lists, from a random one on. */
+/* Upper limit of routers that a heartbeat lists, starting from a random router. */
 #define KNOWN_PEERS_MAX 64
 
 /* A new router gets the list of all routers from the seeds, and from about this many other routers
@@ -60,7 +60,7 @@
   snprintf (peer->hall, sizeof peer->hall, "%s", heartbeat->hall);
   peer->leaving = heartbeat->leaving;
   peer->version = heartbeat->revision;
-  /* It has discarded reports about endpoints that came before its list of endpoints. */
+  /* Until the peer had a list of endpoints, it discarded this router's reports about them. */
   peer->needs_full_report =
       peer->needs_full_report || (heartbeat->endpoints_revision && !peer->endpoints_revision);
   peer->endpoints_revision = heartbeat->endpoints_revision;
@@ -126,8 +126,8 @@
       ash_peer_sync_send_config (&router->peer_sync, peer->box);
       break;
     case ASH__EVENT__KIND_CONFIG_OFFER:
-      /* Several peers may have been asked for it: a document of a megabyte that is not newer is not
-       * parsed. */
+      /* Several peers may send the same configuration: a document of up to a megabyte is not parsed
+       * in vain. */
       if (event->config_offer->revision <= ash_router_version (router))
         break;
       ash_router_offer_config (router, (const char *) event->config_offer->document.data,
@@ -152,7 +152,7 @@
       ash_fleet_apply_terms (fleet, peer, event->endpoint_terms);
       break;
     default:
-      break; /* messages between roles that involve agents */
+      break; /* messages for the roles that use agents, ignored by routers */
     }
 }
 
@@ -351,16 +351,17 @@
   bool ready = ash_router_ready (fleet->router);
   bool answered = ash_store_is_answering (&fleet->router->store, ASH_STORE_SERVERS);
 
-  /* Whether callers may be sent here has changed: peers that get heartbeats seldom must know
+  /* This router has become ready or unready for callers: peers that get heartbeats seldom must know
    * now. */
   if (ready != fleet->ready_sent)
     ash_peers_beat (&fleet->links);
-  /* The routers of the own hall choose the store's readers by this. */
+  /* The routers of the own hall choose who reads the store by whether it answers each of them. */
   else if (answered != fleet->store_answered)
     ash_fleet_notify_hall (fleet);
   fleet->ready_sent = ready;
   fleet->store_answered = answered;
-  /* Done once per tick instead of at each query: with 400 routers it takes 1.4 to 2.0 ms. */
+  /* Readers are chosen once per tick instead of at each query: with 400 routers it takes 1.4 to 2.0
+   * ms. */
   ash_fleet_choose_readers (fleet);
 
   fleet->far_linked = 0;
@@ -417,6 +418,6 @@
 uint32_t
 ash_fleet_size (const struct ash_fleet *fleet)
 {
-  /* All known routers: an isolated one still uses its part of the limits. */
+  /* Counts all known routers: an isolated router still uses its part of the limits. */
   return HASH_COUNT (fleet->peers) + 1;
 }
--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -25,35 +25,36 @@
 struct ash_fleet_peer
 {
   char box[ASH_NAME_BYTES];
-  uint64_t hash; /**< of the box's name */
+  uint64_t hash; /**< hash of the box's name */
   char frontend[ASH_NAME_BYTES];
-  char address[ASH_NAME_BYTES]; /**< where it accepts links from peers */
+  char address[ASH_NAME_BYTES]; /**< address at which the peer accepts links */
   char hall[ASH_NAME_BYTES];
   bool linked;
   bool needs_peer_names;  /**< the link has just come up: the next heartbeat may list the other
                              routers */
-  bool needs_full_report; /**< it needs all loads of this router and the terms of all endpoints */
-  struct ash_time last_linked;   /**< when there last was a link to it */
-  struct ash_time last_received; /**< when its last message came */
-  bool changes_map;              /**< it is changing a map, as its last heartbeat says */
+  bool needs_full_report; /**< the peer must be sent all loads of this router and the terms of all
+                             endpoints */
+  struct ash_time last_linked;   /**< when the link to the peer was last up */
+  struct ash_time last_received; /**< when the peer's last message came */
+  bool changes_map; /**< the peer's last heartbeat reported that it is changing an expert map */
   bool leaving;
-  uint64_t version; /**< of its active configuration */
+  uint64_t version; /**< version of the peer's active configuration */
   uint64_t endpoints_revision;
-  uint64_t endpoints_digest; /**< of the contents of its list of endpoints */
-  bool reads_store;          /**< the store answers it */
-  uint32_t link_mbps;        /**< what its box can send; 0: not known */
+  uint64_t endpoints_digest; /**< digest of the peer's list of endpoints */
+  bool reads_store;          /**< the store answers the peer */
+  uint32_t link_mbps;        /**< what the peer's box can send, in Mbit/s; 0: not known */
   uint32_t load_count;
-  uint64_t *load_endpoints; /**< hashes of the endpoints that it last reported */
+  uint64_t *load_endpoints; /**< hashes of the endpoints in the peer's load reports */
   uint64_t *load_in_flight;
   UT_hash_handle hh;
 };
 
-/** Peers that are sent loads at the same time. */
+/** A set of peers that are sent load reports at the same time. */
 struct ash_fleet_audience
 {
   bool loads_changed;
   struct ash_time last_sent;
-  uint32_t delta_count; /**< messages with changes only since one with all loads */
+  uint32_t delta_count; /**< reports with changes only since the last one with all loads */
 };
 
 /** The other routers, and this router's role among them. */
@@ -65,12 +66,12 @@
   ev_timer report_timer;
   struct ash_fleet_audience audiences[ASH_DIRECT_AUDIENCES];
   uint32_t far_linked; /**< linked peers in other halls */
-  bool first_of_hall;  /**< one of the first few of its hall, which retry soon while the store is
-                          unreachable */
-  bool store_answered; /**< whether the store answers, as last reported to the hall */
-  bool ready_sent;     /**< as last reported to all peers */
+  bool first_of_hall;  /**< this router is one of the first few of its hall, which retry soon while
+                          the store is unreachable */
+  bool store_answered; /**< whether the store answers this router, as last reported to the hall */
+  bool ready_sent;     /**< whether callers may be sent here, as last reported to all peers */
   bool polls_often;    /**< this router polls the store at short intervals */
-  bool reads_store;    /**< it polls the store; else it follows the routers of its hall that do */
+  bool reads_store; /**< this router polls the store; else it follows those of its hall that do */
   bool opened;
 };
 
@@ -114,14 +115,14 @@
 void ash_fleet_notify_successors (struct ash_fleet *fleet);
 
 /**
- * @return whether this router polls the store at short intervals. A few routers do, spread over the
- * halls of those that are linked and that the store answers. They forward changes to the others.
+ * @return whether this router polls the store at short intervals. A few of the linked routers that
+ * the store answers do so, spread over the halls, and forward changes to the others.
  */
 bool ash_fleet_polls_often (const struct ash_fleet *fleet);
 
 /**
- * @return whether this router polls the store for changes. In a large hall a few routers do, of
- * those that are linked and that the store answers; they forward changes to the others.
+ * @return whether this router polls the store for changes. In a large hall only a few of the linked
+ * routers that the store answers do so, and forward changes to the others.
  */
 bool ash_fleet_reads_store (const struct ash_fleet *fleet);
 
@@ -141,8 +142,8 @@
 void ash_fleet_send_all (struct ash_fleet *fleet, const struct Ash__Event *event);
 
 /**
- * @return a random linked peer that has this revision or a newer one, preferably in the own hall;
- * NULL: there is none.
+ * @return a random linked peer that has this revision of a part of the store or a newer one,
+ * preferably in the own hall; NULL: there is none.
  */
 const struct ash_fleet_peer *
 ash_fleet_peer_with (struct ash_fleet *fleet, enum ash_store_part part, uint64_t revision);
--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -10,8 +10,9 @@
 #define MS_PER_S 1000.0
 #define MILLI 1000.0
 
-/* One in so many reports has the load of all endpoints, the others only changes. It corrects within
- * a second what a peer ignored because it did not know the endpoint yet. */
+/* One load report in this many contains all endpoints, the others only changes. A full report
+ * corrects, within a second, changes that a peer ignored because it did not know the endpoint
+ * yet. */
 #define FULL_REPORT_EVERY 20
 
 void
@@ -24,7 +25,7 @@
       struct ash_direct_endpoint *endpoint = ash_direct_find_hash (set, peer->load_endpoints[i]);
       uint32_t load = (uint32_t) peer->load_in_flight[i];
 
-      /* An endpoint that was added after the report does not include it. */
+      /* An endpoint that was added after the peer's report does not include the peer's load. */
       if (endpoint)
         endpoint->elsewhere -= load < endpoint->elsewhere ? load : endpoint->elsewhere;
     }
@@ -35,7 +36,8 @@
   peer->load_count = 0;
 }
 
-/* Applies the endpoints that the leader of the maps reports as slow. */
+/* Applies the paces of slow endpoints, as reported by the router that leads the changes of expert
+ * maps. */
 static void
 apply_slow (struct ash_fleet *fleet, const struct Ash__EndpointLoads *loads)
 {
@@ -67,7 +69,7 @@
   return true;
 }
 
-/* The arrays must have room for another endpoint. */
+/* Sets a peer's load at an endpoint. The peer's arrays must have room for another entry. */
 static void
 set_load (struct ash_fleet *fleet, struct ash_fleet_peer *peer, uint64_t hash, uint64_t in_flight)
 {
@@ -113,8 +115,8 @@
     set_load (fleet, peer, loads->endpoints[i], loads->in_flight[i]);
 }
 
-/* Only the leader, which measures paces itself, reports them: if routers forwarded reports, these
- * would never end. */
+/* Lists slow endpoints, only at the router that leads the changes of expert maps and measures their
+ * pace. If other routers forwarded its reports, slow endpoints would be reported forever. */
 static size_t
 list_slow (const struct ash_fleet *fleet,
            uint64_t slow[ASH_FLEET_SLOW_MAX],
@@ -166,8 +168,8 @@
   return is_near ? ASH_FLEET_NEAR : ASH_FLEET_FAR;
 }
 
-/* Sends all loads to peers that have just connected. The others get nothing, or each new router
- * would cause full reports among all. */
+/* Sends all loads to peers that have just connected. The other peers get nothing, or each new
+ * router would cause full reports among all routers. */
 static void
 send_full_reports (struct ash_fleet *fleet)
 {
@@ -240,7 +242,8 @@
       struct ash_fleet_audience *audience = &fleet->audiences[i];
       uint32_t due_ms = i == ASH_FLEET_FAR ? far_ms : period_ms;
 
-      /* Rounds to the nearest period of the timer. */
+      /* Rounds to the nearest period of the timer: half a period early is closer than half a period
+       * late. */
       if (!audience->loads_changed ||
           ash_time_diff (audience->last_sent, now) + period_ms / 2 < due_ms)
         continue;
--- a/daemon/fleet_loads.h
+++ b/daemon/fleet_loads.h
@@ -18,15 +18,17 @@
   ASH_FLEET_FAR,
 };
 
-/** @return the audience of a peer; a peer whose hall is not known yet counts as near. */
+/**
+ * @return the audience of a peer. A peer whose hall is not known yet counts as one of the own hall.
+ */
 int ash_fleet_audience_of (const struct ash_fleet *fleet, const struct ash_fleet_peer *peer);
 
-/** Starts the periodic reports. */
+/** Starts the periodic load reports. */
 void ash_fleet_start_load_reports (struct ash_fleet *fleet);
 
 void ash_fleet_stop_load_reports (struct ash_fleet *fleet);
 
-/** Applies a peer's report. */
+/** Applies a peer's load report. */
 void ash_fleet_apply_loads (struct ash_fleet *fleet,
                             struct ash_fleet_peer *peer,
                             const struct Ash__EndpointLoads *loads);
--- a/daemon/fleet_roles.c
+++ b/daemon/fleet_roles.c
@@ -10,8 +10,9 @@
  * a third is being stopped. */
 #define FREQUENT_READERS 3
 
-/* Routers of each hall that poll the store, for the same reason. If all routers of a large fleet
- * did, most calls to the store would report the same endpoint. */
+/* Routers of each hall that poll the store: one remains if another is lost while a third is being
+ * stopped. If all routers of a large fleet polled, most calls to the store would report the same
+ * endpoint. */
 #define HALL_READERS 3
 
 /* Routers that are kept informed of a map change so that they can continue it: one of them may be
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* Upper limit of endpoints in one message. */
+/* Upper limit of endpoints whose terms are sent in one message. */
 #define TERMS_MAX 64
 
 /* A router whose link has been down for this long no longer counts as a member. Links may break at
@@ -60,7 +60,7 @@
 
   for (struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints;
        endpoint && count < TERMS_MAX; endpoint = endpoint->hh.next)
-    /* A removed rate limit is sent too: the peer may have the old one. */
+    /* A removed rate limit is sent too: the peer may still have the old limit. */
     if (endpoint->limit.heard.ms || endpoint->said_leaving)
       messages[count++] = message_of (endpoint, now);
   send_terms (fleet, peer, messages, count);
@@ -103,7 +103,7 @@
   return true;
 }
 
-/* The endpoint asks only this router to back off: peers don't get it. */
+/* The endpoint asks only this router to back off, so peers are not notified. */
 static void
 apply_backoff (struct ash_fleet *fleet,
                struct ash_direct_endpoint *endpoint,
--- a/daemon/fleet_terms.h
+++ b/daemon/fleet_terms.h
@@ -23,7 +23,7 @@
                              const struct ash_endpoint_terms *terms,
                              struct ash_time requested_at);
 
-/** Applies terms that a peer forwards. */
+/** Applies terms of endpoints that a peer forwards. */
 void ash_fleet_apply_terms (struct ash_fleet *fleet,
                             const struct ash_fleet_peer *peer,
                             const struct Ash__EndpointTermsList *list);
--- a/daemon/peer_sync.c
+++ b/daemon/peer_sync.c
@@ -5,20 +5,21 @@
 #include <inttypes.h>
 #include <stdlib.h>
 
-/* The store reports a change to all routers within some 30 ms, and heartbeats report it at most one
- * period (300 ms) later. A router that still lacks the change this long after has a watch that is
- * dead. */
+/* How long this router may lack a configuration that peers have. The store reports a change to all
+ * routers within some 30 ms, and heartbeats report it at most one period (300 ms) later, so a
+ * router that lacks it longer has a dead watch. */
 #define CONFIG_LAG_MS 300
 
-/* The same for the list of endpoints, whose changes may be collected for 400 ms between two
- * watches. */
+/* How long this router may lack a change of the list of endpoints: as CONFIG_LAG_MS, plus the 400
+ * ms for which the store's readers may collect changes. */
 #define LIST_LAG_MS 700
 
-/* The same for a router that gets changes from others of its hall: changes arrive a few ms after
- * the store's answer, or after the 400 ms for which answers are collected. */
+/* How long a router that gets the list's changes from others of its hall may lack one: changes
+ * arrive a few ms after the store's answer to the others, or after the 400 ms for which they
+ * collect changes. */
 #define FOLLOWED_LAG_MS 500
 
-/* If a peer has not answered a request by then, another peer is asked. */
+/* After this long without an answer a request is sent to another peer. */
 #define REQUEST_PERIOD_MS 500
 
 void
@@ -100,7 +101,7 @@
                  peer ? peer->box : "-");
   if (peer)
     request_from_peer (router, part, peer->box);
-  ash_store_restart_watch (&router->store, part, "peers have something newer");
+  ash_store_restart_watch (&router->store, part, "peers have a newer revision");
 }
 
 void
--- a/daemon/peer_sync.h
+++ b/daemon/peer_sync.h
@@ -1,8 +1,8 @@
 /**
  * @file
  * Exchange between routers of what the store holds: the configuration and the list of endpoints. If
- * a router's own watches at the store bring nothing although peers have something newer, it
- * requests that from a peer and restarts its watch, which may be dead.
+ * a router gets no change from the store although peers have a newer version, it requests that
+ * version from a peer and restarts its watch at the store, which may be dead.
  */
 #ifndef ASH_PEER_SYNC_H
 #define ASH_PEER_SYNC_H
@@ -17,12 +17,13 @@
 /** Parts of the store that peers exchange: those that are read. */
 #define ASH_PEER_SYNC_PARTS 2
 
-/** What peers have reported to hold of the store's contents. */
+/** The newest revisions that peers have reported. */
 struct ash_peer_sync
 {
   struct ash_router *router;
   struct ash_peer_news news[ASH_PEER_SYNC_PARTS];
-  struct ash_time last_request[ASH_PEER_SYNC_PARTS]; /**< when a peer was last sent a request */
+  struct ash_time
+      last_request[ASH_PEER_SYNC_PARTS]; /**< when a peer was last sent a request for this part */
 };
 
 void ash_peer_sync_open (struct ash_peer_sync *peer_sync, struct ash_router *router);
@@ -32,7 +33,7 @@
                                 struct ash_time now,
                                 const struct ash_fleet_peer *peer);
 
-/** Runs the timers: requests from peers what has not come from the store. */
+/** Runs the timers: requests changes from a peer that the store has not delivered in time. */
 void ash_peer_sync_tick (struct ash_peer_sync *peer_sync, struct ash_time now);
 
 /** @return whether peers have a newer configuration than this router. */
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -73,8 +73,9 @@
     deny (conn, router, status, why);
 }
 
-/* @return how many requests an endpoint may have. A plain endpoint queues some requests beyond its
- * slots. An engine may get fewer than its slots, because its streams slow each other down. */
+/* @return how many requests an endpoint may have in flight. A plain endpoint queues some requests
+ * beyond its slots. An engine may get fewer than its slots, because its streams slow each other
+ * down. */
 static uint32_t
 concurrency_limit (const struct ash_router *router,
                    const struct ash_route *route,
@@ -140,8 +141,9 @@
   };
   if (forward->pause_aim_ms)
     forward->prompt = prompt_terms (exchange, service);
-  /* A request that is read just after the process was suspended may have waited all that time. The
-   * caller's deadline includes it, and an endpoint that works longer does so for nobody. */
+  /* A request that is read just after the process was suspended may have waited for as long. The
+   * suspension is subtracted from its deadline, or an endpoint would work for a caller that has
+   * given up. */
   forward->deadline =
       ash_time_add (forward->came, (int64_t) max_ms - DEADLINE_MARGIN_MS - router->suspended_ms);
 }
@@ -259,7 +261,7 @@
                                 status == 503 ? STOP_RETRY_AFTER_MS : 0);
 }
 
-/* Requests that have not been read completely were not sent to any endpoint. */
+/* Rejects requests that have not been read completely; these were not sent to any endpoint. */
 static void
 reject_partly_read (struct ash_router *router)
 {
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -59,7 +59,7 @@
 struct ash_router_service *
 ash_router_service (struct ash_router *router, const char *name)
 {
-  static struct ash_router_service fallback; /* if out of memory; its retry budget soon runs out */
+  static struct ash_router_service fallback; /* used when out of memory; its budget is soon spent */
   struct ash_router_service *found;
 
   HASH_FIND_STR (router->services, name, found);
@@ -84,8 +84,9 @@
     return pool;
   pool = calloc (1, sizeof *pool);
   if (pool && !ash_http_pool_init (pool, router->loop, endpoint->facts.address))
-    ash_log_event (&router->log, ASH_EV_CONFIG_REFUSED, "endpoint=%s address=%s why=\"no address\"",
-                   endpoint->facts.id, endpoint->facts.address);
+    ash_log_event (&router->log, ASH_EV_CONFIG_REFUSED,
+                   "endpoint=%s address=%s why=\"invalid address\"", endpoint->facts.id,
+                   endpoint->facts.address);
   if (pool)
     pool->silence_ms = ENDPOINT_SILENCE_MS;
   endpoint->owner = pool;
@@ -152,7 +153,7 @@
                    findings->items[i].text, (unsigned long long) ash_router_version (router));
 }
 
-/* Takes ownership of table and text. */
+/* Activates a configuration. Takes ownership of table and text. */
 static void
 activate_config (struct ash_router *router,
                  struct ash_route_table *table,
--- a/daemon/router.h
+++ b/daemon/router.h
@@ -47,8 +47,8 @@
   struct ash_route_table *table; /**< the active configuration; NULL: none yet */
   char *config_text;             /**< the text of the active configuration, to send to peers */
   size_t config_bytes;
-  uint64_t refused_version; /**< of the newest configuration that had errors; 0: none, or it had no
-                               version */
+  uint64_t refused_version; /**< version of the newest configuration that had errors; 0: none, or it
+                               had no version */
   struct ash_direct_set endpoints;
   struct ash_router_service *services;
 
@@ -98,7 +98,7 @@
 /** @return the version of the active configuration; 0: none. */
 uint64_t ash_router_version (const struct ash_router *router);
 
-/** @return whether callers may send requests here. */
+/** @return whether callers may send requests to this router. */
 bool ash_router_ready (const struct ash_router *router);
 
 /** @return when a planned stop that has begun aborts the remaining requests. */
@@ -123,9 +123,9 @@
 void ash_exchange_step_waiting (struct ash_router *router);
 
 /**
- * Ends all requests: with status 503 if they have certainly not run, with 502 if they may have run;
- * answers that have begun are broken off. Afterwards no request goes to an endpoint, and new ones
- * are rejected.
+ * Ends all requests: with status 503 if they have certainly not run, with 502 if they may have run.
+ * Answers that have begun are cut off. Afterwards no request goes to an endpoint, and new ones are
+ * rejected.
  */
 void ash_requests_abort_all (struct ash_router *router);
 
--- a/daemon/store.c
+++ b/daemon/store.c
@@ -43,9 +43,9 @@
 #define RETRY_MAX_MS 400
 #define RETRY_FACTOR 2
 
-/* The same for a router that is not among the first of its hall: those detect first that the store
- * is back, and forward its changes. If all routers of a large fleet kept retrying, an unreachable
- * store would get thousands of calls. */
+/* Maximum delay and its factor for a router that is not among the first of its hall: the first ones
+ * detect that the store is back, and forward its changes. If all routers of a large fleet kept
+ * retrying, an unreachable store would get thousands of calls. */
 #define HALL_RETRY_MAX_MS 2500
 #define HALL_RETRY_FACTOR 7
 
@@ -107,8 +107,8 @@
   set_timer (reader, ms);
 }
 
-/* Whether other routers of the hall retry for this one too. A router that has read nothing yet must
- * retry itself. */
+/* Whether other routers of the hall retry on behalf of this one. A router that has read nothing yet
+ * must retry itself. */
 static bool
 relies_on_hall (const struct ash_store_reader *reader)
 {
@@ -261,7 +261,7 @@
     return true;
   if (reader->era < store->era)
     {
-      handle_failure (reader, "an answer of a former era");
+      handle_failure (reader, "answer from an older era");
       return false;
     }
   if (first && !store->entries && !ash_router_version (reader->router))
@@ -304,7 +304,7 @@
       !ash_platform_store_read ((const char *) reader->answer.bytes + reader->answer.start,
                                 reader->answer.length, &taker, &answer))
     {
-      handle_failure (reader, reader->status == 200 ? "unreadable answer" : "refused");
+      handle_failure (reader, reader->status == 200 ? "malformed answer" : "refused");
       return;
     }
   position = ash_place_of (router->store.era, answer.revision);
@@ -468,7 +468,7 @@
   if (!ash_http_call_start (&reader->call, &router->store.pool, request.bytes + request.start,
                             request.length,
                             reader->distrust_idle ? ASH_TIME_NEVER : (struct ash_time){ 0 }))
-    handle_failure (reader, "no socket");
+    handle_failure (reader, "can't open a socket");
   else
     set_timer (reader, timeout_ms);
   ash_buffer_finish (&request);
@@ -489,7 +489,7 @@
   return true;
 }
 
-/* Records that the store has been unavailable since then. Entries may have expired meanwhile,
+/* Records that the store has been unavailable since `since`. Entries may have expired meanwhile,
  * and the list may lack them when the store is back, whichever request shows that it was
  * unavailable. */
 static void
@@ -530,7 +530,7 @@
   /* The fault that blocks one request may block the other reader's too. */
   for (int part = 0; part < ASH_STORE_PARTS; part++)
     ash_store_restart_watch (&reader->router->store, (enum ash_store_part) part,
-                             "the other one is silent");
+                             "the other reader's request timed out");
 }
 
 /* ---- start and end ---- */
@@ -676,6 +676,6 @@
 
       ash_http_call_cancel (&reader->call);
       reader->was_suspended = true;
-      handle_failure (reader, "this process was paused");
+      handle_failure (reader, "this process was suspended");
     }
 }
--- a/daemon/store.h
+++ b/daemon/store.h
@@ -30,7 +30,7 @@
   ASH_STORE_FOLLOWING, /**< other routers of the hall poll the store and forward changes */
 };
 
-/** Reads one part. */
+/** Reads one part of the store. */
 struct ash_store_reader
 {
   struct ash_router *router;
@@ -44,7 +44,7 @@
   uint64_t position; /**< store position after which the watch continues; 0: everything must be read
                         first */
   char page[256];    /**< token of the next page of a listing; empty: the first page */
-  uint32_t listing_id;          /**< counts listings, to find entries that the current one lacks */
+  uint32_t listing_id;          /**< number of the current listing, to find entries that it lacks */
   struct ash_time requested_at; /**< when the current request was sent */
   uint32_t wait_ms;             /**< how long the store may wait with its answer */
   struct ash_time overdue_at; /**< an answer after this time shows that the store was unavailable */
@@ -70,9 +70,9 @@
   char id[ASH_DIRECT_NAME_BYTES];
   uint8_t *value;
   size_t value_bytes;
-  uint64_t digest;     /**< of its contents */
+  uint64_t digest;     /**< digest of the entry's contents */
   uint64_t position;   /**< store position up to which the entry is known to be current */
-  uint32_t listing_id; /**< the last listing that had this entry */
+  uint32_t listing_id; /**< number of the last listing that had this entry */
   UT_hash_handle hh;
 };
 
@@ -91,11 +91,11 @@
   struct ash_http_pool pool;
   struct ash_store_reader readers[ASH_STORE_PARTS];
   struct ash_store_entry *entries;
-  uint64_t digest; /**< of all entries, independent of their order */
+  uint64_t digest; /**< digest of all entries, independent of their order */
   uint64_t era;    /**< the store's era, which rises when it is restored from an older copy */
   struct ash_departed departed;
   struct ash_store_changes changes;
-  uint64_t calls;                  /**< requests sent */
+  uint64_t calls;                  /**< number of requests sent to the store */
   struct ash_time uncertain_until; /**< until then entries may be missing only because they expired
                                       by mistake */
 };
--- a/daemon/store_list.c
+++ b/daemon/store_list.c
@@ -240,7 +240,8 @@
   snprintf (changes->ids[changes->count++], sizeof changes->ids[0], "%s", id);
 }
 
-/* @return for how many ms more a missing entry may only have expired. */
+/* @return for how many ms more a missing entry may only have expired while the store was
+ * unavailable. */
 static uint32_t
 uncertain_ms (const struct ash_store *store)
 {
@@ -389,7 +390,8 @@
   free (list->values);
 }
 
-/* Applies a peer's report that missing entries may only have expired, for `ms` more. */
+/* Applies a peer's report that, for `ms` more, a missing entry may only have expired while the
+ * store was unavailable. */
 static void
 extend_uncertainty (struct ash_store *store, uint32_t ms)
 {
--- a/daemon/store_list.h
+++ b/daemon/store_list.h
@@ -39,8 +39,8 @@
 void ash_store_list_publish (struct ash_store *store, uint64_t since, uint64_t position);
 
 /**
- * Runs the timers: uses endpoints again that had left, according to a newer copy of the store, but
- * have long been listed since.
+ * Runs the timers: uses endpoints again that were seen leaving, after a restored store has listed
+ * them for long.
  */
 void ash_store_list_tick (struct ash_store *store, struct ash_time now);
 
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -95,7 +95,8 @@
   return ash_quarantine_left_ms (&suspects->quarantine, request, now);
 }
 
-/* Logs and reports it if this run has made the request quarantined. */
+/* Logs a request that this run has caused to be quarantined, and notifies the owner of the requests
+ * in progress. */
 static void
 report_quarantine (struct ash_suspects *suspects,
                    const struct ash_quarantine_run *run,
@@ -147,7 +148,7 @@
   handle_endpoint_end (suspects, endpoint, ASH_QUARANTINE_REBORN);
 }
 
-/* @return whether the request was suspected. */
+/* @return whether the request was suspected of ending endpoints. */
 static bool
 clear_suspect (struct ash_suspects *suspects, struct ash_id request, const char *source)
 {
