--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -79,7 +79,7 @@
 }
 
 static void
-handle_link_up (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
+on_link_up (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
   peer->linked = true;
   peer->needs_peer_names = true;
@@ -91,7 +91,7 @@
 }
 
 static void
-handle_link_down (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
+on_link_down (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
   peer->linked = false;
   ash_fleet_clear_loads (fleet, peer);
@@ -111,10 +111,10 @@
   switch (event->kind_case)
     {
     case ASH__EVENT__KIND_LINK_UP:
-      handle_link_up (fleet, peer);
+      on_link_up (fleet, peer);
       break;
     case ASH__EVENT__KIND_LINK_DOWN:
-      handle_link_down (fleet, peer);
+      on_link_down (fleet, peer);
       break;
     case ASH__EVENT__KIND_HEARTBEAT:
       handle_heartbeat (fleet, peer, event->heartbeat);
@@ -217,7 +217,7 @@
 }
 
 static void
-fill_heartbeat (void *data, const char *box, struct Ash__Heartbeat *heartbeat)
+own_heartbeat (void *data, const char *box, struct Ash__Heartbeat *heartbeat)
 {
   struct ash_fleet *fleet = data;
   struct ash_router *router = fleet->router;
@@ -240,7 +240,7 @@
 }
 
 static uint32_t
-heartbeat_period_ms (void *data, const char *box)
+beat_period_ms (void *data, const char *box)
 {
   const struct ash_fleet *fleet = data;
   const struct ash_fleet_peer *peer = find_peer (fleet, box);
@@ -273,8 +273,8 @@
   links->log = (struct ash_log){ &router->log_sink, "peer" };
   links->handler = (struct ash_sink){ on_event, fleet };
   links->revision = config_version;
-  links->heartbeat = fill_heartbeat;
-  links->period_ms = heartbeat_period_ms;
+  links->heartbeat = own_heartbeat;
+  links->period_ms = beat_period_ms;
   links->data = fleet;
   if (!ash_peers_init (links, router->loop))
     return false;
--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -54,7 +54,7 @@
 }
 
 static bool
-reserve_loads (struct ash_fleet_peer *peer, size_t count)
+make_room (struct ash_fleet_peer *peer, size_t count)
 {
   uint64_t *endpoints = realloc (peer->load_endpoints, count * sizeof *endpoints);
   uint64_t *in_flight;
@@ -106,7 +106,7 @@
   apply_slow (fleet, loads);
   if (!count || count != loads->n_in_flight || count > ASH_FLEET_LOADS_MAX)
     return;
-  if (!reserve_loads (peer, peer->load_count + count))
+  if (!make_room (peer, peer->load_count + count))
     {
       ash_fleet_clear_loads (fleet, peer);
       return;
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -30,10 +30,10 @@
 
 /* @param peer NULL: all linked peers. */
 static void
-send_terms (struct ash_fleet *fleet,
-            const struct ash_fleet_peer *peer,
-            struct Ash__EndpointTerms messages[],
-            size_t count)
+send_messages (struct ash_fleet *fleet,
+               const struct ash_fleet_peer *peer,
+               struct Ash__EndpointTerms messages[],
+               size_t count)
 {
   struct Ash__EndpointTerms *list[TERMS_MAX];
   struct Ash__EndpointTermsList terms = ASH__ENDPOINT_TERMS_LIST__INIT;
@@ -63,7 +63,7 @@
     /* A removed rate limit is sent too: the peer may still have the old limit. */
     if (endpoint->limit.heard.ms || endpoint->said_leaving)
       messages[count++] = message_of (endpoint, now);
-  send_terms (fleet, peer, messages, count);
+  send_messages (fleet, peer, messages, count);
 }
 
 /* ---- applying terms ---- */
@@ -134,7 +134,7 @@
   if (!changed)
     return;
   message = message_of (endpoint, now);
-  send_terms (fleet, NULL, &message, 1);
+  send_messages (fleet, NULL, &message, 1);
 }
 
 void
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -32,7 +32,7 @@
 
 /* Answers a request that has no exchange. */
 static void
-reject (struct ash_http_conn *conn,
+refuse (struct ash_http_conn *conn,
         struct ash_router *router,
         const char *id,
         uint16_t status,
@@ -56,7 +56,7 @@
   struct ash_request_facts facts;
 
   ash_platform_request_read (&conn->reader.head, &facts);
-  reject (conn, router, ash_request_log_id (&facts), status, why);
+  refuse (conn, router, ash_request_log_id (&facts), status, why);
 }
 
 /* Callers don't retry after 401 or 404, so a router that knows its configuration to be outdated
@@ -222,7 +222,7 @@
 }
 
 static void
-on_disconnect (struct ash_http_conn *conn)
+on_gone (struct ash_http_conn *conn)
 {
   struct ash_exchange *exchange = conn->request;
 
@@ -241,7 +241,7 @@
     ash_http_call_pause (&exchange->call, false);
 }
 
-const struct ash_conn_handler ash_requests_handler = { on_request, on_disconnect, on_drained };
+const struct ash_conn_handler ash_requests_handler = { on_request, on_gone, on_drained };
 
 /* ---- the end of a stop ---- */
 
@@ -269,7 +269,7 @@
 
   DL_FOREACH (router->frontend.conns, conn)
     if (!conn->dead && conn->state == ASH_CONN_READING)
-      reject (conn, router, "-", 503, "stopping");
+      refuse (conn, router, "-", 503, "stopping");
 }
 
 void
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -295,7 +295,7 @@
  * may have closed them during the suspension. Callers' requests that are read now may be as old as
  * the suspension is long. */
 static void
-handle_resume (struct ash_router *router, struct ash_time now, int64_t gap_ms)
+on_process_resumed (struct ash_router *router, struct ash_time now, int64_t gap_ms)
 {
   ash_log_event (&router->log, ASH_EV_WOKE, "gap_ms=%lld", (long long) gap_ms);
   ash_groups_woke (&router->groups);
@@ -321,7 +321,7 @@
   (void) events;
   router->last_iteration = now;
   if (gap_ms > SUSPEND_GAP_MS)
-    handle_resume (router, now, gap_ms);
+    on_process_resumed (router, now, gap_ms);
 }
 
 /* Runs last before the loop blocks: retries waiting requests if a slot may have become free in this
--- a/daemon/store.c
+++ b/daemon/store.c
@@ -530,7 +530,7 @@
   /* The fault that blocks one request may block the other reader's too. */
   for (int part = 0; part < ASH_STORE_PARTS; part++)
     ash_store_restart_watch (&reader->router->store, (enum ash_store_part) part,
-                             "the other reader's request timed out");
+                             "the other request timed out");
 }
 
 /* ---- start and end ---- */
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -48,10 +48,10 @@
 
 /* @param box NULL: all linked peers. */
 static void
-send_runs (struct ash_suspects *suspects,
-           const char *box,
-           struct Ash__SuspectRun messages[],
-           size_t count)
+send_messages (struct ash_suspects *suspects,
+               const char *box,
+               struct Ash__SuspectRun messages[],
+               size_t count)
 {
   struct Ash__SuspectRun *list[ASH_QUARANTINE_CUTS];
   struct Ash__SuspectRuns runs = ASH__SUSPECT_RUNS__INIT;
@@ -82,7 +82,7 @@
     for (uint32_t i = 0; i < suspect->count; i++)
       messages[count++] = message_of (&suspect->runs[i], now);
   if (count)
-    send_runs (suspects, box, messages, count);
+    send_messages (suspects, box, messages, count);
 }
 
 /* ---- evidence ---- */
@@ -137,7 +137,7 @@
                  proof == ASH_QUARANTINE_REFUSES ? "refuses" : "reborn");
   for (size_t i = 0; i < count; i++)
     messages[i] = message_of (&found[i], now);
-  send_runs (suspects, NULL, messages, count);
+  send_messages (suspects, NULL, messages, count);
   for (size_t i = 0; i < count; i++)
     report_quarantine (suspects, &found[i], now, "own");
 }
@@ -172,7 +172,7 @@
   message.request_hi = request.hi;
   message.request_lo = request.lo;
   message.cleared = true;
-  send_runs (suspects, NULL, &message, 1);
+  send_messages (suspects, NULL, &message, 1);
 }
 
 void
--- a/test/router_store.c
+++ b/test/router_store.c
@@ -466,7 +466,7 @@
   restart ();
   fleet_sleep (300);
   silence_store ();
-  CU_ASSERT (world_wait_logged (&world, 0, "the other reader's request timed out"));
+  CU_ASSERT (world_wait_logged (&world, 0, "the other request timed out"));
   lapse_and_call ();
   world_stop (&world);
 }
