--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -21,7 +21,7 @@
 /** Upper limit of slow endpoints in one message. */
 #define ASH_FLEET_SLOW_MAX 64
 
-/** Another router. */
+/** A peer: another router of the fleet, as this router knows it. */
 struct ash_fleet_peer
 {
   char box[ASH_NAME_BYTES];
--- a/daemon/fleet_roles.c
+++ b/daemon/fleet_roles.c
@@ -15,12 +15,13 @@
  * endpoint. */
 #define HALL_READERS 3
 
-/* Routers that are kept informed of a map change so that they can continue it: one of them may be
- * lost or stopped too. */
+/* Routers that are kept informed of a change of an expert map so that they can continue it: one of
+ * them may be lost or stopped too. */
 #define SUCCESSORS 2
 
-/* A router that changes a map and sends nothing for this long counts as lost. This is several times
- * the interval between its messages, and longer than a small box is busy with one task. */
+/* A router that is changing an expert map and sends nothing for this long counts as lost. This is
+ * several times the interval between its messages, and longer than a small box is busy with one
+ * task. */
 #define MAP_CHANGE_SILENCE_MS 300
 
 static struct ash_asker
@@ -97,9 +98,9 @@
   return known > seeds ? known : seeds;
 }
 
-/* Whether a router stopped sending while it changed a map, and may have left a group blocked. The
- * link's longer timeout is not waited for, since a router that changes a map sends several messages
- * in that time to those that would lead next. */
+/* Whether a peer stopped sending while it changed an expert map, and may have left a group blocked.
+ * The link's longer timeout is not waited for, since a router that changes a map sends several
+ * messages in that time to those that would lead next. */
 static bool
 is_stuck (const struct ash_fleet_peer *peer, struct ash_time now)
 {
--- a/daemon/peer_sync.c
+++ b/daemon/peer_sync.c
@@ -81,21 +81,22 @@
 check_part (struct ash_peer_sync *peer_sync, enum ash_store_part part, struct ash_time now)
 {
   struct ash_router *router = peer_sync->router;
-  struct ash_peer_news *news = &peer_sync->news[part];
+  struct ash_peer_news *revisions = &peer_sync->peer_revisions[part];
   uint64_t own = own_revision (router, part);
   const struct ash_fleet_peer *peer;
 
-  if (!ash_peer_news_behind (news, now, own, allowed_lag_ms (router, part)) ||
+  if (!ash_peer_news_behind (revisions, now, own, allowed_lag_ms (router, part)) ||
       ash_time_diff (peer_sync->last_request[part], now) < REQUEST_PERIOD_MS)
     return;
   if (part == ASH_STORE_SERVERS)
-    ash_store_expect_lapses (&router->store, news->since);
-  peer = ash_fleet_peer_with (&router->fleet, part, news->newest);
+    ash_store_expect_lapses (&router->store, revisions->since);
+  peer = ash_fleet_peer_with (&router->fleet, part, revisions->newest);
   peer_sync->last_request[part] = now;
   ash_log_event (&router->log, ASH_EV_BEHIND_PEERS,
                  "part=%d version=%" PRIu64 " newest=%" PRIu64
                  " for_ms=%lld store_answers=%d age_ms=%lld asked=%s",
-                 (int) part, own, news->newest, (long long) ash_time_diff (news->since, now),
+                 (int) part, own, revisions->newest,
+                 (long long) ash_time_diff (revisions->since, now),
                  ash_store_is_answering (&router->store, part),
                  (long long) ash_time_diff (router->store.readers[part].last_answer, now),
                  peer ? peer->box : "-");
@@ -121,10 +122,10 @@
                            const struct ash_fleet_peer *peer)
 {
   const struct ash_router *router = peer_sync->router;
-  struct ash_peer_news *list = &peer_sync->news[ASH_STORE_SERVERS];
+  struct ash_peer_news *list = &peer_sync->peer_revisions[ASH_STORE_SERVERS];
   uint64_t own_list = own_revision (router, ASH_STORE_SERVERS);
 
-  ash_peer_news_told (&peer_sync->news[ASH_STORE_CONFIG], now, peer->version,
+  ash_peer_news_told (&peer_sync->peer_revisions[ASH_STORE_CONFIG], now, peer->version,
                       own_revision (router, ASH_STORE_CONFIG));
   /* The revision of the list grows with every change in the store, so only lists with other
    * contents count. Contents differ for some ms at each change that a peer receives first. If a
@@ -149,7 +150,7 @@
 bool
 ash_peer_sync_config_is_behind (struct ash_peer_sync *peer_sync, struct ash_time now)
 {
-  return ash_peer_news_behind (&peer_sync->news[ASH_STORE_CONFIG], now,
+  return ash_peer_news_behind (&peer_sync->peer_revisions[ASH_STORE_CONFIG], now,
                                own_revision (peer_sync->router, ASH_STORE_CONFIG), 0);
 }
 
--- a/daemon/peer_sync.h
+++ b/daemon/peer_sync.h
@@ -21,7 +21,7 @@
 struct ash_peer_sync
 {
   struct ash_router *router;
-  struct ash_peer_news news[ASH_PEER_SYNC_PARTS];
+  struct ash_peer_news peer_revisions[ASH_PEER_SYNC_PARTS];
   struct ash_time
       last_request[ASH_PEER_SYNC_PARTS]; /**< when a peer was last sent a request for this part */
 };
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -18,7 +18,7 @@
 #define ADDRESS_KEEP_FACTOR 3
 
 /* Requests are aborted this long before the time to stop is over: callers must still read the
- * answers, and a small busy box needs the rest to end the process. */
+ * answers, and a small busy box needs the rest until its process has exited. */
 #define STOP_MARGIN_MS 400
 
 /* A connection to an endpoint, also an idle one, is closed if the endpoint's kernel has
@@ -114,8 +114,8 @@
   endpoint->owner = NULL;
 }
 
-/* Idle connections and requests to the rank belong to the endpoint's former process, and may be as
- * dead as it is. */
+/* Idle connections and requests to the endpoint's rank belong to its former process, and may be as
+ * dead as that process. */
 static void
 on_endpoint_restarted (void *data, struct ash_direct_endpoint *endpoint)
 {
--- a/daemon/router.h
+++ b/daemon/router.h
@@ -31,7 +31,7 @@
   UT_hash_handle hh;
 };
 
-/** A router. */
+/** State of a router process. */
 struct ash_router
 {
   struct ash_router_settings settings;
