--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -93,7 +93,7 @@
                                  exchange->idle_valid_since);
   ash_buffer_finish (&request);
   if (exchange->forward.pause_aim_ms)
-    ash_prompt_gate_sent (&ash_router_service (router, exchange->forward.service)->gate);
+    ash_prompt_gate_record_sent (&ash_router_service (router, exchange->forward.service)->gate);
   ash_forward_sent (&exchange->forward, endpoint);
   exchange->sent_at = ash_clock_now ();
   exchange->last_received = exchange->sent_at;
--- a/daemon/exchange_answer.c
+++ b/daemon/exchange_answer.c
@@ -73,8 +73,8 @@
   struct ash_router *router = exchange->router;
   struct ash_prompt_gate *gate = &ash_router_service (router, exchange->forward.service)->gate;
 
-  if (!ash_prompt_gate_pause (gate, exchange->last_received, pause_ms,
-                              exchange->forward.pause_aim_ms))
+  if (!ash_prompt_gate_add_pause (gate, exchange->last_received, pause_ms,
+                                  exchange->forward.pause_aim_ms))
     return;
   router->capacity_freed = router->capacity_freed || !gate->closed;
   ash_log_event (&router->log, ASH_EV_PROMPTS_KEPT,
@@ -94,7 +94,7 @@
     return;
   record_pass (exchange, pause_ms);
   ash_direct_paused (exchange->endpoint, exchange->last_received, pause_ms);
-  ash_groups_pause (&exchange->router->groups, exchange->endpoint->hash, pause_ms);
+  ash_map_manager_add_pause (&exchange->router->groups, exchange->endpoint->hash, pause_ms);
 }
 
 static void
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -107,7 +107,7 @@
 {
   struct ash_router *router = data;
 
-  ash_groups_forget (&router->groups, endpoint->hash);
+  ash_map_manager_remove_endpoint (&router->groups, endpoint->hash);
   if (endpoint->owner)
     ash_http_pool_finish (endpoint->owner);
   free (endpoint->owner);
@@ -124,7 +124,7 @@
   ash_log_event (&router->log, ASH_EV_ENDPOINT_REBORN, "endpoint=%s address=%s born_ms=%lld",
                  endpoint->facts.id, endpoint->facts.address, (long long) endpoint->facts.born_ms);
   ash_suspects_record_restart (&router->suspects, endpoint->hash);
-  ash_groups_forget (&router->groups, endpoint->hash);
+  ash_map_manager_remove_endpoint (&router->groups, endpoint->hash);
   if (endpoint->owner)
     ash_http_pool_move (endpoint->owner, endpoint->facts.address);
 }
@@ -223,7 +223,8 @@
   int64_t keep_ms = (int64_t) router->settings.address_keep_ms * ADDRESS_KEEP_FACTOR;
 
   return ash_time_diff (router->stop_started_at, now) > keep_ms &&
-         !ash_groups_holds (&router->groups) && !ash_http_listener_busy (&router->frontend);
+         !ash_map_manager_holds_step (&router->groups) &&
+         !ash_http_listener_busy (&router->frontend);
 }
 
 static void
@@ -298,7 +299,7 @@
 on_process_resumed (struct ash_router *router, struct ash_time now, int64_t gap_ms)
 {
   ash_log_event (&router->log, ASH_EV_WOKE, "gap_ms=%lld", (long long) gap_ms);
-  ash_groups_woke (&router->groups);
+  ash_map_manager_resumed (&router->groups);
   ash_fleet_reset_links (&router->fleet);
   ash_store_resume (&router->store);
   ash_router_close_idle_connections (router, now);
@@ -423,7 +424,7 @@
                      settings->peer_listen, strerror (errno));
       return false;
     }
-  ash_groups_open (&router->groups, router);
+  ash_map_manager_open (&router->groups, router);
   return ash_store_open (&router->store, router);
 }
 
@@ -502,7 +503,7 @@
   ash_http_listener_finish (&router->directory);
   ash_http_listener_finish (&router->metrics_page);
   ash_store_close (&router->store);
-  ash_groups_close (&router->groups);
+  ash_map_manager_close (&router->groups);
   ash_suspects_close (&router->suspects);
   ash_direct_finish (&router->endpoints);
   ash_fleet_close (&router->fleet);
