--- a/daemon/exchange.h
+++ b/daemon/exchange.h
@@ -87,8 +87,7 @@
 /* ---- exchange_watch.c: monitoring the endpoint ---- */
 
 /** Records evidence about the endpoint's health, and logs if the endpoint is ejected for it. */
-void ash_exchange_record_evidence (struct ash_exchange *exchange,
-                                   enum ash_direct_evidence evidence);
+void ash_exchange_record_evidence (struct ash_exchange *exchange, enum ash_direct_result evidence);
 
 /**
  * @param until upper bound of the result.
--- a/daemon/exchange_answer.c
+++ b/daemon/exchange_answer.c
@@ -93,7 +93,7 @@
   if (pause_ms < 1)
     return;
   record_pass (exchange, pause_ms);
-  ash_direct_paused (exchange->endpoint, exchange->last_received, pause_ms);
+  ash_direct_note_pause (exchange->endpoint, exchange->last_received, pause_ms);
   ash_map_manager_add_pause (&exchange->router->groups, exchange->endpoint->hash, pause_ms);
 }
 
--- a/daemon/exchange_cut.c
+++ b/daemon/exchange_cut.c
@@ -64,7 +64,7 @@
   /* A request during which an endpoint process ended before may have ended this one too: it is not
    * resent until a probe has shown whether this endpoint still runs. Other requests are resent at
    * once. */
-  if (ash_quarantine_ends (&suspects->quarantine, run.request))
+  if (ash_quarantine_exits (&suspects->quarantine, run.request))
     exchange->awaited_probe = run.endpoint;
 }
 
--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -94,7 +94,7 @@
 
 /**
  * @return into how many parts the endpoints of other halls are divided, of which this router uses
- * one: see ash_talk_far_parts().
+ * one: see ash_peer_period_remote_parts().
  */
 uint32_t ash_fleet_far_parts (const struct ash_fleet *fleet);
 
@@ -103,7 +103,7 @@
 
 /**
  * @return whether this router changes the expert maps of groups: it is ready, and no other linked
- * router that could do so precedes it in the order of ash_askers_before(). A router with links to
+ * router that could do so precedes it in the order of ash_pollers_before(). A router with links to
  * less than half of the known routers is more likely to be isolated itself, and does not.
  */
 bool ash_fleet_leads (const struct ash_fleet *fleet);
--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -1,6 +1,6 @@
 #include "daemon/fleet_loads.h"
 
-#include "controllers/talk.h"
+#include "controllers/peer_period.h"
 #include "daemon/fleet_terms.h"
 #include "daemon/router.h"
 
@@ -49,7 +49,7 @@
           ash_direct_find_hash (&fleet->router->endpoints, loads->slow[i]);
 
       if (endpoint)
-        ash_direct_slow (endpoint, now, loads->slow_milli[i] / MILLI);
+        ash_direct_set_pace (endpoint, now, loads->slow_milli[i] / MILLI);
     }
 }
 
@@ -151,7 +151,7 @@
     {
       uint32_t in_flight = endpoint->in_flight;
 
-      if (loads->changes ? in_flight == endpoint->told[audience] : !in_flight)
+      if (loads->changes ? in_flight == endpoint->reported[audience] : !in_flight)
         continue;
       loads->endpoints[loads->n_endpoints] = endpoint->hash;
       loads->in_flight[loads->n_endpoints] = in_flight;
@@ -198,7 +198,7 @@
   struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints;
 
   for (; endpoint; endpoint = endpoint->hh.next)
-    endpoint->told[audience] = endpoint->in_flight;
+    endpoint->reported[audience] = endpoint->in_flight;
   for (struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && ash_fleet_audience_of (fleet, peer) == audience)
       ash_peers_send (&fleet->links, peer->box, &event);
@@ -231,7 +231,7 @@
 {
   struct ash_fleet *fleet = timer->data;
   uint32_t period_ms = fleet->router->settings.load_period_ms;
-  uint32_t far_ms = ash_talk_far_load_ms (period_ms, fleet->far_linked);
+  uint32_t far_ms = ash_peer_period_remote_load_ms (period_ms, fleet->far_linked);
   struct ash_time now = ash_clock_now ();
 
   (void) loop;
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -18,11 +18,11 @@
 message_of (const struct ash_direct_endpoint *endpoint, struct ash_time now)
 {
   struct Ash__EndpointTerms message = ASH__ENDPOINT_TERMS__INIT;
-  int64_t age_ms = ash_time_diff (endpoint->limit.heard, now);
+  int64_t age_ms = ash_time_diff (endpoint->limit.updated, now);
 
   message.endpoint = endpoint->hash;
   message.born_ms = endpoint->facts.born_ms;
-  message.leaving = endpoint->said_leaving;
+  message.leaving = endpoint->announced_leaving;
   message.limit_milli = endpoint->limit.milli_per_s;
   message.age_ms = age_ms < UINT32_MAX ? (uint32_t) age_ms : UINT32_MAX;
   return message;
@@ -61,7 +61,7 @@
   for (struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints;
        endpoint && count < TERMS_MAX; endpoint = endpoint->hh.next)
     /* A removed rate limit is sent too: the peer may still have the old limit. */
-    if (endpoint->limit.heard.ms || endpoint->said_leaving)
+    if (endpoint->limit.updated.ms || endpoint->announced_leaving)
       messages[count++] = message_of (endpoint, now);
   send_messages (fleet, peer, messages, count);
 }
@@ -79,7 +79,7 @@
 {
   uint32_t before_milli = endpoint->limit.milli_per_s;
 
-  if (!ash_rate_limit_heard (&endpoint->limit, limit_milli, reported_at, requested_at))
+  if (!ash_rate_limit_update (&endpoint->limit, limit_milli, reported_at, requested_at))
     return false;
   ash_log_event (&fleet->router->log, ASH_EV_ENDPOINT_LIMITED,
                  "endpoint=%s limit_milli=%u before_milli=%u source=%s", endpoint->facts.id,
@@ -94,9 +94,9 @@
                 bool leaving,
                 const char *source)
 {
-  if (!leaving || endpoint->said_leaving)
+  if (!leaving || endpoint->announced_leaving)
     return false;
-  endpoint->said_leaving = true;
+  endpoint->announced_leaving = true;
   ash_log_event (&fleet->router->log, ASH_EV_ENDPOINT_LEAVING,
                  "endpoint=%s source=%s service=%s address=%s in_flight=%u", endpoint->facts.id,
                  source, endpoint->facts.service, endpoint->facts.address, endpoint->in_flight);
@@ -114,8 +114,8 @@
     return;
   ash_log_event (&fleet->router->log, ASH_EV_ENDPOINT_RESTS,
                  "endpoint=%s for_ms=%u before_ms=%lld load=%u", endpoint->facts.id, rest_ms,
-                 (long long) ash_direct_rests_ms (endpoint, now), endpoint->in_flight);
-  ash_direct_rests (endpoint, now, rest_ms);
+                 (long long) ash_direct_backoff_ms (endpoint, now), endpoint->in_flight);
+  ash_direct_back_off (endpoint, now, rest_ms);
 }
 
 void
@@ -213,7 +213,7 @@
         count++;
         before += precedes_self (endpoint, peer, settings->hall, own_order);
       }
-  ash_rate_limit_deal (&endpoint->limit, now, members, count, before);
+  ash_rate_limit_assign (&endpoint->limit, now, members, count, before);
 }
 
 void
@@ -230,7 +230,7 @@
       /* A stopping router gets no part: the other routers split the limit without it as soon as
        * they know that it stops. */
       if (fleet->router->stopping)
-        ash_rate_limit_waive (&endpoint->limit);
+        ash_rate_limit_release (&endpoint->limit);
       else if (endpoint->limit.members != members)
         split_rate (fleet, endpoint, now, members);
     }
--- a/daemon/peer_sync.c
+++ b/daemon/peer_sync.c
@@ -81,11 +81,11 @@
 check_part (struct ash_peer_sync *peer_sync, enum ash_store_part part, struct ash_time now)
 {
   struct ash_router *router = peer_sync->router;
-  struct ash_peer_news *revisions = &peer_sync->peer_revisions[part];
+  struct ash_peer_version *revisions = &peer_sync->peer_revisions[part];
   uint64_t own = own_revision (router, part);
   const struct ash_fleet_peer *peer;
 
-  if (!ash_peer_news_behind (revisions, now, own, allowed_lag_ms (router, part)) ||
+  if (!ash_peer_version_is_behind (revisions, now, own, allowed_lag_ms (router, part)) ||
       ash_time_diff (peer_sync->last_request[part], now) < REQUEST_PERIOD_MS)
     return;
   if (part == ASH_STORE_SERVERS)
@@ -122,21 +122,21 @@
                            const struct ash_fleet_peer *peer)
 {
   const struct ash_router *router = peer_sync->router;
-  struct ash_peer_news *list = &peer_sync->peer_revisions[ASH_STORE_SERVERS];
+  struct ash_peer_version *list = &peer_sync->peer_revisions[ASH_STORE_SERVERS];
   uint64_t own_list = own_revision (router, ASH_STORE_SERVERS);
 
-  ash_peer_news_told (&peer_sync->peer_revisions[ASH_STORE_CONFIG], now, peer->version,
-                      own_revision (router, ASH_STORE_CONFIG));
+  ash_peer_version_reported (&peer_sync->peer_revisions[ASH_STORE_CONFIG], now, peer->version,
+                             own_revision (router, ASH_STORE_CONFIG));
   /* The revision of the list grows with every change in the store, so only lists with other
    * contents count. Contents differ for some ms at each change that a peer receives first. If a
    * peer reports no digest, its list can't be compared and counts only while the store does not
    * answer. */
   if (!peer->endpoints_digest && ash_store_is_answering (&router->store, ASH_STORE_SERVERS))
-    ash_peer_news_same (list, now, own_list, own_list);
+    ash_peer_version_equal (list, now, own_list, own_list);
   else if (peer->endpoints_digest != router->store.digest)
-    ash_peer_news_told (list, now, peer->endpoints_revision, own_list);
+    ash_peer_version_reported (list, now, peer->endpoints_revision, own_list);
   else
-    ash_peer_news_same (list, now, peer->endpoints_revision, own_list);
+    ash_peer_version_equal (list, now, peer->endpoints_revision, own_list);
   ash_peer_sync_tick (peer_sync, now);
 }
 
@@ -150,8 +150,8 @@
 bool
 ash_peer_sync_config_is_behind (struct ash_peer_sync *peer_sync, struct ash_time now)
 {
-  return ash_peer_news_behind (&peer_sync->peer_revisions[ASH_STORE_CONFIG], now,
-                               own_revision (peer_sync->router, ASH_STORE_CONFIG), 0);
+  return ash_peer_version_is_behind (&peer_sync->peer_revisions[ASH_STORE_CONFIG], now,
+                                     own_revision (peer_sync->router, ASH_STORE_CONFIG), 0);
 }
 
 /* ---- changes of the configuration ---- */
--- a/daemon/peer_sync.h
+++ b/daemon/peer_sync.h
@@ -8,7 +8,7 @@
 #define ASH_PEER_SYNC_H
 
 #include "controllers/config_delta.h"
-#include "controllers/peer_news.h"
+#include "controllers/peer_version.h"
 #include "proto/event.h"
 
 struct ash_fleet_peer;
@@ -21,7 +21,7 @@
 struct ash_peer_sync
 {
   struct ash_router *router;
-  struct ash_peer_news peer_revisions[ASH_PEER_SYNC_PARTS];
+  struct ash_peer_version peer_revisions[ASH_PEER_SYNC_PARTS];
   struct ash_time
       last_request[ASH_PEER_SYNC_PARTS]; /**< when a peer was last sent a request for this part */
 };
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -124,7 +124,7 @@
   struct ash_router *router = exchange->router;
   struct ash_forward *forward = &exchange->forward;
   uint32_t service_index =
-      ash_route_table_draw (exchange->table, route, ash_random_next (&router->random));
+      ash_route_table_pick_service (exchange->table, route, ash_random_next (&router->random));
   const struct ash_route_service *service = &exchange->table->services[service_index];
   uint32_t caller_ms =
       exchange->facts.deadline_ms ? exchange->facts.deadline_ms : DEADLINE_DEFAULT_MS;
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -485,7 +485,7 @@
   ash_random_init (&router->random, router->incarnation);
   ash_direct_init (&router->endpoints, ash_random_next (&router->random));
   router->endpoints.leaving = on_endpoint_removed;
-  router->endpoints.reborn = on_endpoint_restarted;
+  router->endpoints.restarted = on_endpoint_restarted;
   router->endpoints.data = router;
   ash_metrics_init (&router->metrics);
   router->frontend.fd = router->readiness.fd = router->directory.fd = router->metrics_page.fd = -1;
--- a/daemon/store.c
+++ b/daemon/store.c
@@ -1,6 +1,6 @@
 #include "daemon/store.h"
 
-#include "controllers/place.h"
+#include "controllers/store_position.h"
 #include "daemon/router.h"
 #include "daemon/store_list.h"
 
@@ -87,7 +87,7 @@
         ash_router_offer_config (router, (const char *) item->value, item->value_bytes, "store");
       break;
     case ASH_STORE_SERVERS:
-      ash_store_list_item (reader, item, ash_place_of (router->store.era, item->revision));
+      ash_store_list_item (reader, item, ash_store_position (router->store.era, item->revision));
       break;
     }
 }
@@ -307,7 +307,7 @@
       handle_failure (reader, reader->status == 200 ? "malformed answer" : "refused");
       return;
     }
-  position = ash_place_of (router->store.era, answer.revision);
+  position = ash_store_position (router->store.era, answer.revision);
   if (listing && answer.more)
     {
       memcpy (reader->page, answer.next_page, sizeof reader->page);
@@ -426,7 +426,7 @@
   int64_t timeout_ms = answer_timeout_ms (reader);
 
   /* A position of an older era is not valid in this one. */
-  if (ash_place_era (reader->position) < router->store.era)
+  if (ash_store_position_era (reader->position) < router->store.era)
     {
       reader->position = 0;
       *reader->page = '\0';
@@ -454,7 +454,7 @@
       reader->wait_ms = wait_ms;
       reader->overdue_at = ash_time_add (reader->overdue_at, wait_ms);
       ash_platform_store_watch (&request, settings->store_address, reader->part,
-                                ash_place_revision (reader->position), wait_ms);
+                                ash_store_position_revision (reader->position), wait_ms);
     }
   else
     {
--- a/daemon/store.h
+++ b/daemon/store.h
@@ -8,7 +8,7 @@
 #define ASH_STORE_H
 
 #include "common/clock.h"
-#include "controllers/departed.h"
+#include "controllers/tombstones.h"
 #include "net/http_call.h"
 #include "platform/store.h"
 #include "proto/event.h"
@@ -93,7 +93,7 @@
   struct ash_store_entry *entries;
   uint64_t digest; /**< digest of all entries, independent of their order */
   uint64_t era;    /**< the store's era, which rises when it is restored from an older copy */
-  struct ash_departed departed;
+  struct ash_tombstones tombstones;
   struct ash_store_changes changes;
   uint64_t calls;                  /**< number of requests sent to the store */
   struct ash_time uncertain_until; /**< until then entries may be missing only because they expired
--- a/daemon/store_list.c
+++ b/daemon/store_list.c
@@ -1,7 +1,7 @@
 #include "daemon/store_list.h"
 
 #include "common/id.h"
-#include "controllers/place.h"
+#include "controllers/store_position.h"
 #include "daemon/router.h"
 
 #include <inttypes.h>
@@ -119,12 +119,12 @@
   struct ash_direct_endpoint *endpoint = ash_direct_find (&router->endpoints, id);
 
   if (endpoint)
-    ash_departed_note (&store->departed,
-                       &(struct ash_departed_one){ .endpoint = endpoint->hash,
-                                                   .born_ms = endpoint->facts.born_ms,
-                                                   .era = store->era,
-                                                   .draining = endpoint->said_leaving });
-  if (endpoint && ash_direct_removed (&router->endpoints, id, is_certain, until))
+    ash_tombstones_add (&store->tombstones,
+                        &(struct ash_tombstone){ .endpoint = endpoint->hash,
+                                                 .born_ms = endpoint->facts.born_ms,
+                                                 .era = store->era,
+                                                 .draining = endpoint->announced_leaving });
+  if (endpoint && ash_direct_remove (&router->endpoints, id, is_certain, until))
     {
       store->readers[ASH_STORE_SERVERS].list_changed = true;
       log_endpoint (router, ASH_EV_ENDPOINT_MISSING, &endpoint->facts, source);
@@ -148,7 +148,7 @@
   ash_log_event (&router->log, ASH_EV_ENTRY_UNUSABLE,
                  "endpoint=%.63s wrong=\"%s\" bytes=%zu used_before=%d source=%s", item->name,
                  wrong, item->value_bytes, endpoint && ash_direct_usable (endpoint), source);
-  if (endpoint && ash_direct_removed (&router->endpoints, item->name, true, (struct ash_time){ 0 }))
+  if (endpoint && ash_direct_remove (&router->endpoints, item->name, true, (struct ash_time){ 0 }))
     store->readers[ASH_STORE_SERVERS].list_changed = true;
   if (entry)
     remove_entry (store, entry);
@@ -162,12 +162,12 @@
   uint64_t endpoint = ash_hash_text (facts->id);
 
   if (facts->draining)
-    ash_departed_note (&store->departed, &(struct ash_departed_one){ .endpoint = endpoint,
+    ash_tombstones_add (&store->tombstones, &(struct ash_tombstone){ .endpoint = endpoint,
                                                                      .born_ms = facts->born_ms,
                                                                      .era = store->era,
                                                                      .draining = true });
-  else if (ash_departed_doubts (&store->departed, ash_clock_now (), endpoint, facts->born_ms,
-                                store->era))
+  else if (ash_tombstones_is_stale (&store->tombstones, ash_clock_now (), endpoint, facts->born_ms,
+                                    store->era))
     facts->draining = true;
 }
 
@@ -191,7 +191,7 @@
     }
   put_entry (store, item, position, &facts);
   record_departure (store, &facts);
-  if (!ash_direct_listed (&router->endpoints, &facts))
+  if (!ash_direct_update (&router->endpoints, &facts))
     return;
   store->readers[ASH_STORE_SERVERS].list_changed = true;
   router->capacity_freed = true;
@@ -325,7 +325,7 @@
 {
   uint64_t endpoint;
 
-  while ((endpoint = ash_departed_due (&store->departed, now)))
+  while ((endpoint = ash_tombstones_pop_expired (&store->tombstones, now)))
     {
       const struct ash_direct_endpoint *known =
           ash_direct_find_hash (&store->router->endpoints, endpoint);
@@ -433,8 +433,8 @@
     return true;
   if (list->since > endpoints->revision)
     return false;
-  if (ash_place_era (list->revision) > store->era)
-    ash_store_begin_era (store, ash_place_era (list->revision), source);
+  if (ash_store_position_era (list->revision) > store->era)
+    ash_store_begin_era (store, ash_store_position_era (list->revision), source);
   endpoints->revision = list->revision;
   if (list->doubtful_ms)
     extend_uncertainty (store, list->doubtful_ms);
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -53,7 +53,7 @@
                struct Ash__SuspectRun messages[],
                size_t count)
 {
-  struct Ash__SuspectRun *list[ASH_QUARANTINE_CUTS];
+  struct Ash__SuspectRun *list[ASH_QUARANTINE_DISCONNECTS];
   struct Ash__SuspectRuns runs = ASH__SUSPECT_RUNS__INIT;
   struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_SUSPECT_RUNS, &runs);
 
@@ -112,7 +112,7 @@
   ash_id_format (run->request, digest);
   ash_log_event (&suspects->router->log, ASH_EV_QUARANTINED,
                  "digest=%s ends=%u spoke=%d for_ms=%lld source=%s", digest,
-                 ash_quarantine_ends (&suspects->quarantine, run->request), run->spoke,
+                 ash_quarantine_exits (&suspects->quarantine, run->request), run->spoke,
                  (long long) left_ms, source);
   suspects->handler->quarantined (suspects->router, run->request);
 }
@@ -120,21 +120,21 @@
 static void
 handle_endpoint_end (struct ash_suspects *suspects,
                      uint64_t endpoint,
-                     enum ash_quarantine_proof proof)
+                     enum ash_quarantine_evidence proof)
 {
-  struct ash_quarantine_run found[ASH_QUARANTINE_CUTS];
-  struct Ash__SuspectRun messages[ASH_QUARANTINE_CUTS];
+  struct ash_quarantine_run found[ASH_QUARANTINE_DISCONNECTS];
+  struct Ash__SuspectRun messages[ASH_QUARANTINE_DISCONNECTS];
   struct ash_time now = ash_clock_now ();
   const struct ash_direct_endpoint *known =
       ash_direct_find_hash (&suspects->router->endpoints, endpoint);
-  size_t count = ash_quarantine_ended (&suspects->quarantine, endpoint, proof, now, found);
+  size_t count = ash_quarantine_note_exit (&suspects->quarantine, endpoint, proof, now, found);
 
   if (!count)
     return;
   suspects->ended++;
   ash_log_event (&suspects->router->log, ASH_EV_ENDPOINT_ENDED, "endpoint=%s requests=%zu proof=%s",
                  known ? known->facts.id : "-", count,
-                 proof == ASH_QUARANTINE_REFUSES ? "refuses" : "reborn");
+                 proof == ASH_QUARANTINE_CONNECT_REFUSED ? "refuses" : "reborn");
   for (size_t i = 0; i < count; i++)
     messages[i] = message_of (&found[i], now);
   send_messages (suspects, NULL, messages, count);
@@ -145,7 +145,7 @@
 void
 ash_suspects_record_restart (struct ash_suspects *suspects, uint64_t endpoint)
 {
-  handle_endpoint_end (suspects, endpoint, ASH_QUARANTINE_REBORN);
+  handle_endpoint_end (suspects, endpoint, ASH_QUARANTINE_RESTARTED);
 }
 
 /* @return whether the request was suspected of ending endpoints. */
@@ -195,7 +195,7 @@
       run.sent = ash_time_add (run.ended, -(int64_t) item->lasted_ms);
       if (item->cleared)
         clear_suspect (suspects, run.request, peer);
-      else if (ash_quarantine_take (&suspects->quarantine, &run))
+      else if (ash_quarantine_add_run (&suspects->quarantine, &run))
         report_quarantine (suspects, &run, now, peer);
     }
 }
@@ -220,7 +220,7 @@
 
   free_probe (probe);
   if (refused)
-    handle_endpoint_end (suspects, endpoint, ASH_QUARANTINE_REFUSES);
+    handle_endpoint_end (suspects, endpoint, ASH_QUARANTINE_CONNECT_REFUSED);
   suspects->handler->probed (suspects->router, endpoint);
 }
 
@@ -285,7 +285,7 @@
 {
   const struct ash_suspect_probe *probe;
 
-  ash_quarantine_cut (&suspects->quarantine, run);
+  ash_quarantine_note_disconnect (&suspects->quarantine, run);
   DL_FOREACH (suspects->probes, probe)
     if (probe->endpoint == run->endpoint)
       return;
--- a/net/peer.c
+++ b/net/peer.c
@@ -2,7 +2,7 @@
 
 #include "common/clock.h"
 #include "common/id.h"
-#include "controllers/talk.h"
+#include "controllers/peer_period.h"
 #include "net/bind.h"
 #include "net/handshake.h"
 #include "net/lateness.h"
@@ -365,8 +365,9 @@
 {
   const struct ash_peer_settings *settings = &link->peers->settings;
 
-  return ash_time_diff (link->heard, now) >
-         ash_talk_silence_ms (settings->link_silence_ms, settings->heartbeat_ms, link->period_ms);
+  return ash_time_diff (link->heard, now) > ash_peer_period_silence_ms (settings->link_silence_ms,
+                                                                        settings->heartbeat_ms,
+                                                                        link->period_ms);
 }
 
 /* @return whether the link is connected; if not, it is closed. */
