--- a/daemon/exchange.h
+++ b/daemon/exchange.h
@@ -46,7 +46,7 @@
   struct ash_route_table *table;
   const struct ash_route *route;
   const struct ash_route_account *account;
-  struct ash_request_facts facts;
+  struct ash_request_fields facts;
   struct ash_forward forward;
   struct ash_direct_endpoint
       *endpoint;                 /**< the endpoint at which the request is in flight; NULL: none */
@@ -144,7 +144,7 @@
  * @return the caller's request id for log lines; a placeholder if it contains characters that could
  * be read as further log fields.
  */
-const char *ash_request_log_id (const struct ash_request_facts *facts);
+const char *ash_request_log_id (const struct ash_request_fields *facts);
 
 /** @return the request id of an exchange for log lines: see ash_request_log_id(). */
 const char *ash_exchange_id (const struct ash_exchange *exchange);
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -51,7 +51,7 @@
 {
   int64_t ms = (int64_t) exchange->forward.aim_ms * SILENCE_AIM_FACTOR;
 
-  if (exchange->forward.began)
+  if (exchange->forward.answer_started)
     return EVENT_PAUSE_MAX_MS;
   return ms < SILENCE_MIN_MS ? SILENCE_MIN_MS : ms;
 }
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -53,7 +53,7 @@
 static void
 deny (struct ash_http_conn *conn, struct ash_router *router, uint16_t status, const char *why)
 {
-  struct ash_request_facts facts;
+  struct ash_request_fields facts;
 
   ash_platform_request_read (&conn->reader.head, &facts);
   refuse (conn, router, ash_request_log_id (&facts), status, why);
@@ -137,7 +137,7 @@
     .service = service->name,
     .cap = concurrency_limit (router, route, service),
     .pause_aim_ms = service->has_engine ? route->pause_aim_ms : 0,
-    .came = ash_clock_now (),
+    .arrived = ash_clock_now (),
   };
   if (forward->pause_aim_ms)
     forward->prompt = prompt_terms (exchange, service);
@@ -145,7 +145,7 @@
    * suspension is subtracted from its deadline, or an endpoint would work for a caller that has
    * given up. */
   forward->deadline =
-      ash_time_add (forward->came, (int64_t) max_ms - DEADLINE_MARGIN_MS - router->suspended_ms);
+      ash_time_add (forward->arrived, (int64_t) max_ms - DEADLINE_MARGIN_MS - router->suspended_ms);
 }
 
 /* Whether a planned stop may end before the request does. The request would then be aborted, and
@@ -156,16 +156,16 @@
 {
   const struct ash_router *router = exchange->router;
   const struct ash_forward *forward = &exchange->forward;
-  int64_t max_ms = ash_time_diff (forward->came, forward->deadline);
+  int64_t max_ms = ash_time_diff (forward->arrived, forward->deadline);
 
   if (!router->stopping)
     return false;
   if (router->stop_expired)
     return true;
   if (max_ms > USUAL_DURATION_MS &&
-      ash_time_diff (router->stop_started_at, forward->came) <= STOP_EARLY_PHASE_MS)
+      ash_time_diff (router->stop_started_at, forward->arrived) <= STOP_EARLY_PHASE_MS)
     max_ms = USUAL_DURATION_MS;
-  return ash_time_diff (forward->came, ash_router_stop_deadline (router)) < max_ms;
+  return ash_time_diff (forward->arrived, ash_router_stop_deadline (router)) < max_ms;
 }
 
 static void
@@ -177,7 +177,7 @@
   const char *host = ash_http_field (head, "Host");
   const struct ash_route_account *account = NULL;
   const struct ash_route *route;
-  struct ash_request_facts facts;
+  struct ash_request_fields facts;
   struct ash_exchange *exchange;
 
   ash_platform_request_read (head, &facts);
@@ -214,7 +214,7 @@
   exchange->facts = facts;
   init_forward (exchange);
   ash_resend_window_request (&ash_router_service (router, exchange->forward.service)->window,
-                             &bound, exchange->forward.came);
+                             &bound, exchange->forward.arrived);
   if (may_outlast_stop (exchange))
     ash_exchange_end_with_status (exchange, 503, ASH_FORWARD_LEAVING, STOP_RETRY_AFTER_MS);
   else
