--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -188,13 +188,13 @@
   struct ash_exchange_answer *answer = &exchange->answer;
 
   ev_timer_stop (exchange->router->loop, &exchange->timer);
-  if (end == ASH_CALL_WHOLE && !answer->invalid &&
-      (!answer->is_event_stream || ash_event_stream_whole (&exchange->event_stream)))
+  if (end == ASH_CALL_COMPLETE && !answer->invalid &&
+      (!answer->is_event_stream || ash_event_stream_is_empty (&exchange->event_stream)))
     {
       handle_complete_answer (exchange);
       return;
     }
-  if (end == ASH_CALL_CUT)
+  if (end == ASH_CALL_TRUNCATED)
     ash_exchange_record_disconnect (exchange);
   ash_exchange_record_evidence (exchange, end == ASH_CALL_NOT_SENT ? ASH_DIRECT_UNREACHABLE
                                                                    : ASH_DIRECT_BROKEN);
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -99,8 +99,8 @@
 ash_exchange_close_idle_connections (struct ash_exchange *exchange, struct ash_time now)
 {
   exchange->idle_valid_since = valid_since (exchange, now);
-  ash_http_pool_doubt (ash_router_pool (exchange->router, exchange->endpoint),
-                       exchange->idle_valid_since);
+  ash_http_pool_close_idle (ash_router_pool (exchange->router, exchange->endpoint),
+                            exchange->idle_valid_since);
 }
 
 bool
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -240,7 +240,7 @@
 }
 
 static uint32_t
-beat_period_ms (void *data, const char *box)
+heartbeat_period_ms (void *data, const char *box)
 {
   const struct ash_fleet *fleet = data;
   const struct ash_fleet_peer *peer = find_peer (fleet, box);
@@ -274,7 +274,7 @@
   links->handler = (struct ash_sink){ on_event, fleet };
   links->revision = config_version;
   links->heartbeat = own_heartbeat;
-  links->period_ms = beat_period_ms;
+  links->period_ms = heartbeat_period_ms;
   links->data = fleet;
   if (!ash_peers_init (links, router->loop))
     return false;
@@ -310,13 +310,13 @@
 void
 ash_fleet_reset_links (struct ash_fleet *fleet)
 {
-  ash_peers_reset (&fleet->links);
+  ash_peers_close_links (&fleet->links);
 }
 
 void
 ash_fleet_announce_stop (struct ash_fleet *fleet)
 {
-  ash_peers_beat (&fleet->links);
+  ash_peers_send_heartbeats (&fleet->links);
 }
 
 void
@@ -324,7 +324,7 @@
 {
   for (struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && ash_fleet_audience_of (fleet, peer) == ASH_FLEET_NEAR)
-      ash_peers_beat_one (&fleet->links, peer->box);
+      ash_peers_send_heartbeat (&fleet->links, peer->box);
 }
 
 void
@@ -354,7 +354,7 @@
   /* This router has become ready or unready for callers: peers that get heartbeats seldom must know
    * now. */
   if (ready != fleet->ready_sent)
-    ash_peers_beat (&fleet->links);
+    ash_peers_send_heartbeats (&fleet->links);
   /* The routers of the own hall choose who reads the store by whether it answers each of them. */
   else if (answered != fleet->store_answered)
     ash_fleet_notify_hall (fleet);
--- a/daemon/rank_client.h
+++ b/daemon/rank_client.h
@@ -23,7 +23,7 @@
   struct ash_http_call call;
   struct ash_rank_endpoint *box;
   bool is_order;
-  enum ash_rank_question question;
+  enum ash_rank_query_type question;
   struct ash_rank_order order;
   uint16_t status;
   struct ash_buffer answer;
@@ -84,7 +84,7 @@
 bool ash_rank_group_map_is_known (const struct ash_rank_group *group);
 
 /** Asks a rank. */
-void ash_rank_query (struct ash_rank_endpoint *box, enum ash_rank_question question);
+void ash_rank_query (struct ash_rank_endpoint *box, enum ash_rank_query_type question);
 
 /** Sends the orders that are due. */
 void ash_rank_group_send_orders (struct ash_rank_group *group, struct ash_map_manager *groups);
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -99,7 +99,7 @@
   for (struct ash_direct_endpoint *endpoint = router->endpoints.endpoints; endpoint;
        endpoint = endpoint->hh.next)
     if (endpoint->owner)
-      ash_http_pool_doubt (endpoint->owner, since);
+      ash_http_pool_close_idle (endpoint->owner, since);
 }
 
 static void
@@ -126,7 +126,7 @@
   ash_suspects_record_restart (&router->suspects, endpoint->hash);
   ash_map_manager_remove_endpoint (&router->groups, endpoint->hash);
   if (endpoint->owner)
-    ash_http_pool_move (endpoint->owner, endpoint->facts.address);
+    ash_http_pool_set_address (endpoint->owner, endpoint->facts.address);
 }
 
 /* ---- configuration ---- */
@@ -243,7 +243,7 @@
 {
   router->stop_expired = true;
   ash_requests_abort_all (router);
-  ash_http_listener_shut (&router->frontend);
+  ash_http_listener_stop_accepting (&router->frontend);
   set_stop_timer (router, STOP_FLUSH_MS);
 }
 
--- a/daemon/store.c
+++ b/daemon/store.c
@@ -252,7 +252,7 @@
   bool first =
       !store->era && !reader->position && reader->state == ASH_STORE_LISTING && !*reader->page;
 
-  if (reader->era_status == ASH_STORE_ERA_BAD)
+  if (reader->era_status == ASH_STORE_ERA_INVALID)
     {
       handle_failure (reader, "its era can't be read");
       return false;
@@ -282,7 +282,7 @@
 handle_answer (struct ash_store_reader *reader)
 {
   struct ash_router *router = reader->router;
-  struct ash_store_taker taker = { handle_item, reader };
+  struct ash_store_item_handler taker = { handle_item, reader };
   struct ash_store_answer answer;
   bool listing = reader->state == ASH_STORE_LISTING;
   uint64_t since = reader->position;
@@ -367,9 +367,9 @@
   struct ash_store_reader *reader = call->owner;
 
   ev_timer_stop (reader->router->loop, &reader->timer);
-  if (end == ASH_CALL_WHOLE && ash_time_before (reader->overdue_at, ash_clock_now ()))
+  if (end == ASH_CALL_COMPLETE && ash_time_before (reader->overdue_at, ash_clock_now ()))
     reader->last_outage = ash_clock_now ();
-  if (end == ASH_CALL_WHOLE)
+  if (end == ASH_CALL_COMPLETE)
     handle_answer (reader);
   else
     handle_failure (reader, end == ASH_CALL_NOT_SENT ? "can't connect" : "cut off");
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -235,7 +235,7 @@
 static void
 on_probe_end (struct ash_stream *stream, enum ash_stream_end end)
 {
-  finish_probe (stream->owner, end == ASH_STREAM_NO_CONNECT && stream->refused);
+  finish_probe (stream->owner, end == ASH_STREAM_CONNECT_FAILED && stream->refused);
 }
 
 /* The connection has been established: the endpoint still runs. */
