--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -200,7 +200,7 @@
 split_rate (const struct ash_fleet *fleet,
             struct ash_direct_endpoint *endpoint,
             struct ash_time now,
-            uint64_t members)
+            uint64_t routers_digest)
 {
   const struct ash_router_settings *settings = &fleet->router->settings;
   uint64_t own_order = ash_rate_limit_order (endpoint->hash, ash_hash_text (settings->box));
@@ -213,25 +213,25 @@
         count++;
         before += precedes_self (endpoint, peer, settings->hall, own_order);
       }
-  ash_rate_limit_assign (&endpoint->limit, now, members, count, before);
+  ash_rate_limit_assign (&endpoint->limit, now, routers_digest, count, before);
 }
 
 void
 ash_fleet_split_rates (struct ash_fleet *fleet, struct ash_time now)
 {
-  uint64_t members = 0; /* computed only if an endpoint has a rate limit */
+  uint64_t routers_digest = 0; /* computed only if an endpoint has a rate limit */
 
   for (struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints; endpoint;
        endpoint = endpoint->hh.next)
     {
       if (!endpoint->limit.milli_per_s)
         continue;
-      members = members ? members : members_digest (fleet, now);
+      routers_digest = routers_digest ? routers_digest : members_digest (fleet, now);
       /* A stopping router gets no part: the other routers split the limit without it as soon as
        * they know that it stops. */
       if (fleet->router->stopping)
         ash_rate_limit_release (&endpoint->limit);
-      else if (endpoint->limit.members != members)
-        split_rate (fleet, endpoint, now, members);
+      else if (endpoint->limit.routers_digest != routers_digest)
+        split_rate (fleet, endpoint, now, routers_digest);
     }
 }
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -484,7 +484,7 @@
     randombytes_buf (&router->incarnation, sizeof router->incarnation);
   ash_random_init (&router->random, router->incarnation);
   ash_direct_init (&router->endpoints, ash_random_next (&router->random));
-  router->endpoints.leaving = on_endpoint_removed;
+  router->endpoints.before_free = on_endpoint_removed;
   router->endpoints.restarted = on_endpoint_restarted;
   router->endpoints.data = router;
   ash_metrics_init (&router->metrics);
