--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -50,7 +50,7 @@
 
 /* Freed by the sweep: a handler further up may still hold it. */
 static void
-close_conn (struct ash_http_conn *conn)
+close_caller (struct ash_http_conn *conn)
 {
   ash_stream_finish (&conn->stream);
   drop_body (conn);
@@ -202,7 +202,7 @@
       if (!conn->chunked)
         {
           ash_stream_reset (&conn->stream);
-          close_conn (conn);
+          close_caller (conn);
           conn->request = NULL;
           return;
         }
@@ -327,7 +327,7 @@
   bool serving = conn->state == ASH_CONN_SERVING;
 
   (void) end;
-  close_conn (conn);
+  close_caller (conn);
   if (serving)
     conn->listener->handler->disconnected (conn);
 }
@@ -419,7 +419,7 @@
   if (conn->listener->closing)
     idle_ms = conn->had_request ? -1 : FIRST_REQUEST_WAIT_MS;
   if (ash_time_diff (conn->since, now) > idle_ms && !has_unread (conn))
-    close_conn (conn);
+    close_caller (conn);
 }
 
 static void
@@ -445,7 +445,7 @@
       break;
     case ASH_CONN_CLOSING:
       if (age_ms > CLOSING_TIMEOUT_MS)
-        close_conn (conn);
+        close_caller (conn);
       break;
     case ASH_CONN_SERVING:
       break;
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -43,7 +43,7 @@
   uint64_t number;
   enum exchange_state state;
   char *uri;
-  bool begun; /* the library has handed out the headers */
+  bool headers_received; /* the library has handed out the headers */
   bool suspended;
   bool too_large;
   struct ash_time since;
@@ -253,9 +253,9 @@
   (void) connection;
   if (!exchange)
     return MHD_NO;
-  if (!exchange->begun)
+  if (!exchange->headers_received)
     {
-      exchange->begun = true;
+      exchange->headers_received = true;
       return MHD_YES;
     }
   if (*upload_bytes)
@@ -519,7 +519,7 @@
  * suspended connection. A caller that only shuts down its sending side counts
  * as gone too. */
 static bool
-is_disconnected (const struct ash_http_exchange *exchange)
+is_closed (const struct ash_http_exchange *exchange)
 {
   char byte;
   ssize_t length =
@@ -555,7 +555,7 @@
   (void) events;
   HASH_ITER (hh, server->exchanges, exchange, next)
     {
-      if (exchange->suspended && is_disconnected (exchange))
+      if (exchange->suspended && is_closed (exchange))
         {
           /* The error surfaces in read_pending() or on writing the answer. */
           server->handler.gone (server->handler.data, exchange->number);
