--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -10,11 +10,11 @@
 #define MS_PER_S 1000.0
 #define MILLI 1000.0
 
-/* What peers are reported of changes only is reported whole this often, in messages: what one
- * missed of an endpoint that it did not know yet is right a second later. */
-#define TELL_ALL_EVERY 20
+/* One load report in this many contains all endpoints, the others only changes. A full report
+ * corrects, within a second, changes that a peer ignored because it did not know the endpoint
+ * yet. */
+#define FULL_REPORT_EVERY 20
 
-/* Takes back what the peer said last. */
 void
 ash_fleet_clear_loads (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
@@ -25,7 +25,7 @@
       struct ash_direct_endpoint *endpoint = ash_direct_find_hash (set, peer->load_endpoints[i]);
       uint32_t load = (uint32_t) peer->load_in_flight[i];
 
-      /* An endpoint that was listed after the peer's word has nothing to take back. */
+      /* An endpoint that was added after the peer's report does not include the peer's load. */
       if (endpoint)
         endpoint->elsewhere -= load < endpoint->elsewhere ? load : endpoint->elsewhere;
     }
@@ -36,9 +36,10 @@
   peer->load_count = 0;
 }
 
-/* Those that a peer that watches groups tells to be slow. */
+/* Applies the paces of slow endpoints, as reported by the router that leads the changes of expert
+ * maps. */
 static void
-take_slow (struct ash_fleet *fleet, const struct Ash__EndpointLoads *loads)
+apply_slow (struct ash_fleet *fleet, const struct Ash__EndpointLoads *loads)
 {
   struct ash_time now = ash_clock_now ();
 
@@ -68,7 +69,7 @@
   return true;
 }
 
-/* There is room for one more. */
+/* Sets a peer's load at an endpoint. The peer's arrays must have room for another entry. */
 static void
 set_load (struct ash_fleet *fleet, struct ash_fleet_peer *peer, uint64_t hash, uint64_t in_flight)
 {
@@ -101,8 +102,8 @@
 
   if (!loads->changes)
     ash_fleet_clear_loads (fleet, peer);
-  fleet->router->room = true;
-  take_slow (fleet, loads);
+  fleet->router->capacity_freed = true;
+  apply_slow (fleet, loads);
   if (!count || count != loads->n_in_flight || count > ASH_FLEET_LOADS_MAX)
     return;
   if (!make_room (peer, peer->load_count + count))
@@ -114,7 +115,8 @@
     set_load (fleet, peer, loads->endpoints[i], loads->in_flight[i]);
 }
 
-/* Only what was reported here first: what peers tell is not reported on, or it would never end. */
+/* Lists slow endpoints, only at the router that leads the changes of expert maps and measures their
+ * pace. If other routers forwarded its reports, slow endpoints would be reported forever. */
 static size_t
 list_slow (const struct ash_fleet *fleet,
            uint64_t slow[ASH_FLEET_SLOW_MAX],
@@ -138,8 +140,8 @@
   return count;
 }
 
-/* Fills in this router's own work: at each endpoint, or where it has changed since the audience was
- * last reported. */
+/* Fills in this router's requests in flight: at all endpoints, or only where they have changed
+ * since the last report to the audience. */
 static void
 list_loads (const struct ash_fleet *fleet, int audience, struct Ash__EndpointLoads *loads)
 {
@@ -158,7 +160,6 @@
   loads->n_in_flight = loads->n_endpoints;
 }
 
-/* A peer whose hall is not known yet counts as near. */
 int
 ash_fleet_audience_of (const struct ash_fleet *fleet, const struct ash_fleet_peer *peer)
 {
@@ -167,10 +168,10 @@
   return is_near ? ASH_FLEET_NEAR : ASH_FLEET_FAR;
 }
 
-/* One that has just come knows nothing of this router's work. Nobody else is reported, or each
- * router that comes would have all tell all. */
+/* Sends all loads to peers that have just connected. The other peers get nothing, or each new
+ * router would cause full reports among all routers. */
 static void
-tell_untold (struct ash_fleet *fleet)
+send_full_reports (struct ash_fleet *fleet)
 {
   uint64_t endpoints[ASH_FLEET_LOADS_MAX];
   uint64_t in_flight[ASH_FLEET_LOADS_MAX];
@@ -204,17 +205,17 @@
 }
 
 static void
-tell_loads (struct ash_fleet *fleet, int audience)
+report_loads (struct ash_fleet *fleet, int audience)
 {
   uint64_t endpoints[ASH_FLEET_LOADS_MAX];
   uint64_t in_flight[ASH_FLEET_LOADS_MAX];
   uint64_t slow[ASH_FLEET_SLOW_MAX];
   uint32_t slow_milli[ASH_FLEET_SLOW_MAX];
   struct Ash__EndpointLoads loads = ASH__ENDPOINT_LOADS__INIT;
-  struct ash_fleet_audience *reported = &fleet->audiences[audience];
+  struct ash_fleet_audience *report = &fleet->audiences[audience];
 
-  loads.changes = reported->tells > 0;
-  reported->tells = (reported->tells + 1) % TELL_ALL_EVERY;
+  loads.changes = report->delta_count > 0;
+  report->delta_count = (report->delta_count + 1) % FULL_REPORT_EVERY;
   loads.endpoints = endpoints;
   loads.in_flight = in_flight;
   list_loads (fleet, audience, &loads);
@@ -226,7 +227,7 @@
 }
 
 static void
-on_tell (struct ev_loop *loop, ev_timer *timer, int events)
+on_report_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct ash_fleet *fleet = timer->data;
   uint32_t period_ms = fleet->router->settings.load_period_ms;
@@ -235,19 +236,20 @@
 
   (void) loop;
   (void) events;
-  tell_untold (fleet);
+  send_full_reports (fleet);
   for (int i = 0; i < ASH_DIRECT_AUDIENCES; i++)
     {
       struct ash_fleet_audience *audience = &fleet->audiences[i];
       uint32_t due_ms = i == ASH_FLEET_FAR ? far_ms : period_ms;
 
-      /* Half a period early is nearer than half a period late. */
+      /* Rounds to the nearest period of the timer: half a period early is closer than half a period
+       * late. */
       if (!audience->loads_changed ||
-          ash_time_diff (audience->reported, now) + period_ms / 2 < due_ms)
+          ash_time_diff (audience->last_sent, now) + period_ms / 2 < due_ms)
         continue;
       audience->loads_changed = false;
-      audience->reported = now;
-      tell_loads (fleet, i);
+      audience->last_sent = now;
+      report_loads (fleet, i);
     }
 }
 
@@ -263,7 +265,7 @@
 {
   double period_s = fleet->router->settings.load_period_ms / MS_PER_S;
 
-  ev_timer_init (&fleet->report_timer, on_tell, period_s, period_s);
+  ev_timer_init (&fleet->report_timer, on_report_timer, period_s, period_s);
   fleet->report_timer.data = fleet;
   ev_timer_start (fleet->router->loop, &fleet->report_timer);
 }
--- a/daemon/peer_sync.c
+++ b/daemon/peer_sync.c
@@ -5,19 +5,22 @@
 #include <inttypes.h>
 #include <stdlib.h>
 
-/* The store brings a change to all routers within some 30 ms, and heartbeats tell of it at most
- * one period (300 ms) later. Whoever lacks it so long after has a question that is silent. */
-#define CONFIG_BEHIND_MS 300
+/* How long this router may lack a configuration that peers have. The store reports a change to all
+ * routers within some 30 ms, and heartbeats report it at most one period (300 ms) later, so a
+ * router that lacks it longer has a dead watch. */
+#define CONFIG_LAG_MS 300
 
-/* Changes of the list may be gathered for 400 ms before they are asked for. */
-#define LIST_BEHIND_MS 700
+/* How long this router may lack a change of the list of endpoints: as CONFIG_LAG_MS, plus the 400
+ * ms for which the store's readers may collect changes. */
+#define LIST_LAG_MS 700
 
-/* The same for a router that is told of changes by others of its hall: these come within a few ms
- * after the store's answer, or after the 400 ms for which answers are gathered. */
-#define TOLD_BEHIND_MS 500
+/* How long a router that gets the list's changes from others of its hall may lack one: changes
+ * arrive a few ms after the store's answer to the others, or after the 400 ms for which they
+ * collect changes. */
+#define FOLLOWED_LAG_MS 500
 
-/* A peer that was asked and has not answered by then is as silent: another one is asked. */
-#define ASK_PERIOD_MS 500
+/* After this long without an answer a request is sent to another peer. */
+#define REQUEST_PERIOD_MS 500
 
 void
 ash_peer_sync_open (struct ash_peer_sync *peer_sync, struct ash_router *router)
@@ -25,7 +28,7 @@
   *peer_sync = (struct ash_peer_sync){ .router = router };
 }
 
-/* A configuration that was looked at and refused for its findings is not missing. */
+/* A configuration that was rejected for errors is not missing. */
 static uint64_t
 own_revision (const struct ash_router *router, enum ash_store_part part)
 {
@@ -36,10 +39,10 @@
   return version > router->refused_version ? version : router->refused_version;
 }
 
-/* ---- asking ---- */
+/* ---- requests ---- */
 
 static void
-ask_peer (struct ash_router *router, enum ash_store_part part, const char *box)
+request_from_peer (struct ash_router *router, enum ash_store_part part, const char *box)
 {
   struct Ash__ConfigWant config_want = ASH__CONFIG_WANT__INIT;
   struct Ash__EndpointListWant list_want = ASH__ENDPOINT_LIST_WANT__INIT;
@@ -59,43 +62,47 @@
 }
 
 static int64_t
-patience_ms (const struct ash_router *router, enum ash_store_part part)
+allowed_lag_ms (const struct ash_router *router, enum ash_store_part part)
 {
   if (ash_store_is_polled (&router->store, part))
-    return part == ASH_STORE_CONFIG ? CONFIG_BEHIND_MS : LIST_BEHIND_MS;
-  /* Those that ask for this router tell what is new, and may do so a little later than a word from
-   * another hall. Nothing is to be waited for from a store that does not answer. */
-  return ash_store_is_followed (&router->store, part) ? TOLD_BEHIND_MS : 0;
+    return part == ASH_STORE_CONFIG ? CONFIG_LAG_MS : LIST_LAG_MS;
+  /* The routers that read the store for this one forward changes, possibly a little later than a
+   * heartbeat from another hall arrives. If the store does not answer, there is nothing to wait
+   * for. */
+  return ash_store_is_followed (&router->store, part) ? FOLLOWED_LAG_MS : 0;
 }
 
-/* A question at the store that says nothing looks the same whether nothing is new or nothing
- * comes through. What peers have tells the two apart: without it a router that had been cut off
- * stayed 5 s behind after the cut, with it 0.6 s at most from when a peer has the change. */
+/* Checks whether peers have a newer revision of a part for too long, and requests it from one of
+ * them. A watch that returns nothing looks the same whether there is no change or the connection
+ * is dead; the peers' revisions show which. Without this check a router that had been isolated
+ * remained outdated for 5 s afterwards, with it for 0.6 s at most from when a peer has the
+ * change. */
 static void
-follow (struct ash_peer_sync *peer_sync, enum ash_store_part part, struct ash_time now)
+check_part (struct ash_peer_sync *peer_sync, enum ash_store_part part, struct ash_time now)
 {
   struct ash_router *router = peer_sync->router;
-  struct ash_peer_version *news = &peer_sync->news[part];
+  struct ash_peer_version *revisions = &peer_sync->peer_revisions[part];
   uint64_t own = own_revision (router, part);
   const struct ash_fleet_peer *peer;
 
-  if (!ash_peer_version_is_behind (news, now, own, patience_ms (router, part)) ||
-      ash_time_diff (peer_sync->asked[part], now) < ASK_PERIOD_MS)
+  if (!ash_peer_version_is_behind (revisions, now, own, allowed_lag_ms (router, part)) ||
+      ash_time_diff (peer_sync->last_request[part], now) < REQUEST_PERIOD_MS)
     return;
   if (part == ASH_STORE_SERVERS)
-    ash_store_expect_lapses (&router->store, news->since);
-  peer = ash_fleet_peer_with (&router->fleet, part, news->newest);
-  peer_sync->asked[part] = now;
+    ash_store_expect_lapses (&router->store, revisions->since);
+  peer = ash_fleet_peer_with (&router->fleet, part, revisions->newest);
+  peer_sync->last_request[part] = now;
   ash_log_event (&router->log, ASH_EV_BEHIND_PEERS,
                  "part=%d version=%" PRIu64 " newest=%" PRIu64
                  " for_ms=%lld store_answers=%d age_ms=%lld asked=%s",
-                 (int) part, own, news->newest, (long long) ash_time_diff (news->since, now),
+                 (int) part, own, revisions->newest,
+                 (long long) ash_time_diff (revisions->since, now),
                  ash_store_is_answering (&router->store, part),
-                 (long long) ash_time_diff (router->store.readers[part].answered, now),
+                 (long long) ash_time_diff (router->store.readers[part].last_answer, now),
                  peer ? peer->box : "-");
   if (peer)
-    ask_peer (router, part, peer->box);
-  ash_store_restart_watch (&router->store, part, "peers have something newer");
+    request_from_peer (router, part, peer->box);
+  ash_store_restart_watch (&router->store, part, "peers have a newer revision");
 }
 
 void
@@ -106,7 +113,7 @@
   struct ash_router *router = peer_sync->router;
 
   if (!ash_store_apply_list (&router->store, list, box))
-    ask_peer (router, ASH_STORE_SERVERS, box);
+    request_from_peer (router, ASH_STORE_SERVERS, box);
 }
 
 void
@@ -115,14 +122,15 @@
                            const struct ash_fleet_peer *peer)
 {
   const struct ash_router *router = peer_sync->router;
-  struct ash_peer_version *list = &peer_sync->news[ASH_STORE_SERVERS];
+  struct ash_peer_version *list = &peer_sync->peer_revisions[ASH_STORE_SERVERS];
   uint64_t own_list = own_revision (router, ASH_STORE_SERVERS);
 
-  ash_peer_version_reported (&peer_sync->news[ASH_STORE_CONFIG], now, peer->version,
+  ash_peer_version_reported (&peer_sync->peer_revisions[ASH_STORE_CONFIG], now, peer->version,
                              own_revision (router, ASH_STORE_CONFIG));
-  /* The revision of a list grows with whatever changes in the store, so only lists that differ
-   * count. They do for some ms at each change that comes to a peer first. Of a peer that tells no
-   * digest nobody knows whether its list differs: it is of use only without the store. */
+  /* The revision of the list grows with every change in the store, so only lists with other
+   * contents count. Contents differ for some ms at each change that a peer receives first. If a
+   * peer reports no digest, its list can't be compared and counts only while the store does not
+   * answer. */
   if (!peer->endpoints_digest && ash_store_is_answering (&router->store, ASH_STORE_SERVERS))
     ash_peer_version_equal (list, now, own_list, own_list);
   else if (peer->endpoints_digest != router->store.digest)
@@ -135,14 +143,14 @@
 void
 ash_peer_sync_tick (struct ash_peer_sync *peer_sync, struct ash_time now)
 {
-  follow (peer_sync, ASH_STORE_CONFIG, now);
-  follow (peer_sync, ASH_STORE_SERVERS, now);
+  check_part (peer_sync, ASH_STORE_CONFIG, now);
+  check_part (peer_sync, ASH_STORE_SERVERS, now);
 }
 
 bool
 ash_peer_sync_config_is_behind (struct ash_peer_sync *peer_sync, struct ash_time now)
 {
-  return ash_peer_version_is_behind (&peer_sync->news[ASH_STORE_CONFIG], now,
+  return ash_peer_version_is_behind (&peer_sync->peer_revisions[ASH_STORE_CONFIG], now,
                                      own_revision (peer_sync->router, ASH_STORE_CONFIG), 0);
 }
 
@@ -156,7 +164,8 @@
   struct ash_fleet *fleet = &peer_sync->router->fleet;
   struct Ash__ConfigDelta *delta = NULL;
 
-  /* With the former one unknown, those that follow ask for the whole text once they hear of it. */
+  /* Without a previous text, the routers that follow request the whole text when a heartbeat
+   * reports its version. */
   if (before->length)
     delta = ash_config_delta_make (before, after);
   if (delta)
@@ -169,8 +178,9 @@
   ash_fleet_notify_hall (fleet);
 }
 
-/* One that does not fit is left: another of those that ask may have told of the steps between, and
- * if not, the heartbeats will show that something is missing. */
+/* A difference from another version than the active one is ignored: another router that reads the
+ * store may have sent the steps between, and if not, heartbeats will show that something is
+ * missing. */
 void
 ash_peer_sync_apply_delta (struct ash_peer_sync *peer_sync,
                            const struct Ash__ConfigDelta *delta,
@@ -190,7 +200,7 @@
   free (text);
 }
 
-/* ---- answering ---- */
+/* ---- answers to requests ---- */
 
 void
 ash_peer_sync_send_config (struct ash_peer_sync *peer_sync, const char *box)
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -10,28 +10,30 @@
 
 #define TICK_S 0.1
 
-/* A gap in the loop's turns so long means that the process was stopped. */
-#define PAUSE_MS 1000
+/* A longer gap between two iterations of the event loop means that the process was suspended. */
+#define SUSPEND_GAP_MS 1000
 
-/* In a planned stop: how long callers may still come by an address that they keep,
- * against the time that an answer may be kept. */
-#define KEEP_TIMES 3
+/* In a planned stop callers may still come for this multiple of address_keep_ms, the time for which
+ * they may cache the router's address. */
+#define ADDRESS_KEEP_FACTOR 3
 
-/* Left of the time to stop when what is still under way is given up: for the answers to be read,
- * and the rest for a busy small box to come round and end. */
+/* Requests are aborted this long before the time to stop is over: callers must still read the
+ * answers, and a small busy box needs the rest until its process has exited. */
 #define STOP_MARGIN_MS 400
 
-/* A connection to an endpoint whose kernel answers nothing for so long is given up, also while it
- * rests: a probe after a second and its answer. Idle ones are kept for up to 3.3 s. A packet that
- * was lost is sent again after 0.2, 0.6 and 1.4 s, and then only after 3. */
+/* A connection to an endpoint, also an idle one, is closed if the endpoint's kernel has
+ * acknowledged nothing for this long: a keep-alive probe after a second and the time for its
+ * answer. Idle connections are kept for up to 3.3 s. A lost packet is retransmitted after 0.2, 0.6
+ * and 1.4 s, and then only after 3 s. */
 #define ENDPOINT_SILENCE_MS 2000
 
-/* How long callers may take to read the last answers. Those that read take some milliseconds; a
- * connection closed sooner loses what its socket did not take at once. */
+/* How long callers have to read the last answers. It takes them some milliseconds; closing a
+ * connection sooner loses the data that its socket could not send immediately. */
 #define STOP_FLUSH_MS 150
 
-/* What came while this process was away is read within some milliseconds after. */
-#define WOKE_MS 50
+/* Data that arrived while the process was suspended is read within some milliseconds of its
+ * resumption. */
+#define RESUME_READ_MS 50
 
 #define MS_PER_S 1000.0
 
@@ -57,7 +59,7 @@
 struct ash_router_service *
 ash_router_service (struct ash_router *router, const char *name)
 {
-  static struct ash_router_service none; /* without memory nothing is sent again for long */
+  static struct ash_router_service fallback; /* used when out of memory; its budget is soon spent */
   struct ash_router_service *found;
 
   HASH_FIND_STR (router->services, name, found);
@@ -65,7 +67,7 @@
     return found;
   found = calloc (1, sizeof *found);
   if (!found)
-    return &none;
+    return &fallback;
   snprintf (found->name, sizeof found->name, "%s", name);
   HASH_ADD_STR (router->services, name, found);
   return found;
@@ -82,8 +84,9 @@
     return pool;
   pool = calloc (1, sizeof *pool);
   if (pool && !ash_http_pool_init (pool, router->loop, endpoint->facts.address))
-    ash_log_event (&router->log, ASH_EV_CONFIG_REFUSED, "endpoint=%s address=%s why=\"no address\"",
-                   endpoint->facts.id, endpoint->facts.address);
+    ash_log_event (&router->log, ASH_EV_CONFIG_REFUSED,
+                   "endpoint=%s address=%s why=\"invalid address\"", endpoint->facts.id,
+                   endpoint->facts.address);
   if (pool)
     pool->silence_ms = ENDPOINT_SILENCE_MS;
   endpoint->owner = pool;
@@ -100,7 +103,7 @@
 }
 
 static void
-on_leaving (void *data, struct ash_direct_endpoint *endpoint)
+on_endpoint_removed (void *data, struct ash_direct_endpoint *endpoint)
 {
   struct ash_router *router = data;
 
@@ -111,10 +114,10 @@
   endpoint->owner = NULL;
 }
 
-/* What is idle stands before the former life, and may be as silent as it is; so may the questions
- * to a rank. */
+/* Idle connections and requests to the endpoint's rank belong to its former process, and may be as
+ * dead as that process. */
 static void
-on_reborn (void *data, struct ash_direct_endpoint *endpoint)
+on_endpoint_restarted (void *data, struct ash_direct_endpoint *endpoint)
 {
   struct ash_router *router = data;
 
@@ -150,16 +153,15 @@
                    findings->items[i].text, (unsigned long long) ash_router_version (router));
 }
 
-/* Both are the router's from now on. */
+/* Activates a configuration. Takes ownership of table and text. */
 static void
-put_in_force (struct ash_router *router,
-              struct ash_route_table *table,
-              char *text,
-              size_t text_bytes)
+activate_config (struct ash_router *router,
+                 struct ash_route_table *table,
+                 char *text,
+                 size_t text_bytes)
 {
-  char *former_text = router->config_text;
-  struct ash_config_text before = { ash_router_version (router), former_text,
-                                    router->config_bytes };
+  char *old_text = router->config_text;
+  struct ash_config_text before = { ash_router_version (router), old_text, router->config_bytes };
   struct ash_config_text after = { table->version, text, text_bytes };
 
   ash_route_table_unref (router->table);
@@ -169,7 +171,7 @@
   apply_limits (router);
   if (ash_store_is_polled (&router->store, ASH_STORE_CONFIG))
     ash_peer_sync_publish_config (&router->peer_sync, &before, &after);
-  free (former_text);
+  free (old_text);
 }
 
 void
@@ -203,10 +205,10 @@
                  (unsigned long long) table->version,
                  (unsigned long long) ash_router_version (router), source, table->route_count,
                  table->service_count, table->account_count);
-  put_in_force (router, table, copy, text_bytes);
+  activate_config (router, table, copy, text_bytes);
 }
 
-/* ---- time and signals ---- */
+/* ---- timers and signals ---- */
 
 struct ash_time
 ash_router_stop_deadline (const struct ash_router *router)
@@ -216,9 +218,9 @@
 }
 
 static bool
-nothing_left (const struct ash_router *router, struct ash_time now)
+stop_is_complete (const struct ash_router *router, struct ash_time now)
 {
-  int64_t keep_ms = (int64_t) router->settings.address_keep_ms * KEEP_TIMES;
+  int64_t keep_ms = (int64_t) router->settings.address_keep_ms * ADDRESS_KEEP_FACTOR;
 
   return ash_time_diff (router->stop_started_at, now) > keep_ms &&
          !ash_map_manager_holds_step (&router->groups) &&
@@ -234,10 +236,10 @@
   ev_timer_start (router->loop, &router->stop_timer);
 }
 
-/* The last that happens before the process ends. The requests go first: each stands on its caller's
- * connection, and the end of a call to an endpoint would have it go on elsewhere. */
+/* Ends all requests, shortly before the process exits. Requests end first: each one depends on its
+ * caller's connection, and a closed call to an endpoint would be retried at another one. */
 static void
-give_up (struct ash_router *router)
+abort_requests (struct ash_router *router)
 {
   router->stop_expired = true;
   ash_requests_abort_all (router);
@@ -254,7 +256,7 @@
   if (router->stop_expired)
     ev_break (loop, EVBREAK_ALL);
   else
-    give_up (router);
+    abort_requests (router);
 }
 
 static void
@@ -270,15 +272,15 @@
   ash_store_tick (&router->store, now);
   ash_direct_tick (&router->endpoints, now);
   ash_suspects_tick (&router->suspects, now);
-  router->room = true;
-  if (router->stopping && !router->stop_expired && nothing_left (router, now))
-    give_up (router);
+  router->capacity_freed = true;
+  if (router->stopping && !router->stop_expired && stop_is_complete (router, now))
+    abort_requests (router);
 }
 
-/* The loop's timers don't count the time for which the machine was suspended: all that waits for
- * one is looked at now. */
+/* The loop's timers don't count the time for which the machine was suspended: everything that waits
+ * for a timer is checked now. */
 static void
-on_woke_timer (struct ev_loop *loop, ev_timer *timer, int events)
+on_resume_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct ash_router *router = timer->data;
 
@@ -290,10 +292,11 @@
     set_stop_timer (router, ash_time_diff (ash_clock_now (), ash_router_stop_deadline (router)));
 }
 
-/* What others do is asked anew, nothing goes out on connections that may have ended meanwhile, and
- * what callers sent is as old as the time away may make it. */
+/* Requests to peers and the store are repeated, and idle connections closed, since the other side
+ * may have closed them during the suspension. Callers' requests that are read now may be as old as
+ * the suspension is long. */
 static void
-wake (struct ash_router *router, struct ash_time now, int64_t gap_ms)
+on_process_resumed (struct ash_router *router, struct ash_time now, int64_t gap_ms)
 {
   ash_log_event (&router->log, ASH_EV_WOKE, "gap_ms=%lld", (long long) gap_ms);
   ash_map_manager_resumed (&router->groups);
@@ -302,14 +305,14 @@
   ash_router_close_idle_connections (router, now);
   router->suspended_ms = gap_ms;
   ev_timer_stop (router->loop, &router->resume_timer);
-  ev_timer_set (&router->resume_timer, WOKE_MS / MS_PER_S, 0);
+  ev_timer_set (&router->resume_timer, RESUME_READ_MS / MS_PER_S, 0);
   ev_timer_start (router->loop, &router->resume_timer);
 }
 
-/* First after the loop has slept, which lasts a tick at most. A longer gap means that
- * the process was stopped, or its machine suspended: what it holds of others is old. */
+/* Runs first after the loop has blocked, which it does for one tick at most. A longer gap means
+ * that the process or its machine was suspended: what it knows of other processes is outdated. */
 static void
-on_after_sleep (struct ev_loop *loop, ev_check *check, int events)
+on_loop_check (struct ev_loop *loop, ev_check *check, int events)
 {
   struct ash_router *router = check->data;
   struct ash_time now = ash_clock_now ();
@@ -318,18 +321,19 @@
   (void) loop;
   (void) events;
   router->last_iteration = now;
-  if (gap_ms > PAUSE_MS)
-    wake (router, now, gap_ms);
+  if (gap_ms > SUSPEND_GAP_MS)
+    on_process_resumed (router, now, gap_ms);
 }
 
-/* Last before the loop sleeps: whatever made room in this turn is used. */
+/* Runs last before the loop blocks: retries waiting requests if a slot may have become free in this
+ * iteration. */
 static void
-on_before_sleep (struct ev_loop *loop, ev_prepare *prepare, int events)
+on_loop_prepare (struct ev_loop *loop, ev_prepare *prepare, int events)
 {
   struct ash_router *router = prepare->data;
 
   (void) events;
-  if (router->room)
+  if (router->capacity_freed)
     ash_exchange_step_waiting (router);
   if (router->stop_expired && !ash_http_listener_has_callers (&router->frontend))
     ev_break (loop, EVBREAK_ALL);
@@ -346,7 +350,7 @@
     {
       ash_log_event (&router->log, ASH_EV_CUT_SHORT, "signal=%d", watcher->signum);
       if (!router->stop_expired)
-        give_up (router);
+        abort_requests (router);
       return;
     }
   router->stopping = true;
@@ -371,7 +375,7 @@
   ash_findings_init (&findings, router->settings_path);
   ash_router_settings_read_file (&settings, router->settings_path, &findings);
   ash_log_event (&router->log, ASH_EV_RELOADED, "findings=%u", findings.count);
-  /* Addresses and the box's name hold for the process's life. */
+  /* Addresses and the box's name can't change while the process runs. */
   if (!findings.count)
     {
       router->settings.wait_ms = settings.wait_ms;
@@ -386,7 +390,7 @@
   ash_findings_finish (&findings);
 }
 
-/* ---- life ---- */
+/* ---- start and end ---- */
 
 static bool
 listen_at (struct ash_router *router,
@@ -402,14 +406,14 @@
 }
 
 static bool
-open_all (struct ash_router *router)
+open_listeners (struct ash_router *router)
 {
   const struct ash_router_settings *settings = &router->settings;
 
   if (!listen_at (router, &router->frontend, settings->frontend_listen, &ash_requests_handler) ||
       !listen_at (router, &router->readiness, settings->readiness_listen, &ash_readiness_handler) ||
       !listen_at (router, &router->directory, settings->directory_listen, &ash_directory_handler) ||
-      !listen_at (router, &router->figures, settings->metrics_listen, &ash_figures_handler))
+      !listen_at (router, &router->metrics_page, settings->metrics_listen, &ash_metrics_handler))
     return false;
   router->frontend.conn_max = settings->connections_max;
   ash_peer_sync_open (&router->peer_sync, router);
@@ -443,14 +447,14 @@
   ev_timer_start (router->loop, &router->tick);
   ev_init (&router->stop_timer, on_stop_timer);
   router->stop_timer.data = router;
-  ev_init (&router->resume_timer, on_woke_timer);
+  ev_init (&router->resume_timer, on_resume_timer);
   router->resume_timer.data = router;
   router->last_iteration = ash_clock_now ();
-  ev_check_init (&router->loop_check, on_after_sleep);
+  ev_check_init (&router->loop_check, on_loop_check);
   ev_set_priority (&router->loop_check, EV_MAXPRI);
   router->loop_check.data = router;
   ev_check_start (router->loop, &router->loop_check);
-  ev_prepare_init (&router->loop_prepare, on_before_sleep);
+  ev_prepare_init (&router->loop_prepare, on_loop_prepare);
   router->loop_prepare.data = router;
   ev_prepare_start (router->loop, &router->loop_prepare);
   watch_signal (router, &router->on_term, SIGTERM, on_stop);
@@ -480,11 +484,11 @@
     randombytes_buf (&router->incarnation, sizeof router->incarnation);
   ash_random_init (&router->random, router->incarnation);
   ash_direct_init (&router->endpoints, ash_random_next (&router->random));
-  router->endpoints.before_free = on_leaving;
-  router->endpoints.restarted = on_reborn;
+  router->endpoints.before_free = on_endpoint_removed;
+  router->endpoints.restarted = on_endpoint_restarted;
   router->endpoints.data = router;
   ash_metrics_init (&router->metrics);
-  router->frontend.fd = router->readiness.fd = router->directory.fd = router->figures.fd = -1;
+  router->frontend.fd = router->readiness.fd = router->directory.fd = router->metrics_page.fd = -1;
   return router->loop != NULL;
 }
 
@@ -497,7 +501,7 @@
   ash_http_listener_finish (&router->frontend);
   ash_http_listener_finish (&router->readiness);
   ash_http_listener_finish (&router->directory);
-  ash_http_listener_finish (&router->figures);
+  ash_http_listener_finish (&router->metrics_page);
   ash_store_close (&router->store);
   ash_map_manager_close (&router->groups);
   ash_suspects_close (&router->suspects);
@@ -521,10 +525,11 @@
   router->settings_path = settings_path;
   if (!init (router))
     return false;
-  /* Before it can be reached: a signal that came in between ended the process with what callers had
-   * sent it, 193 times of 200 that were signalled as soon as it could be connected to. */
+  /* Signal handlers must be installed before the listeners open: in a test that sent a signal as
+   * soon as it could connect, the signal came first in 193 of 200 runs and ended the process
+   * together with callers' requests. */
   start_watchers (router);
-  ok = open_all (router);
+  ok = open_listeners (router);
   if (ok)
     {
       ash_log_event (&router->log, ASH_EV_STARTED, "incarnation=%016llx hall=%s frontend=%s",
