--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -328,7 +328,7 @@
     {
       ash_frame_write (&buffer, &out_key, &event);
       length = buffer.length;
-      if (ash_frame_read (&buffer, &in_key, &read) == ASH_FRAME_READ)
+      if (ash_frame_read (&buffer, &in_key, &read) == ASH_FRAME_COMPLETE)
         ash__event__free_unpacked (read, NULL);
     }
   printf ("| %s | %zu | %.2f |\n", what, length,
--- a/daemon/api.c
+++ b/daemon/api.c
@@ -547,7 +547,7 @@
   api->daemon = daemon;
   api->entry = entry;
   api->server.settings = daemon->settings;
-  api->server.handler = (struct ash_http_handler){ on_request, on_gone, api };
+  api->server.handler = (struct ash_http_server_handler){ on_request, on_gone, api };
   return ash_http_server_init (&api->server, daemon->loop);
 }
 
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -42,7 +42,7 @@
                      (unsigned long long) daemon->config->document.digest, source);
       daemon->role.configured (daemon->role.data);
       ash_spread_now (daemon);
-      ash_peers_beat (&daemon->peers);
+      ash_peers_send_heartbeats (&daemon->peers);
       break;
     case ASH_CONFIG_OLDER:
       ash_log_event (&daemon->log, ASH_EV_CONFIG_OLDER, "revision=%llu in_force=%llu source=%s",
@@ -88,7 +88,7 @@
     return;
   ash_log_event (&daemon->log, ASH_EV_DRAINED, "source=%s", event->peer);
   daemon->role.event (daemon->role.data, event);
-  ash_peers_beat (&daemon->peers);
+  ash_peers_send_heartbeats (&daemon->peers);
 }
 
 static void
@@ -178,7 +178,7 @@
     return;
   ash_log_event (&daemon->log, ASH_EV_WOKE, "gap_ms=%lld", (long long) gap_ms);
   daemon->role.woke (daemon->role.data);
-  ash_peers_reset (&daemon->peers);
+  ash_peers_close_links (&daemon->peers);
 }
 
 static void
@@ -197,7 +197,7 @@
   daemon->stopping = true;
   ash_log_event (&daemon->log, ASH_EV_STOPPING, "signal=%d", watcher->signum);
   give_local (daemon, ASH__EVENT__KIND_STOP, &stop);
-  ash_peers_beat (&daemon->peers);
+  ash_peers_send_heartbeats (&daemon->peers);
 }
 
 /* ---- life ---- */
--- a/daemon/endpoint.c
+++ b/daemon/endpoint.c
@@ -78,7 +78,7 @@
   struct Ash__EngineEnd end = ASH__ENGINE_END__INIT;
 
   end.run = run->number;
-  end.whole = result == ASH_FETCH_WHOLE;
+  end.whole = result == ASH_FETCH_COMPLETE;
   end.not_started = result == ASH_FETCH_NOT_SENT;
   DL_DELETE (endpoint->runs, run);
   free (run);
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -232,7 +232,7 @@
     }
   ash_entry_handle (&entry->core, ash_clock_now (), event);
   if (event->kind_case == ASH__EVENT__KIND_STOP)
-    ash_http_server_close_kept (&entry->api.server);
+    ash_http_server_disable_keep_alive (&entry->api.server);
   if (event->kind_case == ASH__EVENT__KIND_HEARTBEAT)
     ash_platform_told (&entry->platform, ash_clock_now (), event->heartbeat->revision);
   if (event->kind_case == ASH__EVENT__KIND_TICK)
@@ -244,7 +244,7 @@
     }
   serve_when_ready (entry);
   if (leaving_count (&entry->core.membership) > leaving)
-    ash_peers_beat (&entry->daemon.peers);
+    ash_peers_send_heartbeats (&entry->daemon.peers);
 }
 
 static bool
@@ -287,7 +287,7 @@
   if (!ash_membership_listed (&entry->core.membership, name, leaving) || !leaving)
     return;
   ash_log_event (&entry->daemon.log, ASH_EV_BOX_LEAVING, "box=%s source=platform", name);
-  ash_peers_beat (&entry->daemon.peers);
+  ash_peers_send_heartbeats (&entry->daemon.peers);
 }
 
 /* ---- time and the end ---- */
--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -184,13 +184,13 @@
   struct ash_exchange_answer *answer = &exchange->answer;
 
   ev_timer_stop (exchange->router->loop, &exchange->timer);
-  if (end == ASH_CALL_WHOLE && !answer->bad &&
-      (!answer->events || ash_event_stream_whole (&exchange->events)))
+  if (end == ASH_CALL_COMPLETE && !answer->bad &&
+      (!answer->events || ash_event_stream_is_empty (&exchange->events)))
     {
       take_whole (exchange);
       return;
     }
-  if (end == ASH_CALL_CUT)
+  if (end == ASH_CALL_TRUNCATED)
     ash_exchange_note_cut (exchange);
   ash_exchange_saw (exchange, end == ASH_CALL_NOT_SENT ? ASH_DIRECT_MISSING : ASH_DIRECT_CUT);
   ash_exchange_release (exchange);
--- a/daemon/exchange_end.c
+++ b/daemon/exchange_end.c
@@ -117,7 +117,7 @@
         snprintf (fields, sizeof fields, "Retry-After: %.3f\r\n", retry_after_ms / MS_PER_S);
       length = snprintf (body, sizeof body, "%s: %s\n", name,
                          status == 503 ? "the request did not run" : "the request may have run");
-      ash_http_conn_answer (conn, status, fields, strlen (fields), body, (size_t) length);
+      ash_http_conn_respond (conn, status, fields, strlen (fields), body, (size_t) length);
     }
   free_exchange (exchange);
 }
@@ -139,10 +139,10 @@
   if (answer->passing)
     ash_http_conn_end (conn, true);
   else
-    ash_http_conn_answer (conn, answer->status,
-                          (const char *) answer->fields.bytes + answer->fields.start,
-                          answer->fields.length, answer->body.bytes + answer->body.start,
-                          exchange->call.no_body ? answer->length : answer->body.length);
+    ash_http_conn_respond (conn, answer->status,
+                           (const char *) answer->fields.bytes + answer->fields.start,
+                           answer->fields.length, answer->body.bytes + answer->body.start,
+                           exchange->call.no_body ? answer->length : answer->body.length);
   free_exchange (exchange);
 }
 
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -95,7 +95,8 @@
 ash_exchange_doubt_connections (struct ash_exchange *exchange, struct ash_time now)
 {
   exchange->trusted = trusted_since (exchange, now);
-  ash_http_pool_doubt (ash_router_pool (exchange->router, exchange->endpoint), exchange->trusted);
+  ash_http_pool_close_idle (ash_router_pool (exchange->router, exchange->endpoint),
+                            exchange->trusted);
 }
 
 bool
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -238,7 +238,7 @@
 }
 
 static uint32_t
-beat_period_ms (void *data, const char *box)
+heartbeat_period_ms (void *data, const char *box)
 {
   const struct ash_fleet *fleet = data;
   const struct ash_fleet_peer *peer = find_peer (fleet, box);
@@ -272,7 +272,7 @@
   links->handler = (struct ash_sink){ on_event, fleet };
   links->revision = own_version;
   links->heartbeat = own_heartbeat;
-  links->period_ms = beat_period_ms;
+  links->period_ms = heartbeat_period_ms;
   links->data = fleet;
   if (!ash_peers_init (links, router->loop))
     return false;
@@ -308,13 +308,13 @@
 void
 ash_fleet_woke (struct ash_fleet *fleet)
 {
-  ash_peers_reset (&fleet->links);
+  ash_peers_close_links (&fleet->links);
 }
 
 void
 ash_fleet_leave (struct ash_fleet *fleet)
 {
-  ash_peers_beat (&fleet->links);
+  ash_peers_send_heartbeats (&fleet->links);
 }
 
 void
@@ -322,7 +322,7 @@
 {
   for (struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && ash_fleet_audience_of (fleet, peer) == ASH_FLEET_NEAR)
-      ash_peers_beat_one (&fleet->links, peer->box);
+      ash_peers_send_heartbeat (&fleet->links, peer->box);
 }
 
 void
@@ -351,7 +351,7 @@
 
   /* Callers are sent here, or no longer: those whose heartbeats come seldom hear of it now. */
   if (ready != fleet->ready)
-    ash_peers_beat (&fleet->links);
+    ash_peers_send_heartbeats (&fleet->links);
   /* The own hall asks less, or more, once it knows. */
   else if (answered != fleet->answered)
     ash_fleet_tell_news (fleet);
--- a/daemon/fleet_roles.c
+++ b/daemon/fleet_roles.c
@@ -161,7 +161,7 @@
 
   for (int i = 0; i < SUCCESSORS && peer; i++)
     {
-      ash_peers_beat_one (&fleet->links, peer->box);
+      ash_peers_send_heartbeat (&fleet->links, peer->box);
       peer = next_in_order (fleet, peer);
     }
 }
--- a/daemon/group.c
+++ b/daemon/group.c
@@ -182,7 +182,7 @@
 {
   struct engine_call *call = data;
 
-  bool ok = result == ASH_FETCH_WHOLE && !call->failed;
+  bool ok = result == ASH_FETCH_COMPLETE && !call->failed;
 
   if (call->kind == CALL_STATE)
     call->group->polling = false;
@@ -219,7 +219,7 @@
       snprintf (url, sizeof url, "%s/%s", group->daemon->settings->engine_url, call_paths[kind]);
       DL_APPEND (group->calls, call);
       if (!ash_http_client_start (&group->daemon->http_client, &request, &handler))
-        on_end (call, ASH_FETCH_BROKEN);
+        on_end (call, ASH_FETCH_FAILED);
     }
   free (text);
   json_decref (body);
--- a/daemon/platform.c
+++ b/daemon/platform.c
@@ -125,7 +125,7 @@
 static bool
 take_answer (struct ash_platform_read *read, enum ash_fetch_result result)
 {
-  if (result != ASH_FETCH_WHOLE)
+  if (result != ASH_FETCH_COMPLETE)
     return false;
   if (read->status == HTTP_NOT_MODIFIED)
     return true;
@@ -200,7 +200,7 @@
   bool ok = take_answer (read, result);
 
   forget_answer (read);
-  note_result (read, ok, result == ASH_FETCH_WHOLE ? "no answer of use" : "no answer in time");
+  note_result (read, ok, result == ASH_FETCH_COMPLETE ? "no answer of use" : "no answer in time");
   if (!ok)
     start_later (read, back_off_ms (read));
   else
--- a/daemon/rank_group.c
+++ b/daemon/rank_group.c
@@ -352,7 +352,7 @@
 {
   struct ash_rank_call *call = http_call->owner;
   struct ash_rank_box *box = call->box;
-  uint16_t status = end == ASH_CALL_WHOLE ? call->status : 0;
+  uint16_t status = end == ASH_CALL_COMPLETE ? call->status : 0;
 
   if (call->is_order)
     answer_order (call, status);
@@ -389,13 +389,13 @@
 }
 
 void
-ash_rank_ask (struct ash_rank_box *box, enum ash_rank_question question)
+ash_rank_ask (struct ash_rank_box *box, enum ash_rank_query question)
 {
   struct ash_buffer request = { 0 };
   struct ash_rank_call *call;
 
   box->asked[question] = ash_clock_now ();
-  ash_platform_rank_ask (&request, box->address, question);
+  ash_platform_rank_query (&request, box->address, question);
   call = start_call (box, &request);
   if (call)
     call->question = question;
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -46,7 +46,7 @@
   ash_metrics_add (&router->metrics, "ash_denied_total", "", 1);
   if (status == 503)
     snprintf (fields, sizeof fields, "Retry-After: 0.5\r\n");
-  ash_http_conn_answer (conn, status, fields, strlen (fields), body, (size_t) length);
+  ash_http_conn_respond (conn, status, fields, strlen (fields), body, (size_t) length);
 }
 
 static void
@@ -262,7 +262,7 @@
   struct ash_http_conn *conn;
 
   DL_FOREACH (router->frontend.conns, conn)
-    if (!conn->dead && conn->state == ASH_CONN_READING)
+    if (!conn->is_closed && conn->state == ASH_CONN_READING)
       refuse (conn, router, "-", 503, "stopping");
 }
 
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -96,7 +96,7 @@
   for (struct ash_direct_endpoint *endpoint = router->endpoints.endpoints; endpoint;
        endpoint = endpoint->hh.next)
     if (endpoint->owner)
-      ash_http_pool_doubt (endpoint->owner, since);
+      ash_http_pool_close_idle (endpoint->owner, since);
 }
 
 static void
@@ -123,7 +123,7 @@
   ash_suspects_reborn (&router->suspects, endpoint->hash);
   ash_groups_forget (&router->groups, endpoint->hash);
   if (endpoint->owner)
-    ash_http_pool_move (endpoint->owner, endpoint->facts.address);
+    ash_http_pool_set_address (endpoint->owner, endpoint->facts.address);
 }
 
 /* ---- configuration ---- */
@@ -239,7 +239,7 @@
 {
   router->given_up = true;
   ash_requests_give_up_all (router);
-  ash_http_listener_shut (&router->frontend);
+  ash_http_listener_stop_accepting (&router->frontend);
   set_stop_timer (router, STOP_FLUSH_MS);
 }
 
--- a/daemon/router_pages.c
+++ b/daemon/router_pages.c
@@ -15,7 +15,7 @@
 static void
 answer_text (struct ash_http_conn *conn, uint16_t status, const char *text)
 {
-  ash_http_conn_answer (conn, status, TEXT_FIELDS, strlen (TEXT_FIELDS), text, strlen (text));
+  ash_http_conn_respond (conn, status, TEXT_FIELDS, strlen (TEXT_FIELDS), text, strlen (text));
 }
 
 static void
@@ -77,8 +77,8 @@
       !ash_platform_directory_write (&body, addresses, count, router->settings.address_keep_ms))
     answer_text (conn, 503, "no entry is known that is ready\n");
   else
-    ash_http_conn_answer (conn, 200, ASH_PLATFORM_JSON_FIELDS, strlen (ASH_PLATFORM_JSON_FIELDS),
-                          body.bytes + body.start, body.length);
+    ash_http_conn_respond (conn, 200, ASH_PLATFORM_JSON_FIELDS, strlen (ASH_PLATFORM_JSON_FIELDS),
+                           body.bytes + body.start, body.length);
   ash_buffer_finish (&body);
 }
 
@@ -152,7 +152,7 @@
   set_gauges (router);
   ash_metrics_print (&router->metrics, out);
   fclose (out);
-  ash_http_conn_answer (conn, 200, TEXT_FIELDS, strlen (TEXT_FIELDS), text, text_bytes);
+  ash_http_conn_respond (conn, 200, TEXT_FIELDS, strlen (TEXT_FIELDS), text, text_bytes);
   free (text);
 }
 
--- a/daemon/store.c
+++ b/daemon/store.c
@@ -245,7 +245,7 @@
   bool first =
       !store->era && !reader->place && reader->state == ASH_STORE_LISTING && !*reader->page;
 
-  if (reader->era_told == ASH_STORE_ERA_BAD)
+  if (reader->era_told == ASH_STORE_ERA_INVALID)
     {
       fail (reader, "its era can't be read");
       return false;
@@ -275,7 +275,7 @@
 take_answer (struct ash_store_reader *reader)
 {
   struct ash_router *router = reader->router;
-  struct ash_store_taker taker = { take_item, reader };
+  struct ash_store_item_handler taker = { take_item, reader };
   struct ash_store_answer answer;
   bool listing = reader->state == ASH_STORE_LISTING;
   uint64_t since = reader->place;
@@ -358,9 +358,9 @@
   struct ash_store_reader *reader = call->owner;
 
   ev_timer_stop (reader->router->loop, &reader->timer);
-  if (end == ASH_CALL_WHOLE && ash_time_before (reader->due, ash_clock_now ()))
+  if (end == ASH_CALL_COMPLETE && ash_time_before (reader->due, ash_clock_now ()))
     reader->trouble = ash_clock_now ();
-  if (end == ASH_CALL_WHOLE)
+  if (end == ASH_CALL_COMPLETE)
     take_answer (reader);
   else
     fail (reader, end == ASH_CALL_NOT_SENT ? "can't connect" : "cut off");
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -231,7 +231,7 @@
 static void
 on_probe_end (struct ash_stream *stream, enum ash_stream_end end)
 {
-  end_probe (stream->owner, end == ASH_STREAM_NO_CONNECT && stream->refused);
+  end_probe (stream->owner, end == ASH_STREAM_CONNECT_FAILED && stream->refused);
 }
 
 /* The connection is up: something listens. */
--- a/net/buffer.c
+++ b/net/buffer.c
@@ -10,7 +10,7 @@
 
 /* What an idle buffer may keep; more goes back, so that one large message does
  * not stay in memory. */
-#define BUFFER_KEPT_BYTES 4096
+#define BUFFER_IDLE_MAX_BYTES 4096
 
 void
 ash_buffer_finish (struct ash_buffer *buffer)
@@ -52,7 +52,7 @@
     return;
   buffer->start = 0;
   /* A link that once carried something large should not hold on to it. */
-  if (buffer->capacity > BUFFER_KEPT_BYTES)
+  if (buffer->capacity > BUFFER_IDLE_MAX_BYTES)
     ash_buffer_finish (buffer);
 }
 
--- a/net/event_stream.c
+++ b/net/event_stream.c
@@ -13,23 +13,23 @@
 void
 ash_event_stream_finish (struct ash_event_stream *stream)
 {
-  ash_buffer_finish (&stream->part);
+  ash_buffer_finish (&stream->pending);
 }
 
 bool
 ash_event_stream_feed (struct ash_event_stream *stream, const uint8_t *bytes, size_t length)
 {
-  return stream->part.length + length <= ASH_EVENT_MAX_BYTES &&
-         ash_buffer_append (&stream->part, bytes, length);
+  return stream->pending.length + length <= ASH_EVENT_MAX_BYTES &&
+         ash_buffer_append (&stream->pending, bytes, length);
 }
 
 /* The length of the first event with its blank line, or 0. Lines end by LF or CR LF. */
 static size_t
 event_length (struct ash_event_stream *stream)
 {
-  const uint8_t *bytes = stream->part.bytes + stream->part.start;
+  const uint8_t *bytes = stream->pending.bytes + stream->pending.start;
 
-  for (size_t i = stream->scanned; i < stream->part.length; i++)
+  for (size_t i = stream->scanned; i < stream->pending.length; i++)
     {
       size_t before = i;
 
@@ -40,7 +40,7 @@
       if (before && bytes[before - 1] == '\n')
         return i + 1;
     }
-  stream->scanned = stream->part.length;
+  stream->scanned = stream->pending.length;
   return 0;
 }
 
@@ -79,7 +79,7 @@
   if (!length)
     return false;
   *event = (struct ash_stream_event){
-    .bytes = stream->part.bytes + stream->part.start,
+    .bytes = stream->pending.bytes + stream->pending.start,
     .length = length,
   };
   read_id (event);
@@ -89,12 +89,12 @@
 void
 ash_event_stream_drop (struct ash_event_stream *stream, const struct ash_stream_event *event)
 {
-  ash_buffer_consume (&stream->part, event->length);
+  ash_buffer_consume (&stream->pending, event->length);
   stream->scanned = 0;
 }
 
 bool
-ash_event_stream_whole (const struct ash_event_stream *stream)
+ash_event_stream_is_empty (const struct ash_event_stream *stream)
 {
-  return stream->part.length == 0;
+  return stream->pending.length == 0;
 }
--- a/net/event_stream.h
+++ b/net/event_stream.h
@@ -22,8 +22,8 @@
 /** Reads one stream. */
 struct ash_event_stream
 {
-  struct ash_buffer part; /**< of an event that is not whole yet */
-  size_t scanned;         /**< bytes of it that hold no end */
+  struct ash_buffer pending; /**< of an event that is not whole yet */
+  size_t scanned;            /**< bytes of it that hold no end */
 };
 
 void ash_event_stream_init (struct ash_event_stream *stream);
@@ -41,6 +41,6 @@
 void ash_event_stream_drop (struct ash_event_stream *stream, const struct ash_stream_event *event);
 
 /** @return whether it ended between two events. */
-bool ash_event_stream_whole (const struct ash_event_stream *stream);
+bool ash_event_stream_is_empty (const struct ash_event_stream *stream);
 
 #endif
--- a/net/frame.c
+++ b/net/frame.c
@@ -54,19 +54,19 @@
   size_t length;
 
   if (in->length < ASH_FRAME_HEADER_BYTES)
-    return ASH_FRAME_NONE;
+    return ASH_FRAME_INCOMPLETE;
   memcpy (&header, at, sizeof header);
   length = ntohl (header);
   if (length > limit)
-    return ASH_FRAME_WRONG;
+    return ASH_FRAME_INVALID;
   if (in->length < ASH_FRAME_HEADER_BYTES + length + mac_bytes)
-    return ASH_FRAME_NONE;
+    return ASH_FRAME_INCOMPLETE;
   at += ASH_FRAME_HEADER_BYTES;
   if (key->on)
     {
       compute_mac (key, at, length, mac);
       if (sodium_memcmp (mac, at + length, sizeof mac) != 0)
-        return ASH_FRAME_WRONG;
+        return ASH_FRAME_INVALID;
       key->number++;
     }
   *event = ash__event__unpack (NULL, length, at);
@@ -77,7 +77,7 @@
                  (int) (*event)->kind_case >= ASH_EVENT_LOCAL_FIRST))
     {
       ash__event__free_unpacked (*event, NULL);
-      return ASH_FRAME_WRONG;
+      return ASH_FRAME_INVALID;
     }
-  return *event ? ASH_FRAME_READ : ASH_FRAME_WRONG;
+  return *event ? ASH_FRAME_COMPLETE : ASH_FRAME_INVALID;
 }
--- a/net/frame.h
+++ b/net/frame.h
@@ -31,9 +31,9 @@
 /** What ash_frame_read() found. */
 enum ash_frame_result
 {
-  ASH_FRAME_NONE,  /**< not whole yet */
-  ASH_FRAME_READ,  /**< *event is new, freed by ash__event__free_unpacked() */
-  ASH_FRAME_WRONG, /**< the link must be closed */
+  ASH_FRAME_INCOMPLETE, /**< not whole yet */
+  ASH_FRAME_COMPLETE,   /**< *event is new, freed by ash__event__free_unpacked() */
+  ASH_FRAME_INVALID,    /**< the link must be closed */
 };
 
 /** Takes the next frame off the buffer. */
--- a/net/http_call.c
+++ b/net/http_call.c
@@ -10,98 +10,98 @@
 /* How long an idle connection is kept when the server names no time, and how
  * long before the named time it is closed here, so that no request meets the
  * server's close. */
-#define IDLE_DEFAULT_MS 4000
+#define IDLE_TIMEOUT_DEFAULT_MS 4000
 #define IDLE_MARGIN_MS 700
 
 /* Idle connections kept to one address: what a calm second needs. */
-#define IDLE_MAX 8
+#define IDLE_CONNS_MAX 8
 
-struct ash_http_link
+struct ash_pool_conn
 {
   struct ash_http_pool *pool;
   struct ash_http_call *call; /* NULL: idle */
   struct ash_stream stream;
   struct ash_http_reader reader;
   struct ash_time idle_until;
-  struct ash_time heard; /* the last bytes; unset before the first */
-  bool foreign;          /* the present answer belongs to no request of ours */
-  bool closing;          /* not to be used again */
-  bool feeding;          /* its reader is at work further up: not to be freed by a sweep */
-  struct ash_http_link *prev;
-  struct ash_http_link *next;
+  struct ash_time last_read; /* the last bytes; unset before the first */
+  bool discarding;           /* the present answer belongs to no request of ours */
+  bool closing;              /* not to be used again */
+  bool reader_running;       /* its reader is at work further up: not to be freed by a sweep */
+  struct ash_pool_conn *prev;
+  struct ash_pool_conn *next;
 };
 
 static void
-free_link (struct ash_http_link *link)
+free_conn (struct ash_pool_conn *conn)
 {
-  ash_stream_finish (&link->stream);
-  ash_http_reader_finish (&link->reader);
-  DL_DELETE (link->pool->links, link);
-  link->pool->open_count--;
-  free (link);
+  ash_stream_finish (&conn->stream);
+  ash_http_reader_finish (&conn->reader);
+  DL_DELETE (conn->pool->conns, conn);
+  conn->pool->open_count--;
+  free (conn);
 }
 
-/* Takes the call off its link and tells its end, after the link is in order. */
+/* Takes the call off its conn and tells its end, after the conn is in order. */
 static void
-end_call (struct ash_http_call *call, enum ash_call_end end)
+finish_call (struct ash_http_call *call, enum ash_call_end end)
 {
-  call->link = NULL;
+  call->conn = NULL;
   call->handler->end (call, end);
 }
 
 static void
-fail (struct ash_http_link *link, enum ash_call_end end)
+fail (struct ash_pool_conn *conn, enum ash_call_end end)
 {
-  struct ash_http_call *call = link->call;
+  struct ash_http_call *call = conn->call;
 
-  free_link (link);
+  free_conn (conn);
   if (call)
-    end_call (call, end);
+    finish_call (call, end);
 }
 
 static int64_t
-idle_ms (const struct ash_http_head *head)
+keep_alive_ms (const struct ash_http_head *head)
 {
   const char *keep_alive = ash_http_field (head, "Keep-Alive");
   const char *timeout = keep_alive ? strstr (keep_alive, "timeout=") : NULL;
 
   if (!timeout)
-    return IDLE_DEFAULT_MS;
+    return IDLE_TIMEOUT_DEFAULT_MS;
   return strtol (timeout + strlen ("timeout="), NULL, 10) * 1000;
 }
 
 static uint32_t
 idle_count (const struct ash_http_pool *pool)
 {
-  const struct ash_http_link *link;
+  const struct ash_pool_conn *conn;
   uint32_t count = 0;
 
-  DL_FOREACH (pool->links, link)
-    count += link->call == NULL;
+  DL_FOREACH (pool->conns, conn)
+    count += conn->call == NULL;
   return count;
 }
 
 static void
-end_answer (struct ash_http_link *link, bool clean)
+finish_response (struct ash_pool_conn *conn, bool reusable)
 {
-  struct ash_http_call *call = link->call;
-  int64_t keep_ms = idle_ms (&link->reader.head) - IDLE_MARGIN_MS;
-  struct ash_http_pool *pool = link->pool;
-
-  clean = clean && link->reader.head.keep_alive && link->reader.head.framed && !link->closing &&
-          !link->stream.out.length && !link->stream.paused && keep_ms > 0 &&
-          idle_count (pool) < pool->idle_max;
-  if (clean)
+  struct ash_http_call *call = conn->call;
+  int64_t keep_ms = keep_alive_ms (&conn->reader.head) - IDLE_MARGIN_MS;
+  struct ash_http_pool *pool = conn->pool;
+
+  reusable = reusable && conn->reader.head.keep_alive && conn->reader.head.framed &&
+             !conn->closing && !conn->stream.out.length && !conn->stream.paused && keep_ms > 0 &&
+             idle_count (pool) < pool->idle_max;
+  if (reusable)
     {
-      link->call = NULL;
-      link->idle_until = ash_time_add (ash_clock_now (), keep_ms);
-      ash_http_reader_next (&link->reader);
-      DL_DELETE (pool->links, link);
-      DL_PREPEND (pool->links, link);
+      conn->call = NULL;
+      conn->idle_until = ash_time_add (ash_clock_now (), keep_ms);
+      ash_http_reader_next (&conn->reader);
+      DL_DELETE (pool->conns, conn);
+      DL_PREPEND (pool->conns, conn);
     }
   else
-    free_link (link);
-  end_call (call, ASH_CALL_WHOLE);
+    free_conn (conn);
+  finish_call (call, ASH_CALL_COMPLETE);
 }
 
 static bool
@@ -115,20 +115,20 @@
 static void
 on_head (void *data, const struct ash_http_head *head)
 {
-  struct ash_http_link *link = data;
+  struct ash_pool_conn *conn = data;
 
   if (head->status < 200)
     return;
-  link->foreign = !link->call->handler->head (link->call, head);
+  conn->discarding = !conn->call->handler->head (conn->call, head);
 }
 
 static void
 on_body (void *data, const uint8_t *bytes, size_t length)
 {
-  struct ash_http_link *link = data;
+  struct ash_pool_conn *conn = data;
 
-  if (link->call && !link->foreign && !is_interim (&link->reader))
-    link->call->handler->body (link->call, bytes, length);
+  if (conn->call && !conn->discarding && !is_interim (&conn->reader))
+    conn->call->handler->body (conn->call, bytes, length);
 }
 
 static const struct ash_http_handler reader_handler = { on_head, on_body };
@@ -138,59 +138,59 @@
 static void
 on_data (struct ash_stream *stream, const uint8_t *bytes, size_t length)
 {
-  struct ash_http_link *link = stream->owner;
-  size_t taken = 0;
+  struct ash_pool_conn *conn = stream->owner;
+  size_t consumed = 0;
 
-  link->heard = ash_clock_now ();
+  conn->last_read = ash_clock_now ();
   /* An idle connection has nothing to say: an answer that nobody asked for. */
-  if (!link->call)
+  if (!conn->call)
     {
-      free_link (link);
+      free_conn (conn);
       return;
     }
-  while (taken < length)
+  while (consumed < length)
     {
-      link->feeding = true;
-      taken += ash_http_reader_feed (&link->reader, bytes + taken, length - taken);
-      link->feeding = false;
+      conn->reader_running = true;
+      consumed += ash_http_reader_feed (&conn->reader, bytes + consumed, length - consumed);
+      conn->reader_running = false;
       /* The owner gave the call up while it was handed a part of the answer. */
-      if (!link->call)
+      if (!conn->call)
         {
-          free_link (link);
+          free_conn (conn);
           return;
         }
-      if (link->reader.error)
+      if (conn->reader.error)
         {
-          fail (link, ASH_CALL_BAD);
+          fail (conn, ASH_CALL_MALFORMED);
           return;
         }
-      if (!link->reader.done)
+      if (!conn->reader.done)
         return;
-      if (!is_interim (&link->reader) && !link->foreign)
+      if (!is_interim (&conn->reader) && !conn->discarding)
         {
-          end_answer (link, taken == length);
+          finish_response (conn, consumed == length);
           return;
         }
-      link->closing = link->closing || link->foreign;
-      link->foreign = false;
-      ash_http_reader_next (&link->reader);
-      link->reader.no_body = link->call->no_body;
+      conn->closing = conn->closing || conn->discarding;
+      conn->discarding = false;
+      ash_http_reader_next (&conn->reader);
+      conn->reader.no_body = conn->call->no_body;
     }
 }
 
 static void
 on_end (struct ash_stream *stream, enum ash_stream_end end)
 {
-  struct ash_http_link *link = stream->owner;
-
-  if (!link->call)
-    free_link (link);
-  else if (end == ASH_STREAM_NO_CONNECT)
-    fail (link, ASH_CALL_NOT_SENT);
-  else if (end == ASH_STREAM_EOF && !link->foreign && ash_http_reader_eof (&link->reader))
-    end_answer (link, false);
+  struct ash_pool_conn *conn = stream->owner;
+
+  if (!conn->call)
+    free_conn (conn);
+  else if (end == ASH_STREAM_CONNECT_FAILED)
+    fail (conn, ASH_CALL_NOT_SENT);
+  else if (end == ASH_STREAM_EOF && !conn->discarding && ash_http_reader_eof (&conn->reader))
+    finish_response (conn, false);
   else
-    fail (link, ASH_CALL_CUT);
+    fail (conn, ASH_CALL_TRUNCATED);
 }
 
 static const struct ash_stream_handler stream_handler = { on_data, on_end, NULL };
@@ -200,78 +200,78 @@
 bool
 ash_http_pool_init (struct ash_http_pool *pool, struct ev_loop *loop, const char *address)
 {
-  *pool = (struct ash_http_pool){ .loop = loop, .idle_max = IDLE_MAX };
+  *pool = (struct ash_http_pool){ .loop = loop, .idle_max = IDLE_CONNS_MAX };
   return ash_socket_address (address, &pool->address);
 }
 
 void
 ash_http_pool_finish (struct ash_http_pool *pool)
 {
-  while (pool->links)
-    fail (pool->links, ASH_CALL_CUT);
+  while (pool->conns)
+    fail (pool->conns, ASH_CALL_TRUNCATED);
 }
 
 void
 ash_http_pool_sweep (struct ash_http_pool *pool, struct ash_time now)
 {
-  struct ash_http_link *link;
-  struct ash_http_link *next;
+  struct ash_pool_conn *conn;
+  struct ash_pool_conn *next;
 
-  DL_FOREACH_SAFE (pool->links, link, next)
-    if (!link->call && !link->feeding && ash_time_before (link->idle_until, now))
-      free_link (link);
+  DL_FOREACH_SAFE (pool->conns, conn, next)
+    if (!conn->call && !conn->reader_running && ash_time_before (conn->idle_until, now))
+      free_conn (conn);
 }
 
 void
-ash_http_pool_doubt (struct ash_http_pool *pool, struct ash_time since)
+ash_http_pool_close_idle (struct ash_http_pool *pool, struct ash_time since)
 {
-  struct ash_http_link *link;
-  struct ash_http_link *next;
+  struct ash_pool_conn *conn;
+  struct ash_pool_conn *next;
 
-  DL_FOREACH_SAFE (pool->links, link, next)
-    if (!link->call && !link->feeding && ash_time_before (link->heard, since))
-      free_link (link);
+  DL_FOREACH_SAFE (pool->conns, conn, next)
+    if (!conn->call && !conn->reader_running && ash_time_before (conn->last_read, since))
+      free_conn (conn);
 }
 
 bool
-ash_http_pool_move (struct ash_http_pool *pool, const char *address)
+ash_http_pool_set_address (struct ash_http_pool *pool, const char *address)
 {
-  ash_http_pool_doubt (pool, ASH_TIME_NEVER);
+  ash_http_pool_close_idle (pool, ASH_TIME_NEVER);
   return ash_socket_address (address, &pool->address);
 }
 
 /* The one used last comes first: it has had the least time to fall silent. */
-static struct ash_http_link *
-take_idle (struct ash_http_pool *pool, struct ash_time heard_since)
+static struct ash_pool_conn *
+find_idle (struct ash_http_pool *pool, struct ash_time read_since)
 {
-  struct ash_http_link *link;
+  struct ash_pool_conn *conn;
 
   ash_http_pool_sweep (pool, ash_clock_now ());
-  DL_FOREACH (pool->links, link)
-    if (!link->call && !link->feeding && !ash_time_before (link->heard, heard_since))
-      return link;
+  DL_FOREACH (pool->conns, conn)
+    if (!conn->call && !conn->reader_running && !ash_time_before (conn->last_read, read_since))
+      return conn;
   return NULL;
 }
 
-static struct ash_http_link *
-connect_link (struct ash_http_pool *pool)
+static struct ash_pool_conn *
+connect_conn (struct ash_http_pool *pool)
 {
-  struct ash_http_link *link = calloc (1, sizeof *link);
+  struct ash_pool_conn *conn = calloc (1, sizeof *conn);
 
-  if (!link)
+  if (!conn)
     return NULL;
-  link->pool = pool;
-  if (!ash_stream_connect (&link->stream, pool->loop, &pool->address, &stream_handler, link))
+  conn->pool = pool;
+  if (!ash_stream_connect (&conn->stream, pool->loop, &pool->address, &stream_handler, conn))
     {
-      free (link);
+      free (conn);
       return NULL;
     }
   if (pool->silence_ms)
-    ash_stream_keep_alive (&link->stream, pool->silence_ms);
-  ash_http_reader_init (&link->reader, ASH_HTTP_RESPONSE, &reader_handler, link);
+    ash_stream_keep_alive (&conn->stream, pool->silence_ms);
+  ash_http_reader_init (&conn->reader, ASH_HTTP_RESPONSE, &reader_handler, conn);
   pool->open_count++;
-  DL_PREPEND (pool->links, link);
-  return link;
+  DL_PREPEND (pool->conns, conn);
+  return conn;
 }
 
 bool
@@ -279,52 +279,52 @@
                      struct ash_http_pool *pool,
                      const void *request,
                      size_t request_bytes,
-                     struct ash_time heard_since)
+                     struct ash_time read_since)
 {
-  struct ash_http_link *link = take_idle (pool, heard_since);
+  struct ash_pool_conn *conn = find_idle (pool, read_since);
 
-  if (!link)
-    link = connect_link (pool);
-  if (!link)
+  if (!conn)
+    conn = connect_conn (pool);
+  if (!conn)
     return false;
-  link->call = call;
-  link->foreign = false;
-  link->reader.no_body = call->no_body;
-  call->link = link;
-  ash_stream_write (&link->stream, request, request_bytes);
+  conn->call = call;
+  conn->discarding = false;
+  conn->reader.no_body = call->no_body;
+  call->conn = conn;
+  ash_stream_write (&conn->stream, request, request_bytes);
   return true;
 }
 
 void
 ash_http_call_cancel (struct ash_http_call *call)
 {
-  struct ash_http_link *link = call->link;
+  struct ash_pool_conn *conn = call->conn;
 
-  if (!link)
+  if (!conn)
     return;
-  call->link = NULL;
-  link->call = NULL;
+  call->conn = NULL;
+  conn->call = NULL;
   /* The reader may be in the middle of a call to the owner: the stream is closed
    * now, the rest goes when the reader comes back or the next sweep finds it. */
-  ash_stream_finish (&link->stream);
-  link->idle_until = (struct ash_time){ 0 };
+  ash_stream_finish (&conn->stream);
+  conn->idle_until = (struct ash_time){ 0 };
 }
 
 bool
 ash_http_call_unacknowledged (const struct ash_http_call *call)
 {
-  return call->link && ash_stream_unacknowledged (&call->link->stream) > 0;
+  return call->conn && ash_stream_unacknowledged (&call->conn->stream) > 0;
 }
 
 bool
 ash_http_call_connecting (const struct ash_http_call *call)
 {
-  return call->link && call->link->stream.connecting;
+  return call->conn && call->conn->stream.connecting;
 }
 
 void
 ash_http_call_pause (struct ash_http_call *call, bool paused)
 {
-  if (call->link)
-    ash_stream_pause (&call->link->stream, paused);
+  if (call->conn)
+    ash_stream_pause (&call->conn->stream, paused);
 }
--- a/net/http_call.h
+++ b/net/http_call.h
@@ -14,16 +14,16 @@
 #include "net/http_message.h"
 #include "net/stream.h"
 
-struct ash_http_link;
+struct ash_pool_conn;
 struct ash_http_call;
 
 /** How a call ended. */
 enum ash_call_end
 {
-  ASH_CALL_WHOLE,    /**< a whole answer came */
-  ASH_CALL_NOT_SENT, /**< no byte of the request left: it certainly did not run */
-  ASH_CALL_CUT,      /**< the connection ended before the answer did */
-  ASH_CALL_BAD,      /**< what came is no answer in HTTP */
+  ASH_CALL_COMPLETE,  /**< a whole answer came */
+  ASH_CALL_NOT_SENT,  /**< no byte of the request left: it certainly did not run */
+  ASH_CALL_TRUNCATED, /**< the connection ended before the answer did */
+  ASH_CALL_MALFORMED, /**< what came is no answer in HTTP */
 };
 
 /** What a call tells its owner. */
@@ -42,7 +42,7 @@
   const struct ash_call_handler *handler;
   void *owner;
   bool no_body;               /**< a HEAD request: its answer has a length and no body */
-  struct ash_http_link *link; /**< NULL: not under way */
+  struct ash_pool_conn *conn; /**< NULL: not under way */
 };
 
 /** Connections to one address. */
@@ -50,7 +50,7 @@
 {
   struct ev_loop *loop;
   struct sockaddr_in address;
-  struct ash_http_link *links; /**< idle ones and those in use; the last used first */
+  struct ash_pool_conn *conns; /**< idle ones and those in use; the last used first */
   uint32_t open_count;
   uint32_t idle_max;
   uint32_t silence_ms; /**< a connection that is silent for so long ends; 0: as any stream does */
@@ -67,21 +67,22 @@
 
 /** What is connected to has started anew, perhaps at another address: closes idle connections.
  * Calls under way go on. @return false if the address is none; the former one stays. */
-bool ash_http_pool_move (struct ash_http_pool *pool, const char *address);
+bool ash_http_pool_set_address (struct ash_http_pool *pool, const char *address);
 
-/** A connection there may have gone silent: closes the idle ones that were not heard from since. */
-void ash_http_pool_doubt (struct ash_http_pool *pool, struct ash_time since);
+/** A connection there may have gone silent: closes the idle ones that were not last_read from
+ * since. */
+void ash_http_pool_close_idle (struct ash_http_pool *pool, struct ash_time since);
 
 /**
  * Sends a request.
- * @param heard_since a kept connection will do if it was heard from since then.
+ * @param read_since a kept connection will do if it was last_read from since then.
  * @return false if no connection could be begun; the handler hears nothing then.
  */
 bool ash_http_call_start (struct ash_http_call *call,
                           struct ash_http_pool *pool,
                           const void *request,
                           size_t request_bytes,
-                          struct ash_time heard_since);
+                          struct ash_time read_since);
 
 /** Gives a call up: its connection is closed, the handler hears nothing more. */
 void ash_http_call_cancel (struct ash_http_call *call);
--- a/net/http_client.c
+++ b/net/http_client.c
@@ -16,7 +16,7 @@
   struct ash_fetch_handler handler;
   CURL *easy;
   struct curl_slist *headers;
-  bool head_told;
+  bool head_reported;
   bool cancelled;
   uint32_t silence_ms;
   uint64_t revision;
@@ -46,24 +46,24 @@
   switch (code)
     {
     case CURLE_OK:
-      return ASH_FETCH_WHOLE;
+      return ASH_FETCH_COMPLETE;
     case CURLE_COULDNT_CONNECT:
     case CURLE_COULDNT_RESOLVE_HOST:
     case CURLE_URL_MALFORMAT:
       return ASH_FETCH_NOT_SENT;
     default:
-      return ASH_FETCH_BROKEN;
+      return ASH_FETCH_FAILED;
     }
 }
 
 /* libcurl must not be asked to drop a transfer from within its own calls. */
 static void
-free_cancelled (struct ash_http_client *client)
+free_cancelled_fetches (struct ash_http_client *client)
 {
   struct ash_fetch *fetch;
   struct ash_fetch *next;
 
-  if (!client->has_cancelled || client->depth)
+  if (!client->has_cancelled || client->curl_depth)
     return;
   client->has_cancelled = false;
   DL_FOREACH_SAFE (client->fetches, fetch, next)
@@ -72,14 +72,14 @@
 }
 
 static void
-tell_head (struct ash_fetch *fetch)
+report_head (struct ash_fetch *fetch)
 {
   const char *content_type = NULL;
   long status = 0;
 
-  if (fetch->head_told)
+  if (fetch->head_reported)
     return;
-  fetch->head_told = true;
+  fetch->head_reported = true;
   curl_easy_getinfo (fetch->easy, CURLINFO_RESPONSE_CODE, &status);
   curl_easy_getinfo (fetch->easy, CURLINFO_CONTENT_TYPE, &content_type);
   fetch->handler.head (fetch->handler.data, (uint32_t) status, content_type ? content_type : "",
@@ -87,7 +87,7 @@
 }
 
 static void
-take_finished (struct ash_http_client *client)
+finish_transfers (struct ash_http_client *client)
 {
   CURLMsg *message;
   int left;
@@ -107,7 +107,7 @@
           continue;
         }
       if (code == CURLE_OK)
-        tell_head (fetch);
+        report_head (fetch);
       handler = fetch->handler;
       free_fetch (fetch);
       handler.end (handler.data, result_of (code));
@@ -115,15 +115,15 @@
 }
 
 static void
-act (struct ash_http_client *client, curl_socket_t fd, int action)
+run_socket_action (struct ash_http_client *client, curl_socket_t fd, int action)
 {
   int running;
 
-  client->depth++;
+  client->curl_depth++;
   curl_multi_socket_action (client->multi, fd, action, &running);
-  client->depth--;
-  take_finished (client);
-  free_cancelled (client);
+  client->curl_depth--;
+  finish_transfers (client);
+  free_cancelled_fetches (client);
 }
 
 static void
@@ -135,7 +135,7 @@
       (events & EV_READ ? CURL_CSELECT_IN : 0) | (events & EV_WRITE ? CURL_CSELECT_OUT : 0);
 
   (void) loop;
-  act (client, io->fd, action);
+  run_socket_action (client, io->fd, action);
 }
 
 static void
@@ -143,7 +143,7 @@
 {
   (void) loop;
   (void) events;
-  act (timer->data, CURL_SOCKET_TIMEOUT, 0);
+  run_socket_action (timer->data, CURL_SOCKET_TIMEOUT, 0);
 }
 
 static int
@@ -226,7 +226,7 @@
 
   if (fetch->cancelled)
     return 0;
-  tell_head (fetch);
+  report_head (fetch);
   if (fetch->cancelled)
     return 0;
   fetch->handler.bytes (fetch->handler.data, (const uint8_t *) bytes, size * count);
@@ -334,7 +334,7 @@
 void
 ash_http_client_cancel (struct ash_fetch *fetch)
 {
-  if (!fetch->client->depth)
+  if (!fetch->client->curl_depth)
     {
       free_fetch (fetch);
       return;
--- a/net/http_client.h
+++ b/net/http_client.h
@@ -17,9 +17,9 @@
 /** How a fetch ended. */
 enum ash_fetch_result
 {
-  ASH_FETCH_WHOLE,
+  ASH_FETCH_COMPLETE,
   ASH_FETCH_NOT_SENT, /**< there was no connection: certainly nothing ran */
-  ASH_FETCH_BROKEN,
+  ASH_FETCH_FAILED,
 };
 
 /** The task. */
@@ -29,8 +29,8 @@
   CURLM *multi;
   ev_timer timer;
   struct ash_fetch *fetches;
-  uint32_t depth;     /**< libcurl is on the stack */
-  bool has_cancelled; /**< fetches to be freed once it is not */
+  uint32_t curl_depth; /**< libcurl is on the stack */
+  bool has_cancelled;  /**< fetches to be freed once it is not */
 };
 
 /** What is asked. Strings and body are copied. */
--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -17,22 +17,22 @@
 
 #define SWEEP_S 0.1
 
-/* A caller whose kernel answers nothing for so long is gone, and what runs for it is stopped: as
- * long as a resent packet takes, as for what is written (net/stream.c). */
+/* A caller whose kernel answers nothing for so long is disconnected, and what runs for it is
+ * stopped: as long as a resent packet takes, as for what is written (net/stream.c). */
 #define CALLER_SILENCE_MS 3000
 
 /* What a caller may send ahead while a request is served, before it is held back. */
-#define EARLY_MAX_BYTES 16384
+#define PIPELINED_MAX_BYTES 16384
 
 /* All bodies that a process holds at once: a quarter of a small box's memory. */
 #define BODIES_MAX_BYTES (48 * 1024 * 1024)
 
 /* A listener that closes leaves a new connection time for its first request, which is on its way:
  * so long callers wait for one to come up. */
-#define FRESH_MS 1000
+#define FIRST_REQUEST_WAIT_MS 1000
 
 /* How long a caller may take to read the end of an answer on a connection that closes. */
-#define CLOSING_MS 3000
+#define CLOSING_TIMEOUT_MS 3000
 
 static void
 set_state (struct ash_http_conn *conn, enum ash_conn_state state)
@@ -50,12 +50,12 @@
 
 /* Freed by the sweep: a handler further up may still hold it. */
 static void
-kill_conn (struct ash_http_conn *conn)
+close_conn (struct ash_http_conn *conn)
 {
   ash_stream_finish (&conn->stream);
   drop_body (conn);
-  ash_buffer_finish (&conn->early);
-  conn->dead = true;
+  ash_buffer_finish (&conn->pipelined);
+  conn->is_closed = true;
 }
 
 static void
@@ -64,7 +64,7 @@
   ash_stream_finish (&conn->stream);
   ash_http_reader_finish (&conn->reader);
   ash_buffer_finish (&conn->body);
-  ash_buffer_finish (&conn->early);
+  ash_buffer_finish (&conn->pipelined);
   DL_DELETE (conn->listener->conns, conn);
   conn->listener->conn_count--;
   free (conn);
@@ -75,10 +75,10 @@
 /* A listener that closes still answers what was sent ahead: its caller could not tell whether
  * a request that was read, and then dropped, has run. */
 static bool
-keeps (const struct ash_http_conn *conn)
+stays_open (const struct ash_http_conn *conn)
 {
   return conn->reader.head.keep_alive && conn->reader.done &&
-         (!conn->listener->closing || conn->early.length);
+         (!conn->listener->closing || conn->pipelined.length);
 }
 
 static void
@@ -91,9 +91,10 @@
   char line[256];
   int length;
 
-  conn->keep = keeps (conn);
-  length = snprintf (line, sizeof line, "HTTP/1.1 %u %s\r\n%s%s", status, ash_http_reason (status),
-                     framing, conn->keep ? "" : "Connection: close\r\n");
+  conn->keep_open = stays_open (conn);
+  length = snprintf (line, sizeof line, "HTTP/1.1 %u %s\r\n%s%s", status,
+                     ash_http_reason_phrase (status), framing,
+                     conn->keep_open ? "" : "Connection: close\r\n");
   conn->head_sent = true;
   /* One write for the whole head: fewer system calls. */
   ash_buffer_append (&conn->stream.out, line, (size_t) length);
@@ -104,15 +105,15 @@
 static void feed (struct ash_http_conn *conn, const uint8_t *bytes, size_t length);
 
 static void
-finish_answer (struct ash_http_conn *conn)
+finish_response (struct ash_http_conn *conn)
 {
-  struct ash_buffer early = conn->early;
+  struct ash_buffer pipelined = conn->pipelined;
 
   conn->request = NULL;
   conn->head_sent = false;
-  conn->answered = true;
+  conn->had_request = true;
   drop_body (conn);
-  if (!conn->keep)
+  if (!conn->keep_open)
     {
       set_state (conn, ASH_CONN_CLOSING);
       if (!conn->stream.out.length)
@@ -126,32 +127,32 @@
   ash_http_reader_next (&conn->reader);
   conn->continue_sent = false;
   ash_stream_pause (&conn->stream, false);
-  if (!early.length)
+  if (!pipelined.length)
     return;
-  conn->early = (struct ash_buffer){ 0 };
-  feed (conn, early.bytes + early.start, early.length);
-  ash_buffer_finish (&early);
+  conn->pipelined = (struct ash_buffer){ 0 };
+  feed (conn, pipelined.bytes + pipelined.start, pipelined.length);
+  ash_buffer_finish (&pipelined);
 }
 
 void
-ash_http_conn_answer (struct ash_http_conn *conn,
-                      uint16_t status,
-                      const char *fields,
-                      size_t fields_bytes,
-                      const void *body,
-                      size_t body_bytes)
+ash_http_conn_respond (struct ash_http_conn *conn,
+                       uint16_t status,
+                       const char *fields,
+                       size_t fields_bytes,
+                       const void *body,
+                       size_t body_bytes)
 {
   bool head_only = conn->reader.head.method && strcmp (conn->reader.head.method, "HEAD") == 0;
   char framing[64];
 
-  if (conn->dead)
+  if (conn->is_closed)
     return;
   snprintf (framing, sizeof framing, "Content-Length: %zu\r\n", body_bytes);
   write_head (conn, status, fields, fields_bytes, framing);
   ash_stream_write (&conn->stream, body, head_only ? 0 : body_bytes);
   if (!body_bytes || head_only)
     ash_stream_write (&conn->stream, "", 0);
-  finish_answer (conn);
+  finish_response (conn);
 }
 
 void
@@ -160,7 +161,7 @@
                      const char *fields,
                      size_t fields_bytes)
 {
-  if (conn->dead)
+  if (conn->is_closed)
     return;
   conn->chunked = !conn->reader.head.http_1_0;
   if (!conn->chunked)
@@ -174,7 +175,7 @@
 {
   char size[32];
 
-  if (conn->dead || !length)
+  if (conn->is_closed || !length)
     return;
   if (conn->chunked)
     {
@@ -190,23 +191,23 @@
 void
 ash_http_conn_end (struct ash_http_conn *conn, bool whole)
 {
-  if (conn->dead)
+  if (conn->is_closed)
     return;
   if (whole && conn->chunked)
     ash_stream_write (&conn->stream, "0\r\n\r\n", 5);
   if (!whole)
     {
-      conn->keep = false;
+      conn->keep_open = false;
       /* Without chunks a plain close would look like the answer's end. */
       if (!conn->chunked)
         {
           ash_stream_reset (&conn->stream);
-          kill_conn (conn);
+          close_conn (conn);
           conn->request = NULL;
           return;
         }
     }
-  finish_answer (conn);
+  finish_response (conn);
 }
 
 size_t
@@ -218,30 +219,30 @@
 /* ---- requests ---- */
 
 static void
-answer_error (struct ash_http_conn *conn, uint16_t status, const char *text)
+respond_error (struct ash_http_conn *conn, uint16_t status, const char *text)
 {
   conn->reader.head.keep_alive = false;
   set_state (conn, ASH_CONN_SERVING);
-  ash_http_conn_answer (conn, status, "", 0, text, strlen (text));
+  ash_http_conn_respond (conn, status, "", 0, text, strlen (text));
 }
 
 static void
-answer_unread (struct ash_http_conn *conn)
+respond_unreadable (struct ash_http_conn *conn)
 {
   switch (conn->reader.error)
     {
     case ASH_HTTP_HEAD_TOO_LARGE:
-      answer_error (conn, 431, "the head of the request is too large\n");
+      respond_error (conn, 431, "the head of the request is too large\n");
       break;
     case ASH_HTTP_BODY_TOO_LARGE:
-      answer_error (conn, 413, "the body of the request is too large\n");
+      respond_error (conn, 413, "the body of the request is too large\n");
       break;
-    case ASH_HTTP_UNKNOWN_CODING:
-      answer_error (conn, 501, "only the transfer coding chunked is known\n");
+    case ASH_HTTP_UNSUPPORTED_CODING:
+      respond_error (conn, 501, "only the transfer coding chunked is known\n");
       break;
     case ASH_HTTP_MALFORMED:
     case ASH_HTTP_OK:
-      answer_error (conn, 400, "the request is malformed\n");
+      respond_error (conn, 400, "the request is malformed\n");
       break;
     }
 }
@@ -280,17 +281,17 @@
 static void
 feed (struct ash_http_conn *conn, const uint8_t *bytes, size_t length)
 {
-  size_t taken;
+  size_t consumed;
 
   if (conn->state == ASH_CONN_IDLE)
     set_state (conn, ASH_CONN_READING);
-  taken = ash_http_reader_feed (&conn->reader, bytes, length);
-  if (!conn->reader.begun)
+  consumed = ash_http_reader_feed (&conn->reader, bytes, length);
+  if (!conn->reader.started)
     set_state (conn, ASH_CONN_IDLE);
-  if (taken < length && !conn->reader.error)
-    ash_buffer_append (&conn->early, bytes + taken, length - taken);
+  if (consumed < length && !conn->reader.error)
+    ash_buffer_append (&conn->pipelined, bytes + consumed, length - consumed);
   if (conn->reader.error)
-    answer_unread (conn);
+    respond_unreadable (conn);
   else if (conn->reader.done)
     {
       set_state (conn, ASH_CONN_SERVING);
@@ -310,8 +311,8 @@
       feed (conn, bytes, length);
       break;
     case ASH_CONN_SERVING:
-      ash_buffer_append (&conn->early, bytes, length);
-      if (conn->early.length > EARLY_MAX_BYTES)
+      ash_buffer_append (&conn->pipelined, bytes, length);
+      if (conn->pipelined.length > PIPELINED_MAX_BYTES)
         ash_stream_pause (&conn->stream, true);
       break;
     case ASH_CONN_CLOSING:
@@ -326,9 +327,9 @@
   bool serving = conn->state == ASH_CONN_SERVING;
 
   (void) end;
-  kill_conn (conn);
+  close_conn (conn);
   if (serving)
-    conn->listener->handler->gone (conn);
+    conn->listener->handler->disconnected (conn);
 }
 
 static void
@@ -416,9 +417,9 @@
   int64_t idle_ms = conn->listener->bounds.idle_timeout_ms;
 
   if (conn->listener->closing)
-    idle_ms = conn->answered ? -1 : FRESH_MS;
+    idle_ms = conn->had_request ? -1 : FIRST_REQUEST_WAIT_MS;
   if (ash_time_diff (conn->since, now) > idle_ms && !has_unread (conn))
-    kill_conn (conn);
+    close_conn (conn);
 }
 
 static void
@@ -427,7 +428,7 @@
   const struct ash_http_bounds *bounds = &conn->listener->bounds;
   int64_t age_ms = ash_time_diff (conn->since, now);
 
-  if (conn->dead)
+  if (conn->is_closed)
     {
       if (conn->state != ASH_CONN_SERVING || !conn->request)
         free_conn (conn);
@@ -440,11 +441,11 @@
       break;
     case ASH_CONN_READING:
       if (age_ms > bounds->head_timeout_ms)
-        answer_error (conn, 408, "the request did not arrive in time\n");
+        respond_error (conn, 408, "the request did not arrive in time\n");
       break;
     case ASH_CONN_CLOSING:
-      if (age_ms > CLOSING_MS)
-        kill_conn (conn);
+      if (age_ms > CLOSING_TIMEOUT_MS)
+        close_conn (conn);
       break;
     case ASH_CONN_SERVING:
       break;
@@ -522,7 +523,7 @@
 }
 
 void
-ash_http_listener_shut (struct ash_http_listener *listener)
+ash_http_listener_stop_accepting (struct ash_http_listener *listener)
 {
   struct ash_time now = ash_clock_now ();
   struct ash_http_conn *conn;
@@ -532,7 +533,7 @@
     accept_all (listener);
   stop_listening (listener);
   DL_FOREACH (listener->conns, conn)
-    if (!conn->dead && conn->state == ASH_CONN_IDLE)
+    if (!conn->is_closed && conn->state == ASH_CONN_IDLE)
       sweep_idle (conn, now);
 }
 
@@ -542,7 +543,7 @@
   const struct ash_http_conn *conn;
 
   DL_FOREACH (listener->conns, conn)
-    if (!conn->dead)
+    if (!conn->is_closed)
       return true;
   return false;
 }
@@ -554,6 +555,6 @@
   uint32_t busy = 0;
 
   DL_FOREACH (listener->conns, conn)
-    busy += !conn->dead && conn->state != ASH_CONN_IDLE;
+    busy += !conn->is_closed && conn->state != ASH_CONN_IDLE;
   return busy;
 }
--- a/net/http_conn.h
+++ b/net/http_conn.h
@@ -41,16 +41,16 @@
   struct ash_stream stream;
   struct ash_http_reader reader;
   enum ash_conn_state state;
-  struct ash_time since;   /**< when this state began */
-  struct ash_buffer body;  /**< of the request */
-  struct ash_buffer early; /**< bytes that came while a request is served */
-  bool continue_sent;      /**< 100 was sent for this request */
-  bool dead;               /**< closed; freed by the sweep */
-  bool answered;           /**< it had a request before */
+  struct ash_time since;       /**< when this state began */
+  struct ash_buffer body;      /**< of the request */
+  struct ash_buffer pipelined; /**< bytes that came while a request is served */
+  bool continue_sent;          /**< 100 was sent for this request */
+  bool is_closed;              /**< closed; freed by the sweep */
+  bool had_request;            /**< it had a request before */
   bool head_sent;
-  bool chunked;  /**< the answer under way is */
-  bool keep;     /**< the connection stays after this answer */
-  void *request; /**< of the owner, while serving */
+  bool chunked;   /**< the answer under way is */
+  bool keep_open; /**< the connection stays after this answer */
+  void *request;  /**< of the owner, while serving */
   struct ash_http_conn *prev;
   struct ash_http_conn *next;
 };
@@ -59,7 +59,7 @@
 struct ash_conn_handler
 {
   void (*request) (struct ash_http_conn *conn);
-  void (*gone) (struct ash_http_conn *conn);    /**< the caller left while it was served */
+  void (*disconnected) (struct ash_http_conn *conn); /**< the caller left while it was served */
   void (*drained) (struct ash_http_conn *conn); /**< all that was queued is written; may be NULL */
 };
 
@@ -100,7 +100,7 @@
  * Takes the connections that wait to be accepted, then no more; idle ones are closed. Requests
  * that have arrived are still read: the owner answers them.
  */
-void ash_http_listener_shut (struct ash_http_listener *listener);
+void ash_http_listener_stop_accepting (struct ash_http_listener *listener);
 
 /** @return whether a caller is still connected. */
 bool ash_http_listener_has_callers (const struct ash_http_listener *listener);
@@ -112,12 +112,12 @@
  * A whole answer.
  * @param fields further header lines, each ended by CR LF.
  */
-void ash_http_conn_answer (struct ash_http_conn *conn,
-                           uint16_t status,
-                           const char *fields,
-                           size_t fields_bytes,
-                           const void *body,
-                           size_t body_bytes);
+void ash_http_conn_respond (struct ash_http_conn *conn,
+                            uint16_t status,
+                            const char *fields,
+                            size_t fields_bytes,
+                            const void *body,
+                            size_t body_bytes);
 
 /** Begins an answer whose body follows by and by. */
 void ash_http_conn_begin (struct ash_http_conn *conn,
--- a/net/http_message.c
+++ b/net/http_message.c
@@ -79,7 +79,7 @@
 
 /* Chunked is the one coding that is known, and it must stand alone. */
 static bool
-coding_is_known (const struct ash_http_head *head)
+transfer_coding_is_supported (const struct ash_http_head *head)
 {
   uint32_t codings = 0;
 
@@ -93,7 +93,7 @@
   return codings <= 1;
 }
 
-/* The parser lets a blank pass in a field's name, where another one may see a colon's. */
+/* The parser lets a line_ends pass in a field's name, where another one may see a colon's. */
 static bool
 names_are_tokens (const struct ash_http_head *head)
 {
@@ -140,8 +140,8 @@
   head->framed = (parser->flags & F_CHUNKED) || parser->content_length != UINT64_MAX;
   /* http_should_keep_alive() looks at how the body ends, so it may be asked now. */
   head->keep_alive = http_should_keep_alive (parser) != 0;
-  if (!coding_is_known (head) || (parser->flags & F_CHUNKED && head->http_1_0))
-    reader->error = ASH_HTTP_UNKNOWN_CODING;
+  if (!transfer_coding_is_supported (head) || (parser->flags & F_CHUNKED && head->http_1_0))
+    reader->error = ASH_HTTP_UNSUPPORTED_CODING;
   else if (parser->http_major != 1 || !names_are_tokens (head))
     reader->error = ASH_HTTP_MALFORMED;
   else if (parser->content_length != UINT64_MAX && parser->content_length > reader->body_max_bytes)
@@ -221,11 +221,11 @@
   reader->target_offset = NO_OFFSET;
   reader->in_value = false;
   reader->in_head = true;
-  reader->begun = false;
+  reader->started = false;
   reader->done = false;
   reader->error = ASH_HTTP_OK;
-  reader->last = 0;
-  reader->blank = 0;
+  reader->last_byte = 0;
+  reader->line_ends = 0;
   reader->head_bytes = 0;
   reader->body_bytes = 0;
   reader->no_body = false;
@@ -239,23 +239,23 @@
     {
       uint8_t byte = bytes[i];
 
-      if ((byte == '\n') != (reader->last == '\r') ||
-          (reader->blank && (byte == ' ' || byte == '\t')))
+      if ((byte == '\n') != (reader->last_byte == '\r') ||
+          (reader->line_ends && (byte == ' ' || byte == '\t')))
         {
           reader->error = ASH_HTTP_MALFORMED;
           return 0;
         }
-      reader->last = byte;
+      reader->last_byte = byte;
       if (byte == '\n')
-        reader->blank++;
+        reader->line_ends++;
       else if (byte != '\r')
-        reader->blank = 0;
+        reader->line_ends = 0;
       if (++reader->head_bytes > reader->head_max_bytes)
         {
           reader->error = ASH_HTTP_HEAD_TOO_LARGE;
           return 0;
         }
-      if (reader->blank == 2)
+      if (reader->line_ends == 2)
         return i + 1;
     }
   return length;
@@ -264,47 +264,47 @@
 static size_t
 execute (struct ash_http_reader *reader, const uint8_t *bytes, size_t length)
 {
-  size_t taken =
+  size_t consumed =
       http_parser_execute (&reader->parser, &parser_settings, (const char *) bytes, length);
 
   if (reader->error)
-    return taken;
+    return consumed;
   if (!reader->done && HTTP_PARSER_ERRNO (&reader->parser) != HPE_OK)
     reader->error = ASH_HTTP_MALFORMED;
-  return taken;
+  return consumed;
 }
 
 size_t
 ash_http_reader_feed (struct ash_http_reader *reader, const uint8_t *bytes, size_t length)
 {
-  size_t taken = 0;
+  size_t consumed = 0;
 
   /* Empty lines before a request are allowed and mean nothing (RFC 9112, 2.2). */
-  while (!reader->begun && reader->kind == ASH_HTTP_REQUEST && length - taken >= 2 &&
-         memcmp (bytes + taken, "\r\n", 2) == 0)
-    taken += 2;
-  while (taken < length && !reader->done && !reader->error)
+  while (!reader->started && reader->kind == ASH_HTTP_REQUEST && length - consumed >= 2 &&
+         memcmp (bytes + consumed, "\r\n", 2) == 0)
+    consumed += 2;
+  while (consumed < length && !reader->done && !reader->error)
     {
-      size_t part = length - taken;
+      size_t part = length - consumed;
       size_t head_part = 0;
 
-      reader->begun = true;
+      reader->started = true;
       if (reader->in_head)
         {
-          head_part = scan_head (reader, bytes + taken, part);
+          head_part = scan_head (reader, bytes + consumed, part);
           if (reader->error)
             break;
           part = head_part;
         }
-      taken += execute (reader, bytes + taken, part);
+      consumed += execute (reader, bytes + consumed, part);
     }
-  return taken;
+  return consumed;
 }
 
 bool
 ash_http_reader_eof (struct ash_http_reader *reader)
 {
-  if (!reader->begun || reader->in_head || reader->error)
+  if (!reader->started || reader->in_head || reader->error)
     return false;
   if (!reader->done)
     execute (reader, NULL, 0);
@@ -367,7 +367,7 @@
 }
 
 const char *
-ash_http_reason (uint16_t status)
+ash_http_reason_phrase (uint16_t status)
 {
   switch (status)
     {
--- a/net/http_message.h
+++ b/net/http_message.h
@@ -50,7 +50,7 @@
   ASH_HTTP_MALFORMED,
   ASH_HTTP_HEAD_TOO_LARGE,
   ASH_HTTP_BODY_TOO_LARGE,
-  ASH_HTTP_UNKNOWN_CODING, /**< a transfer coding other than chunked */
+  ASH_HTTP_UNSUPPORTED_CODING, /**< a transfer coding other than chunked */
 };
 
 /** What a reader gives; each may be called several times but for the head and the end. */
@@ -69,7 +69,7 @@
   const struct ash_http_handler *handler;
   void *data;
   bool no_body; /**< the answer to a HEAD request */
-  bool begun;   /**< a byte of the present message was read */
+  bool started; /**< a byte of the present message was read */
   bool done;    /**< the present message is whole */
   enum ash_http_error error;
   /* inside */
@@ -79,8 +79,8 @@
   uint32_t target_offset;
   bool in_value;
   bool in_head;
-  uint8_t last;   /* byte of the head */
-  uint32_t blank; /* line ends seen in a row, to find the head's end */
+  uint8_t last_byte;  /* byte of the head */
+  uint32_t line_ends; /* line ends seen in a row, to find the head's end */
   uint32_t head_bytes;
   uint64_t body_bytes;
   struct ash_http_head head;
@@ -116,6 +116,6 @@
 bool ash_http_field_is_hop (const struct ash_http_head *head, const char *name);
 
 /** @return the usual words for a status. */
-const char *ash_http_reason (uint16_t status);
+const char *ash_http_reason_phrase (uint16_t status);
 
 #endif
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -36,7 +36,7 @@
 };
 
 /* A request and its answer. */
-struct ash_exchange
+struct ash_http_exchange
 {
   struct ash_http_server *server;
   struct MHD_Connection *connection;
@@ -56,32 +56,32 @@
   size_t pending_bytes;
   size_t pending_capacity;
   bool ended;
-  bool broken;
+  bool failed;
   UT_hash_handle hh;
 };
 
 /* A connection, to close those whose headers don't come. */
-struct ash_conn
+struct ash_http_server_conn
 {
   struct MHD_Connection *connection;
   struct ash_time since; /* opened, or its last request ended */
   bool in_request;
   bool used; /* it has sent a request */
-  struct ash_conn *prev;
-  struct ash_conn *next;
+  struct ash_http_server_conn *prev;
+  struct ash_http_server_conn *next;
 };
 
-static struct ash_exchange *
+static struct ash_http_exchange *
 find_exchange (const struct ash_http_server *server, uint64_t number)
 {
-  struct ash_exchange *exchange;
+  struct ash_http_exchange *exchange;
 
   HASH_FIND (hh, server->exchanges, &number, sizeof number, exchange);
   return exchange;
 }
 
 static void
-resume (struct ash_exchange *exchange)
+resume (struct ash_http_exchange *exchange)
 {
   if (!exchange->suspended)
     return;
@@ -91,14 +91,14 @@
 }
 
 static void
-suspend (struct ash_exchange *exchange)
+suspend (struct ash_http_exchange *exchange)
 {
   exchange->suspended = true;
   MHD_suspend_connection (exchange->connection);
 }
 
 static void
-free_exchange (struct ash_exchange *exchange)
+free_exchange (struct ash_http_exchange *exchange)
 {
   HASH_DEL (exchange->server->exchanges, exchange);
   if (exchange->response)
@@ -111,7 +111,7 @@
 
 /* ---- requests ---- */
 
-static struct ash_conn *
+static struct ash_http_server_conn *
 conn_of (struct MHD_Connection *connection)
 {
   const union MHD_ConnectionInfo *info =
@@ -120,11 +120,11 @@
   return info ? info->socket_context : NULL;
 }
 
-static struct ash_exchange *
+static struct ash_http_exchange *
 new_exchange (struct ash_http_server *server, struct MHD_Connection *connection)
 {
-  struct ash_exchange *exchange = calloc (1, sizeof *exchange);
-  struct ash_conn *conn = conn_of (connection);
+  struct ash_http_exchange *exchange = calloc (1, sizeof *exchange);
+  struct ash_http_server_conn *conn = conn_of (connection);
 
   if (!exchange)
     return NULL;
@@ -145,7 +145,7 @@
 static void *
 on_uri (void *data, const char *uri, struct MHD_Connection *connection)
 {
-  struct ash_exchange *exchange = new_exchange (data, connection);
+  struct ash_http_exchange *exchange = new_exchange (data, connection);
 
   if (exchange)
     exchange->uri = strdup (uri);
@@ -171,7 +171,7 @@
 }
 
 static void
-take_upload (struct ash_exchange *exchange, const char *bytes, size_t length)
+append_upload (struct ash_http_exchange *exchange, const char *bytes, size_t length)
 {
   if (exchange->too_large)
     return;
@@ -186,7 +186,7 @@
 }
 
 static enum MHD_Result
-reply_too_large (struct ash_exchange *exchange)
+reply_too_large (struct ash_http_exchange *exchange)
 {
   static const char text[] = "{\"error\":{\"message\":\"the body is too large\",\"type\":"
                              "\"invalid_request_error\",\"code\":\"bad_request\"}}\n";
@@ -204,7 +204,7 @@
 }
 
 static enum MHD_Result
-queue_response (struct ash_exchange *exchange)
+queue_response (struct ash_http_exchange *exchange)
 {
   enum MHD_Result result =
       MHD_queue_response (exchange->connection, exchange->status, exchange->response);
@@ -215,7 +215,7 @@
 }
 
 static enum MHD_Result
-hand_out (struct ash_exchange *exchange, const char *method, const char *path)
+dispatch_request (struct ash_http_exchange *exchange, const char *method, const char *path)
 {
   struct ash_http_server *server = exchange->server;
   struct ash_http_request request = {
@@ -246,7 +246,7 @@
             size_t *upload_bytes,
             void **context)
 {
-  struct ash_exchange *exchange = *context;
+  struct ash_http_exchange *exchange = *context;
 
   (void) version;
   (void) data;
@@ -260,7 +260,7 @@
     }
   if (*upload_bytes)
     {
-      take_upload (exchange, upload, *upload_bytes);
+      append_upload (exchange, upload, *upload_bytes);
       *upload_bytes = 0;
       return MHD_YES;
     }
@@ -270,7 +270,7 @@
     return MHD_YES;
   if (exchange->too_large)
     return reply_too_large (exchange);
-  return hand_out (exchange, method, path);
+  return dispatch_request (exchange, method, path);
 }
 
 static void
@@ -280,8 +280,8 @@
               enum MHD_RequestTerminationCode code)
 {
   struct ash_http_server *server = data;
-  struct ash_exchange *exchange = *context;
-  struct ash_conn *conn = conn_of (connection);
+  struct ash_http_exchange *exchange = *context;
+  struct ash_http_server_conn *conn = conn_of (connection);
   bool gone;
 
   if (conn)
@@ -306,7 +306,7 @@
                enum MHD_ConnectionNotificationCode code)
 {
   struct ash_http_server *server = data;
-  struct ash_conn *conn = *context;
+  struct ash_http_server_conn *conn = *context;
 
   if (code == MHD_CONNECTION_NOTIFY_STARTED)
     {
@@ -343,14 +343,14 @@
 }
 
 static void
-set_response (struct ash_exchange *exchange,
+set_response (struct ash_http_exchange *exchange,
               struct MHD_Response *response,
               uint32_t status,
               const struct ash_http_headers *headers)
 {
   for (uint32_t i = 0; headers && i < headers->count; i++)
     MHD_add_response_header (response, headers->items[i].name, headers->items[i].value);
-  if (exchange->server->close_kept)
+  if (exchange->server->keep_alive_disabled)
     MHD_add_response_header (response, MHD_HTTP_HEADER_CONNECTION, "close");
   exchange->response = response;
   exchange->status = status;
@@ -365,7 +365,7 @@
                 const uint8_t *body,
                 size_t body_bytes)
 {
-  struct ash_exchange *exchange = find_exchange (server, number);
+  struct ash_http_exchange *exchange = find_exchange (server, number);
   struct MHD_Response *response;
 
   if (!exchange || exchange->state != EXCHANGE_WAIT)
@@ -378,9 +378,9 @@
 }
 
 static ssize_t
-on_more (void *data, uint64_t position, char *out, size_t room)
+read_pending (void *data, uint64_t position, char *out, size_t room)
 {
-  struct ash_exchange *exchange = data;
+  struct ash_http_exchange *exchange = data;
   size_t length = exchange->pending_bytes < room ? exchange->pending_bytes : room;
 
   (void) position;
@@ -391,7 +391,7 @@
       memmove (exchange->pending, exchange->pending + length, exchange->pending_bytes);
       return (ssize_t) length;
     }
-  if (exchange->broken)
+  if (exchange->failed)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   if (exchange->ended)
     return MHD_CONTENT_READER_END_OF_STREAM;
@@ -405,13 +405,13 @@
                 uint32_t status,
                 const struct ash_http_headers *headers)
 {
-  struct ash_exchange *exchange = find_exchange (server, number);
+  struct ash_http_exchange *exchange = find_exchange (server, number);
   struct MHD_Response *response;
 
   if (!exchange || exchange->state != EXCHANGE_WAIT)
     return;
-  response =
-      MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, BLOCK_BYTES, on_more, exchange, NULL);
+  response = MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, BLOCK_BYTES, read_pending,
+                                                exchange, NULL);
   exchange->state = EXCHANGE_STREAM;
   if (response)
     set_response (exchange, response, status, headers);
@@ -423,13 +423,13 @@
                  const uint8_t *bytes,
                  size_t length)
 {
-  struct ash_exchange *exchange = find_exchange (server, number);
+  struct ash_http_exchange *exchange = find_exchange (server, number);
 
   if (!exchange || exchange->state != EXCHANGE_STREAM || exchange->ended)
     return;
   if (exchange->pending_bytes + length > PENDING_MAX_BYTES ||
       !grow (&exchange->pending, &exchange->pending_capacity, exchange->pending_bytes + length))
-    exchange->broken = true;
+    exchange->failed = true;
   else
     {
       memcpy (exchange->pending + exchange->pending_bytes, bytes, length);
@@ -441,13 +441,13 @@
 void
 ash_http_end (struct ash_http_server *server, uint64_t number, bool whole)
 {
-  struct ash_exchange *exchange = find_exchange (server, number);
+  struct ash_http_exchange *exchange = find_exchange (server, number);
 
   if (!exchange || exchange->state != EXCHANGE_STREAM)
     return;
   exchange->ended = true;
   if (!whole)
-    exchange->broken = true;
+    exchange->failed = true;
   resume (exchange);
 }
 
@@ -519,7 +519,7 @@
  * suspended connection. A caller that only shuts down its sending side counts
  * as gone too. */
 static bool
-is_closed (const struct ash_exchange *exchange)
+is_disconnected (const struct ash_http_exchange *exchange)
 {
   char byte;
   ssize_t length =
@@ -530,9 +530,9 @@
 
 /* Ends an exchange that nobody waits for any more; none stays suspended. */
 static void
-break_off (struct ash_http_server *server, struct ash_exchange *exchange)
+abort_exchange (struct ash_http_server *server, struct ash_http_exchange *exchange)
 {
-  exchange->broken = true;
+  exchange->failed = true;
   exchange->ended = true;
   if (exchange->state == EXCHANGE_WAIT)
     ash_http_reply (server, exchange->number, MHD_HTTP_SERVICE_UNAVAILABLE, NULL, NULL, 0);
@@ -545,29 +545,30 @@
 {
   struct ash_http_server *server = timer->data;
   struct ash_time now = ash_clock_now ();
-  struct ash_time latest = ash_time_add (now, -(int64_t) server->settings->upload_ms);
-  struct ash_time idle = ash_time_add (now, -(int64_t) server->settings->idle_ms);
-  struct ash_exchange *exchange = NULL;
-  struct ash_exchange *next = NULL;
-  struct ash_conn *conn;
+  struct ash_time upload_cutoff = ash_time_add (now, -(int64_t) server->settings->upload_ms);
+  struct ash_time idle_cutoff = ash_time_add (now, -(int64_t) server->settings->idle_ms);
+  struct ash_http_exchange *exchange = NULL;
+  struct ash_http_exchange *next = NULL;
+  struct ash_http_server_conn *conn;
 
   (void) loop;
   (void) events;
   HASH_ITER (hh, server->exchanges, exchange, next)
     {
-      if (exchange->suspended && is_closed (exchange))
+      if (exchange->suspended && is_disconnected (exchange))
         {
-          /* The error surfaces in on_more() or on writing the answer. */
+          /* The error surfaces in read_pending() or on writing the answer. */
           server->handler.gone (server->handler.data, exchange->number);
           shutdown (socket_of (exchange->connection), SHUT_RDWR);
-          break_off (server, exchange);
+          abort_exchange (server, exchange);
         }
-      else if (exchange->state == EXCHANGE_UPLOAD && ash_time_before (exchange->since, latest))
+      else if (exchange->state == EXCHANGE_UPLOAD &&
+               ash_time_before (exchange->since, upload_cutoff))
         shutdown (socket_of (exchange->connection), SHUT_RDWR);
     }
   DL_FOREACH (server->conns, conn)
     /* Sends headers slowly, or nothing at all. */
-    if (!conn->in_request && ash_time_before (conn->since, idle))
+    if (!conn->in_request && ash_time_before (conn->since, idle_cutoff))
       shutdown (socket_of (conn->connection), SHUT_RDWR);
 }
 
@@ -622,9 +623,9 @@
 }
 
 void
-ash_http_server_close_kept (struct ash_http_server *server)
+ash_http_server_disable_keep_alive (struct ash_http_server *server)
 {
-  server->close_kept = true;
+  server->keep_alive_disabled = true;
 }
 
 /* A listener that closes resets whoever has connected and was not accepted yet,
@@ -680,7 +681,7 @@
 static bool
 awaits_first_request (const struct ash_http_server *server, struct ash_time now)
 {
-  struct ash_conn *conn;
+  struct ash_http_server_conn *conn;
 
   DL_FOREACH (server->conns, conn)
     if (!conn->used && ash_time_diff (conn->since, now) < server->settings->upload_ms)
@@ -699,8 +700,8 @@
 static void
 stop_daemon (struct ash_http_server *server)
 {
-  struct ash_exchange *exchange = NULL;
-  struct ash_exchange *next = NULL;
+  struct ash_http_exchange *exchange = NULL;
+  struct ash_http_exchange *next = NULL;
 
   ev_io_stop (server->loop, &server->io);
   ev_prepare_stop (server->loop, &server->prepare);
@@ -708,7 +709,7 @@
   ev_timer_stop (server->loop, &server->sweep);
   /* The library wants no connection suspended when it stops. */
   HASH_ITER (hh, server->exchanges, exchange, next)
-    break_off (server, exchange);
+    abort_exchange (server, exchange);
   run (server);
   MHD_stop_daemon (server->daemon);
 }
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -43,7 +43,7 @@
 };
 
 /** Who gets the requests. */
-struct ash_http_handler
+struct ash_http_server_handler
 {
   void (*request) (void *data, const struct ash_http_request *request);
   /** The caller has gone before the answer was whole. */
@@ -51,24 +51,24 @@
   void *data;
 };
 
-struct ash_exchange;
+struct ash_http_exchange;
 
 /** The task. */
 struct ash_http_server
 {
   struct ev_loop *loop;
   const struct ash_settings *settings;
-  struct ash_http_handler handler;
+  struct ash_http_server_handler handler;
   struct MHD_Daemon *daemon;
   ev_io io;
   ev_timer timer;
   ev_prepare prepare;
   ev_timer sweep;
-  struct ash_exchange *exchanges;
-  struct ash_conn *conns;
+  struct ash_http_exchange *exchanges;
+  struct ash_http_server_conn *conns;
   uint64_t last_number;
-  bool resumed;    /**< a connection waits for the library to run */
-  bool close_kept; /**< answers close their connections */
+  bool resumed;             /**< a connection waits for the library to run */
+  bool keep_alive_disabled; /**< answers close their connections */
   int listen_fd;
 };
 
@@ -86,7 +86,7 @@
 void ash_http_server_finish (struct ash_http_server *server);
 
 /** From now on each answer closes its connection, so that callers don't keep them. */
-void ash_http_server_close_kept (struct ash_http_server *server);
+void ash_http_server_disable_keep_alive (struct ash_http_server *server);
 
 /**
  * Takes no new connections any more, and answers all that had connected. To be
--- a/net/peer.c
+++ b/net/peer.c
@@ -5,7 +5,7 @@
 #include "controllers/talk.h"
 #include "net/bind.h"
 #include "net/handshake.h"
-#include "net/lateness.h"
+#include "net/frame_delay.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
@@ -22,10 +22,10 @@
 #define LISTEN_BACKLOG 256
 #define READ_BYTES 65536
 #define MS_PER_S 1000.0
-#define ACCEPTED_MAX 2048
+#define ACCEPTED_LINKS_MAX 2048
 
 /* What may wait for a slow peer before its link is closed. */
-#define OUT_MAX_BYTES (16 * 1024 * 1024)
+#define SEND_QUEUE_MAX_BYTES (16 * 1024 * 1024)
 
 enum link_state
 {
@@ -46,15 +46,15 @@
   int fd;
   ev_io read_io;
   ev_io write_io;
-  struct ash_time heard; /* the last frame, or the link's start */
-  struct ash_time beat;  /* the last heartbeat sent */
-  uint32_t period_ms;    /* within that the peer's next heartbeat follows; 0: it has not said */
+  struct ash_time last_frame;     /* the last frame, or the link's start */
+  struct ash_time last_heartbeat; /* the last heartbeat sent */
+  uint32_t period_ms; /* within that the peer's next heartbeat follows; 0: it has not said */
   struct ash_buffer in;
   struct ash_buffer out;
   struct ash_frame_key in_key;
   struct ash_frame_key out_key;
-  struct ash_lateness lateness; /* of what comes in */
-  bool broken;                  /* to be closed when the loop comes round */
+  struct ash_frame_delay frame_delay; /* of what comes in */
+  bool close_pending;                 /* to be closed when the loop comes round */
   struct ash_link *prev;
   struct ash_link *next;
 };
@@ -63,7 +63,7 @@
 struct ash_dial
 {
   char box[ASH_NAME_BYTES];
-  bool learned; /* the name is whoever answered there last */
+  bool name_learned; /* the name is whoever answered there last */
   char address[ASH_NAME_BYTES];
   struct ash_link *link; /* NULL: none at the moment */
   struct ash_time next_try;
@@ -74,13 +74,13 @@
 /* ---- links ---- */
 
 static void
-give (struct ash_link *link, Ash__Event__KindCase kind, const void *message)
+emit_event (struct ash_link *link, Ash__Event__KindCase kind, const void *message)
 {
   ash_emit (&link->peers->handler, link->box, kind, message);
 }
 
 static void
-close_link (struct ash_link *link, const char *why)
+close_link (struct ash_link *link, const char *reason)
 {
   struct ash_peers *peers = link->peers;
   struct Ash__LinkDown down = ASH__LINK_DOWN__INIT;
@@ -101,8 +101,8 @@
     }
   if (was_up)
     {
-      ash_log_event (&peers->log, ASH_EV_LINK_DOWN, "box=%s why=\"%s\"", link->box, why);
-      give (link, ASH__EVENT__KIND_LINK_DOWN, &down);
+      ash_log_event (&peers->log, ASH_EV_LINK_DOWN, "box=%s why=\"%s\"", link->box, reason);
+      emit_event (link, ASH__EVENT__KIND_LINK_DOWN, &down);
     }
   ash_buffer_finish (&link->in);
   ash_buffer_finish (&link->out);
@@ -123,13 +123,13 @@
         {
           /* Closing is left to the loop: flush() may be called from a core. */
           if (errno != EAGAIN)
-            link->broken = true;
+            link->close_pending = true;
           break;
         }
       link->peers->bytes_out += (uint64_t) sent;
       ash_buffer_consume (&link->out, (size_t) sent);
     }
-  if (link->out.length || link->broken)
+  if (link->out.length || link->close_pending)
     ev_io_start (link->peers->loop, &link->write_io);
   else
     ev_io_stop (link->peers->loop, &link->write_io);
@@ -141,8 +141,9 @@
   struct Ash__Event stamped = *event;
 
   stamped.sent_ms = (uint32_t) ash_clock_now ().ms;
-  if (link->out.length > OUT_MAX_BYTES || !ash_frame_write (&link->out, &link->out_key, &stamped))
-    link->broken = true;
+  if (link->out.length > SEND_QUEUE_MAX_BYTES ||
+      !ash_frame_write (&link->out, &link->out_key, &stamped))
+    link->close_pending = true;
   flush (link);
 }
 
@@ -174,7 +175,7 @@
 }
 
 static uint32_t
-beat_period_ms (const struct ash_link *link)
+heartbeat_period_ms (const struct ash_link *link)
 {
   const struct ash_peers *peers = link->peers;
 
@@ -189,8 +190,8 @@
   struct ash_peers *peers = link->peers;
 
   peers->heartbeat (peers->data, link->box, &heartbeat);
-  heartbeat.period_ms = beat_period_ms (link);
-  link->beat = ash_clock_now ();
+  heartbeat.period_ms = heartbeat_period_ms (link);
+  link->last_heartbeat = ash_clock_now ();
   send_message (link, ASH__EVENT__KIND_HEARTBEAT, &heartbeat);
   free (heartbeat.leaving_boxes);
   free (heartbeat.leaving_incarnations);
@@ -199,7 +200,7 @@
 }
 
 static struct ash_link *
-find_up (const struct ash_peers *peers, const char *box)
+find_link_up (const struct ash_peers *peers, const char *box)
 {
   struct ash_link *link;
 
@@ -216,24 +217,25 @@
  * one: the link that was dialled by the box whose name comes first stays. */
 static bool
 is_duplicate (const struct ash_link *link,
-              const struct ash_link *older,
+              const struct ash_link *existing,
               const struct Ash__Hello *hello)
 {
   bool own_first = strcmp (link->peers->identity.box, hello->box) < 0;
 
-  return older && older->incarnation == hello->incarnation && own_first != (link->dial != NULL);
+  return existing && existing->incarnation == hello->incarnation &&
+         own_first != (link->dial != NULL);
 }
 
 static void
-go_up (struct ash_link *link, const struct Ash__Hello *hello)
+bring_up (struct ash_link *link, const struct Ash__Hello *hello)
 {
   struct ash_peers *peers = link->peers;
   struct Ash__LinkUp up = ASH__LINK_UP__INIT;
-  struct ash_link *older = find_up (peers, hello->box);
+  struct ash_link *existing = find_link_up (peers, hello->box);
 
   /* One link a box: the newer one is the one that the box believes in. */
-  if (older)
-    close_link (older, "replaced");
+  if (existing)
+    close_link (existing, "replaced");
   snprintf (link->box, sizeof link->box, "%s", hello->box);
   link->incarnation = hello->incarnation;
   link->state = LINK_UP;
@@ -242,16 +244,16 @@
   up.revision = hello->revision;
   ash_log_event (&peers->log, ASH_EV_LINK_UP, "box=%s incarnation=%016llx", link->box,
                  (unsigned long long) hello->incarnation);
-  give (link, ASH__EVENT__KIND_LINK_UP, &up);
+  emit_event (link, ASH__EVENT__KIND_LINK_UP, &up);
   send_heartbeat (link);
 }
 
 /* ---- handshake ---- */
 
-/* Each returns why the link must be closed, or NULL. */
+/* Each returns reason the link must be closed, or NULL. */
 
 static const char *
-take_challenge (struct ash_link *link, const struct Ash__Event *event)
+handle_challenge (struct ash_link *link, const struct Ash__Event *event)
 {
   if (!link->dial || event->kind_case != ASH__EVENT__KIND_CHALLENGE ||
       event->challenge->nonce.len != ASH_NONCE_BYTES)
@@ -264,7 +266,7 @@
 }
 
 static const char *
-take_hello (struct ash_link *link, const struct Ash__Event *event)
+handle_hello (struct ash_link *link, const struct Ash__Event *event)
 {
   struct ash_peers *peers = link->peers;
   const uint8_t *fleet_key = peers->identity.fleet_key;
@@ -278,47 +280,47 @@
     memcpy (link->nonces.dial, hello->nonce.data, ASH_NONCE_BYTES);
   if (!ash_handshake_check (fleet_key, &link->nonces, sender, hello))
     return "wrong proof of the fleet key";
-  if (link->dial && !link->dial->learned && *link->dial->box &&
+  if (link->dial && !link->dial->name_learned && *link->dial->box &&
       strcmp (link->dial->box, hello->box) != 0)
     return "another box answers at this address";
   if (strcmp (hello->box, peers->identity.box) == 0)
     return "it has this box's own name";
-  if (link->dial && (link->dial->learned || !*link->dial->box))
+  if (link->dial && (link->dial->name_learned || !*link->dial->box))
     {
-      link->dial->learned = true;
+      link->dial->name_learned = true;
       snprintf (link->dial->box, sizeof link->dial->box, "%s", hello->box);
     }
   /* Told before the link may be closed: the other side has to learn whom it has dialled, or
    * it would dial on and on. */
   if (!link->dial)
     send_hello (link, ASH_SIDE_ACCEPT);
-  if (is_duplicate (link, find_up (peers, hello->box), hello))
+  if (is_duplicate (link, find_link_up (peers, hello->box), hello))
     return duplicate_link;
   ash_handshake_frame_key (fleet_key, &link->nonces, sender, &link->in_key);
   ash_handshake_frame_key (fleet_key, &link->nonces, link->dial ? ASH_SIDE_DIAL : ASH_SIDE_ACCEPT,
                            &link->out_key);
-  go_up (link, hello);
+  bring_up (link, hello);
   return NULL;
 }
 
 static const char *
-take_event (struct ash_link *link, struct Ash__Event *event)
+handle_event (struct ash_link *link, struct Ash__Event *event)
 {
   switch (link->state)
     {
     case LINK_CONNECTING:
       return "a frame before the connection";
     case LINK_CHALLENGED:
-      return link->dial ? take_challenge (link, event) : take_hello (link, event);
+      return link->dial ? handle_challenge (link, event) : handle_hello (link, event);
     case LINK_PROVING:
-      return take_hello (link, event);
+      return handle_hello (link, event);
     case LINK_UP:
       if (event->kind_case == ASH__EVENT__KIND_HELLO ||
           event->kind_case == ASH__EVENT__KIND_CHALLENGE)
         return "a hello on a link that is up";
       break;
     }
-  if (ash_lateness_of (&link->lateness, ash_clock_now (), event->sent_ms) >
+  if (ash_frame_delay_ms (&link->frame_delay, ash_clock_now (), event->sent_ms) >
       link->peers->settings.link_silence_ms)
     return "a frame that is too late";
   if (event->kind_case == ASH__EVENT__KIND_HEARTBEAT)
@@ -333,31 +335,31 @@
 
 /* ---- sockets ---- */
 
-/* @return why the link must be closed, or NULL. */
+/* @return reason the link must be closed, or NULL. */
 static const char *
 read_frames (struct ash_link *link)
 {
   struct Ash__Event *event;
-  const char *why = NULL;
+  const char *reason = NULL;
 
-  while (!why)
+  while (!reason)
     {
       switch (ash_frame_read (&link->in, &link->in_key, &event))
         {
-        case ASH_FRAME_NONE:
+        case ASH_FRAME_INCOMPLETE:
           return NULL;
-        case ASH_FRAME_WRONG:
+        case ASH_FRAME_INVALID:
           return "a wrong frame";
-        case ASH_FRAME_READ:
-          link->heard = ash_clock_now ();
-          why = take_event (link, event);
+        case ASH_FRAME_COMPLETE:
+          link->last_frame = ash_clock_now ();
+          reason = handle_event (link, event);
           ash__event__free_unpacked (event, NULL);
-          if (!why && link->broken)
-            why = "can't send";
+          if (!reason && link->close_pending)
+            reason = "can't send";
           break;
         }
     }
-  return why;
+  return reason;
 }
 
 static bool
@@ -365,7 +367,7 @@
 {
   const struct ash_peer_settings *settings = &link->peers->settings;
 
-  return ash_time_diff (link->heard, now) >
+  return ash_time_diff (link->last_frame, now) >
          ash_talk_silence_ms (settings->link_silence_ms, settings->heartbeat_ms, link->period_ms);
 }
 
@@ -392,7 +394,7 @@
   struct ash_link *link = io->data;
   struct ash_peers *peers = link->peers;
   uint8_t *at = ash_buffer_reserve (&link->in, READ_BYTES);
-  const char *why = NULL;
+  const char *reason = NULL;
   bool was_up = link->state == LINK_UP;
   ssize_t length;
 
@@ -417,13 +419,13 @@
     }
   peers->bytes_in += (uint64_t) length;
   link->in.length += (size_t) length;
-  why = read_frames (link);
-  if (!why)
+  reason = read_frames (link);
+  if (!reason)
     return;
-  if (!was_up && why != duplicate_link)
+  if (!was_up && reason != duplicate_link)
     ash_log_event (&peers->log, ASH_EV_PEER_REFUSED, "address=%s why=\"%s\"",
-                   link->dial ? link->dial->address : "accepted", why);
-  close_link (link, why);
+                   link->dial ? link->dial->address : "accepted", reason);
+  close_link (link, reason);
 }
 
 static void
@@ -433,7 +435,7 @@
 
   (void) loop;
   (void) events;
-  if (link->broken)
+  if (link->close_pending)
     close_link (link, "can't send");
   else if (link->state != LINK_CONNECTING || finish_connect (link))
     flush (link);
@@ -456,8 +458,8 @@
   link->peers = peers;
   link->state = state;
   link->fd = fd;
-  link->heard = ash_clock_now ();
-  ash_lateness_init (&link->lateness);
+  link->last_frame = ash_clock_now ();
+  ash_frame_delay_init (&link->frame_delay);
   ev_io_init (&link->read_io, on_readable, fd, EV_READ);
   ev_io_init (&link->write_io, on_writable, fd, EV_WRITE);
   link->read_io.data = link;
@@ -490,7 +492,7 @@
   (void) events;
   if (fd < 0)
     return;
-  if (accepted_count (peers) >= ACCEPTED_MAX)
+  if (accepted_count (peers) >= ACCEPTED_LINKS_MAX)
     {
       close (fd);
       return;
@@ -528,7 +530,7 @@
 /* ---- the task ---- */
 
 static void
-check_dials (struct ash_peers *peers, struct ash_time now)
+start_due_dials (struct ash_peers *peers, struct ash_time now)
 {
   struct ash_dial *dial;
 
@@ -537,7 +539,7 @@
       if (dial->link || ash_time_before (now, dial->next_try))
         continue;
       /* The box may have a link to here that it dialled itself. */
-      if (*dial->box && find_up (peers, dial->box))
+      if (*dial->box && find_link_up (peers, dial->box))
         continue;
       connect_dial (peers, dial);
     }
@@ -545,14 +547,14 @@
 
 /* A link's heartbeats keep to its period as closely as the timer allows. */
 static void
-beat_due (struct ash_peers *peers, struct ash_time now)
+send_due_heartbeats (struct ash_peers *peers, struct ash_time now)
 {
   int64_t slack_ms = peers->settings.heartbeat_ms / 2;
   struct ash_link *link;
 
   DL_FOREACH (peers->links, link)
     if (link->state == LINK_UP &&
-        ash_time_diff (link->beat, now) + slack_ms >= beat_period_ms (link))
+        ash_time_diff (link->last_heartbeat, now) + slack_ms >= heartbeat_period_ms (link))
       send_heartbeat (link);
 }
 
@@ -571,21 +573,21 @@
       if (is_silent (link, now))
         close_link (link, "silent");
     }
-  check_dials (peers, now);
-  beat_due (peers, now);
+  start_due_dials (peers, now);
+  send_due_heartbeats (peers, now);
 }
 
 void
-ash_peers_beat_one (struct ash_peers *peers, const char *box)
+ash_peers_send_heartbeat (struct ash_peers *peers, const char *box)
 {
-  struct ash_link *link = find_up (peers, box);
+  struct ash_link *link = find_link_up (peers, box);
 
   if (link)
     send_heartbeat (link);
 }
 
 void
-ash_peers_beat (struct ash_peers *peers)
+ash_peers_send_heartbeats (struct ash_peers *peers)
 {
   struct ash_link *link;
 
@@ -649,7 +651,8 @@
   struct ash_dial *dial;
 
   DL_FOREACH (peers->dials, dial)
-    if (strcmp (dial->address, address) == 0 && (strcmp (dial->box, box) == 0 || dial->learned))
+    if (strcmp (dial->address, address) == 0 &&
+        (strcmp (dial->box, box) == 0 || dial->name_learned))
       return;
   dial = calloc (1, sizeof *dial);
   if (!dial)
@@ -677,7 +680,7 @@
       if (dial->link)
         {
           dial->link->dial = NULL;
-          dial->link->broken = true;
+          dial->link->close_pending = true;
           ev_io_start (peers->loop, &dial->link->write_io);
         }
       free (dial);
@@ -687,10 +690,10 @@
 bool
 ash_peers_send (struct ash_peers *peers, const char *box, const struct Ash__Event *event)
 {
-  struct ash_link *link = find_up (peers, box);
+  struct ash_link *link = find_link_up (peers, box);
   struct Ash__Event copy = *event;
 
-  if (!link || link->broken)
+  if (!link || link->close_pending)
     return false;
   /* The receiver knows who sends; the name need not travel. */
   copy.peer = ash_text (protobuf_c_empty_string);
@@ -699,7 +702,7 @@
 }
 
 void
-ash_peers_reset (struct ash_peers *peers)
+ash_peers_close_links (struct ash_peers *peers)
 {
   while (peers->links)
     close_link (peers->links, "paused");
--- a/net/peer.h
+++ b/net/peer.h
@@ -95,12 +95,12 @@
 bool ash_peers_send (struct ash_peers *peers, const char *box, const struct Ash__Event *event);
 
 /** Sends a heartbeat on all links now. */
-void ash_peers_beat (struct ash_peers *peers);
+void ash_peers_send_heartbeats (struct ash_peers *peers);
 
 /** Sends one to that box now, if there is a link. */
-void ash_peers_beat_one (struct ash_peers *peers, const char *box);
+void ash_peers_send_heartbeat (struct ash_peers *peers, const char *box);
 
 /** Closes all links, after a pause: what they hold is out of date. */
-void ash_peers_reset (struct ash_peers *peers);
+void ash_peers_close_links (struct ash_peers *peers);
 
 #endif
--- a/net/stream.c
+++ b/net/stream.c
@@ -29,12 +29,12 @@
         continue;
       if (sent < 0)
         {
-          stream->broken = errno != EAGAIN;
+          stream->write_failed = errno != EAGAIN;
           break;
         }
       ash_buffer_consume (&stream->out, (size_t) sent);
     }
-  if (stream->out.length || stream->broken || stream->connecting)
+  if (stream->out.length || stream->write_failed || stream->connecting)
     ev_io_start (stream->loop, &stream->write_io);
   else
     ev_io_stop (stream->loop, &stream->write_io);
@@ -50,7 +50,7 @@
   if (error)
     {
       stream->refused = error == ECONNREFUSED;
-      stream->handler->end (stream, ASH_STREAM_NO_CONNECT);
+      stream->handler->end (stream, ASH_STREAM_CONNECT_FAILED);
       return false;
     }
   stream->connecting = false;
@@ -87,7 +87,7 @@
   if (stream->connecting && !finish_connect (stream))
     return;
   flush (stream);
-  if (stream->broken)
+  if (stream->write_failed)
     stream->handler->end (stream, ASH_STREAM_RESET);
   else if (!stream->out.length && stream->handler->drained)
     stream->handler->drained (stream);
@@ -179,10 +179,10 @@
 void
 ash_stream_write (struct ash_stream *stream, const void *bytes, size_t length)
 {
-  if (stream->fd < 0 || stream->broken)
+  if (stream->fd < 0 || stream->write_failed)
     return;
   if (!ash_buffer_append (&stream->out, bytes, length))
-    stream->broken = true;
+    stream->write_failed = true;
   flush (stream);
 }
 
--- a/net/stream.h
+++ b/net/stream.h
@@ -19,9 +19,9 @@
 /** How a connection ended. */
 enum ash_stream_end
 {
-  ASH_STREAM_EOF,        /**< the peer closed it */
-  ASH_STREAM_RESET,      /**< reset, or silent for too long */
-  ASH_STREAM_NO_CONNECT, /**< it never came up */
+  ASH_STREAM_EOF,            /**< the peer closed it */
+  ASH_STREAM_RESET,          /**< reset, or silent for too long */
+  ASH_STREAM_CONNECT_FAILED, /**< it never came up */
 };
 
 /** What a stream tells its owner. */
@@ -40,9 +40,9 @@
   void *owner;
   int fd; /**< -1: finished */
   bool connecting;
-  bool refused; /**< it never came up: nothing listens there */
-  bool broken;  /**< a write failed; told by the loop */
-  bool paused;  /**< nothing is read */
+  bool refused;      /**< it never came up: nothing listens there */
+  bool write_failed; /**< a write failed; told by the loop */
+  bool paused;       /**< nothing is read */
   ev_io read_io;
   ev_io write_io;
   struct ash_buffer out;
--- a/test/bounds.c
+++ b/test/bounds.c
@@ -155,7 +155,7 @@
   struct Ash__Event *event = NULL;
   bool ok = false;
 
-  while (ash_frame_read (&buffer, &no_key, &event) == ASH_FRAME_NONE)
+  while (ash_frame_read (&buffer, &no_key, &event) == ASH_FRAME_INCOMPLETE)
     {
       ssize_t n = recv (fd, ash_buffer_reserve (&buffer, 256), 256, 0);
 
--- a/test/fuzz_frame.c
+++ b/test/fuzz_frame.c
@@ -38,7 +38,7 @@
 
   memcpy (at, bytes, length);
   buffer.length = length;
-  while (ash_frame_read (&buffer, &key, &event) == ASH_FRAME_READ)
+  while (ash_frame_read (&buffer, &key, &event) == ASH_FRAME_COMPLETE)
     {
       if ((int) event->kind_case >= ASH_EVENT_LOCAL_FIRST)
         abort ();
--- a/test/standin_ranks.c
+++ b/test/standin_ranks.c
@@ -253,7 +253,7 @@
       LL_PREPEND (group.late, late);
       return; /* never answered */
     }
-  ash_http_conn_answer (conn, carry_out (rank, body), "", 0, "", 0);
+  ash_http_conn_respond (conn, carry_out (rank, body), "", 0, "", 0);
   free (body);
 }
 
@@ -279,7 +279,7 @@
 static void
 answer_text (struct ash_http_conn *conn, const char *text)
 {
-  ash_http_conn_answer (conn, 200, JSON_FIELDS, strlen (JSON_FIELDS), text, strlen (text));
+  ash_http_conn_respond (conn, 200, JSON_FIELDS, strlen (JSON_FIELDS), text, strlen (text));
 }
 
 static void
@@ -460,7 +460,7 @@
 
       if (group.step > before)
         DL_FOREACH_SAFE (group.ranks[i].listener.conns, conn, next)
-          if (conn->request && !conn->dead)
+          if (conn->request && !conn->is_closed)
             write_event (&group.ranks[i], conn);
       note_report (&group.ranks[i]);
     }
--- a/test/standin_server.c
+++ b/test/standin_server.c
@@ -113,7 +113,7 @@
   char fields[512];
 
   fields_of (conn, more, fields, sizeof fields);
-  ash_http_conn_answer (conn, status, fields, strlen (fields), BODY, strlen (BODY));
+  ash_http_conn_respond (conn, status, fields, strlen (fields), BODY, strlen (BODY));
 }
 
 static void
@@ -133,7 +133,7 @@
 {
   conn->request = NULL;
   ash_stream_finish (&conn->stream);
-  conn->dead = true;
+  conn->is_closed = true;
 }
 
 static void
@@ -238,13 +238,13 @@
       write_raw (conn, id, "Content-Length: 5\r\n", "extra");
     }
   else if (strcmp (action, "noid") == 0)
-    ash_http_conn_answer (conn, 200, "Ashspindle-Server-Seal: x\r\n", 27, BODY, strlen (BODY));
+    ash_http_conn_respond (conn, 200, "Ashspindle-Server-Seal: x\r\n", 27, BODY, strlen (BODY));
   else if (strcmp (action, "unsigned") == 0)
     {
       char fields[128];
 
       snprintf (fields, sizeof fields, "Ashspindle-Attempt-Id: %s\r\n", id);
-      ash_http_conn_answer (conn, 200, fields, strlen (fields), BODY, strlen (BODY));
+      ash_http_conn_respond (conn, 200, fields, strlen (fields), BODY, strlen (BODY));
     }
   else if (strcmp (action, "cut") == 0)
     {
@@ -269,14 +269,14 @@
 
   if (strcmp (conn->reader.head.target, "/log") == 0)
     {
-      ash_http_conn_answer (conn, 200, "", 0, server.log.bytes + server.log.start,
-                            server.log.length);
+      ash_http_conn_respond (conn, 200, "", 0, server.log.bytes + server.log.start,
+                             server.log.length);
       return;
     }
   if (strcmp (conn->reader.head.target, "/gone") == 0)
     {
       snprintf (gone, sizeof gone, "%u", server.gone);
-      ash_http_conn_answer (conn, 200, "", 0, gone, strlen (gone));
+      ash_http_conn_respond (conn, 200, "", 0, gone, strlen (gone));
       return;
     }
   /* Another life has this address: it does not run the request. */
@@ -311,7 +311,7 @@
   (void) timer;
   (void) events;
   DL_FOREACH_SAFE (server.listener.conns, conn, next)
-    if (conn->request && !conn->dead)
+    if (conn->request && !conn->is_closed)
       go_on (conn, now);
 }
 
--- a/test/standin_store.c
+++ b/test/standin_store.c
@@ -110,7 +110,7 @@
 
   snprintf (fields, sizeof fields, "%s%s%s%s", JSON_FIELDS, *store.era ? "Store-Era: " : "",
             store.era, *store.era ? "\r\n" : "");
-  ash_http_conn_answer (conn, status, fields, strlen (fields), text, strlen (text));
+  ash_http_conn_respond (conn, status, fields, strlen (fields), text, strlen (text));
 }
 
 static void
@@ -239,11 +239,11 @@
   store.revision = revision;
   snprintf (store.era, sizeof store.era, "%llu", strtoull (store.era, NULL, 10) + 1);
   DL_FOREACH (store.listener.conns, conn)
-    if (conn->request && !conn->dead)
+    if (conn->request && !conn->is_closed)
       {
         conn->request = NULL;
         ash_stream_reset (&conn->stream);
-        conn->dead = true;
+        conn->is_closed = true;
       }
 }
 
@@ -278,7 +278,7 @@
   else
     snprintf (store.mode, sizeof store.mode, "%s", argument);
   free (body);
-  ash_http_conn_answer (conn, 200, "", 0, "", 0);
+  ash_http_conn_respond (conn, 200, "", 0, "", 0);
 }
 
 /* By how much answers come late. */
@@ -300,7 +300,7 @@
   else if (strncmp (target, "/kv-watch", 9) == 0)
     begin_watch (conn);
   else
-    ash_http_conn_answer (conn, 404, "", 0, "", 0);
+    ash_http_conn_respond (conn, 404, "", 0, "", 0);
 }
 
 static void
@@ -309,7 +309,7 @@
   if (strcmp (conn->reader.head.method, "PUT") == 0)
     control (conn, conn->reader.head.target);
   else if (strcmp (store.mode, "busy") == 0)
-    ash_http_conn_answer (conn, 503, "", 0, "", 0);
+    ash_http_conn_respond (conn, 503, "", 0, "", 0);
   else if (strcmp (store.mode, "silent") == 0)
     return;
   else if (delay_ms ())
@@ -340,7 +340,7 @@
     {
       int64_t wait_ms;
 
-      if (!conn->request || conn->request == &deafened || conn->dead)
+      if (!conn->request || conn->request == &deafened || conn->is_closed)
         continue;
       wait_ms = strtoll (parameter (conn, "WaitMs"), NULL, 10);
       if (strcmp (store.mode, "silent") == 0)
@@ -356,7 +356,7 @@
         {
           conn->request = NULL;
           ash_stream_reset (&conn->stream);
-          conn->dead = true;
+          conn->is_closed = true;
         }
       else if (answer_watch (conn, ash_time_diff (conn->since, now) >= wait_ms))
         conn->request = NULL;
--- a/test/unit.c
+++ b/test/unit.c
@@ -14,7 +14,7 @@
 #include "filters/minted_key.h"
 #include "net/frame.h"
 #include "net/handshake.h"
-#include "net/lateness.h"
+#include "net/frame_delay.h"
 #include "options/document.h"
 #include "options/settings.h"
 #include "test/unit.h"
@@ -456,15 +456,15 @@
   memcpy (copy, buffer.bytes, length);
   /* In pieces: nothing before the last byte. */
   buffer.length = length - 1;
-  CU_ASSERT_EQUAL (ash_frame_read (&buffer, &in_key, &read), ASH_FRAME_NONE);
+  CU_ASSERT_EQUAL (ash_frame_read (&buffer, &in_key, &read), ASH_FRAME_INCOMPLETE);
   buffer.length = length;
-  CU_ASSERT_EQUAL (ash_frame_read (&buffer, &in_key, &read), ASH_FRAME_READ);
+  CU_ASSERT_EQUAL (ash_frame_read (&buffer, &in_key, &read), ASH_FRAME_COMPLETE);
   CU_ASSERT_EQUAL (read->cancel->attempt, 77);
   ash__event__free_unpacked (read, NULL);
   /* The same frame once more is not the next one. */
   memcpy (ash_buffer_reserve (&buffer, length), copy, length);
   buffer.length = length;
-  CU_ASSERT_EQUAL (ash_frame_read (&buffer, &in_key, &read), ASH_FRAME_WRONG);
+  CU_ASSERT_EQUAL (ash_frame_read (&buffer, &in_key, &read), ASH_FRAME_INVALID);
   ash_buffer_finish (&buffer);
 }
 
@@ -481,17 +481,17 @@
   /* Before a peer has proved itself, four bytes must not make room for more. */
   memcpy (at_start, "\x00\x01\x00\x00xxxx", 8);
   buffer.length = 8;
-  CU_ASSERT_EQUAL (ash_frame_read (&buffer, &key, &read), ASH_FRAME_WRONG);
+  CU_ASSERT_EQUAL (ash_frame_read (&buffer, &key, &read), ASH_FRAME_INVALID);
   ash_buffer_finish (&buffer);
   /* What is local to a process is refused from a link, and so is garbage. */
   event.kind_case = ASH__EVENT__KIND_STOP;
   event.stop = &stop;
   CU_ASSERT (ash_frame_write (&buffer, &key, &event));
-  CU_ASSERT_EQUAL (ash_frame_read (&buffer, &key, &read), ASH_FRAME_WRONG);
+  CU_ASSERT_EQUAL (ash_frame_read (&buffer, &key, &read), ASH_FRAME_INVALID);
   ash_buffer_finish (&buffer);
   memcpy (ash_buffer_reserve (&buffer, 8), "\x00\x00\x00\x04\xff\xff\xff\xff", 8);
   buffer.length = 8;
-  CU_ASSERT_EQUAL (ash_frame_read (&buffer, &key, &read), ASH_FRAME_WRONG);
+  CU_ASSERT_EQUAL (ash_frame_read (&buffer, &key, &read), ASH_FRAME_INVALID);
   ash_buffer_finish (&buffer);
 }
 
@@ -527,20 +527,20 @@
 static void
 test_lateness (void)
 {
-  struct ash_lateness lateness;
+  struct ash_frame_delay lateness;
   int64_t latest = 0;
 
-  ash_lateness_init (&lateness);
+  ash_frame_delay_init (&lateness);
   /* The delay grows by 5 ms with each heartbeat: never a silence, ever later. */
   for (int64_t i = 0; i < 1000; i++)
-    latest = ash_lateness_of (&lateness, at (1000000 + i * 500 + i * 5), (uint32_t) (i * 500));
+    latest = ash_frame_delay_ms (&lateness, at (1000000 + i * 500 + i * 5), (uint32_t) (i * 500));
   CU_ASSERT (latest > 4000);
   /* Clocks that drift by 100 parts in a million for a day, and wrap around. */
-  ash_lateness_init (&lateness);
+  ash_frame_delay_init (&lateness);
   for (int64_t i = 0; i < 86400; i++)
     {
-      int64_t late = ash_lateness_of (&lateness, at (i * 1000 + i / 10),
-                                      (uint32_t) (UINT32_MAX - 1000 + i * 1000));
+      int64_t late = ash_frame_delay_ms (&lateness, at (i * 1000 + i / 10),
+                                         (uint32_t) (UINT32_MAX - 1000 + i * 1000));
 
       latest = late > latest || i == 0 ? late : latest;
     }
--- a/test/unit_era.c
+++ b/test/unit_era.c
@@ -47,14 +47,14 @@
   uint64_t era = 0;
 
   CU_ASSERT_EQUAL (read_era (NULL, NULL, &era), ASH_STORE_ERA_NONE);
-  CU_ASSERT_EQUAL (read_era ("0", NULL, &era), ASH_STORE_ERA_GIVEN);
-  CU_ASSERT_EQUAL (read_era ("41", NULL, &era), ASH_STORE_ERA_GIVEN);
+  CU_ASSERT_EQUAL (read_era ("0", NULL, &era), ASH_STORE_ERA_VALID);
+  CU_ASSERT_EQUAL (read_era ("41", NULL, &era), ASH_STORE_ERA_VALID);
   CU_ASSERT_EQUAL (era, 41);
-  CU_ASSERT_EQUAL (read_era ("42", "42", &era), ASH_STORE_ERA_GIVEN);
-  CU_ASSERT_EQUAL (read_era ("42", "43", &era), ASH_STORE_ERA_BAD);
-  CU_ASSERT_EQUAL (read_era ("42", "x", &era), ASH_STORE_ERA_BAD);
+  CU_ASSERT_EQUAL (read_era ("42", "42", &era), ASH_STORE_ERA_VALID);
+  CU_ASSERT_EQUAL (read_era ("42", "43", &era), ASH_STORE_ERA_INVALID);
+  CU_ASSERT_EQUAL (read_era ("42", "x", &era), ASH_STORE_ERA_INVALID);
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
-    CU_ASSERT_EQUAL (read_era (bad[i], NULL, &era), ASH_STORE_ERA_BAD);
+    CU_ASSERT_EQUAL (read_era (bad[i], NULL, &era), ASH_STORE_ERA_INVALID);
 }
 
 #define ENDPOINT 77
--- a/test/unit_platform.c
+++ b/test/unit_platform.c
@@ -82,7 +82,7 @@
       "{\"PrivateKey\":\"servers/i-3\",\"Value\":\"not base 64!\"}],"
       "\"MorePages\":true,\"StoreRevision\":9}";
   uint32_t seen[4] = { 0 };
-  struct ash_store_taker taker = { count_item, seen };
+  struct ash_store_item_handler taker = { count_item, seen };
   struct ash_store_answer answer;
 
   CU_ASSERT (ash_platform_store_read (text, sizeof text - 1, &taker, &answer));
@@ -306,10 +306,10 @@
     { ASH_HTTP_REQUEST, "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n65\r\n", ASH_HTTP_OK,
       false },
     { ASH_HTTP_REQUEST, "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
-      ASH_HTTP_UNKNOWN_CODING, false },
+      ASH_HTTP_UNSUPPORTED_CODING, false },
     { ASH_HTTP_REQUEST,
       "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n",
-      ASH_HTTP_UNKNOWN_CODING, false },
+      ASH_HTTP_UNSUPPORTED_CODING, false },
     { ASH_HTTP_RESPONSE, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", ASH_HTTP_OK, true },
     { ASH_HTTP_RESPONSE, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", ASH_HTTP_OK, false },
     { ASH_HTTP_RESPONSE, "HTTP/1.1 200 OK\r\n\r\nto its end", ASH_HTTP_OK, true },
@@ -354,7 +354,7 @@
     }
   CU_ASSERT_EQUAL (count, 3);
   CU_ASSERT (ids[0] == -1 && ids[1] == 7 && ids[2] == 8);
-  CU_ASSERT_FALSE (ash_event_stream_whole (&stream));
+  CU_ASSERT_FALSE (ash_event_stream_is_empty (&stream));
   ash_event_stream_finish (&stream);
 }
 
--- a/test/unit_rows.c
+++ b/test/unit_rows.c
@@ -4,7 +4,7 @@
  * that routes known before come out as if they were read again.
  */
 #include "platform/config.h"
-#include "platform/json_rows.h"
+#include "platform/json_items.h"
 #include "test/unit.h"
 
 #include <stdio.h>
@@ -17,14 +17,14 @@
 static int
 count_rows (const char *text)
 {
-  struct ash_json_rows rows;
+  struct ash_json_items rows;
   const char *item;
   size_t item_bytes;
   int count = 0;
 
-  if (!ash_json_rows_find (&rows, text, strlen (text), "list"))
+  if (!ash_json_items_find (&rows, text, strlen (text), "list"))
     return -1;
-  while (ash_json_rows_next (&rows, &item, &item_bytes))
+  while (ash_json_items_next (&rows, &item, &item_bytes))
     count++;
   return rows.bad ? -1 : count;
 }
@@ -34,19 +34,19 @@
 {
   static const char text[] = "{ \"a\":[1,{\"list\":[9]}], \"b\\\"\":\"}]\",\n"
                              "\"list\" : [ {\"x\":\"],{\\\"\"} , [2,[3]],\"s\", 4 ] , \"c\":null}";
-  struct ash_json_rows rows;
+  struct ash_json_items rows;
   const char *item;
   size_t item_bytes;
 
-  CU_ASSERT_FATAL (ash_json_rows_find (&rows, text, sizeof text - 1, "list"));
-  CU_ASSERT (ash_json_rows_next (&rows, &item, &item_bytes));
+  CU_ASSERT_FATAL (ash_json_items_find (&rows, text, sizeof text - 1, "list"));
+  CU_ASSERT (ash_json_items_next (&rows, &item, &item_bytes));
   CU_ASSERT (item_bytes == 13 && memcmp (item, "{\"x\":\"],{\\\"\"}", item_bytes) == 0);
-  CU_ASSERT (ash_json_rows_next (&rows, &item, &item_bytes));
+  CU_ASSERT (ash_json_items_next (&rows, &item, &item_bytes));
   CU_ASSERT (item_bytes == 7 && memcmp (item, "[2,[3]]", item_bytes) == 0);
-  CU_ASSERT (ash_json_rows_next (&rows, &item, &item_bytes));
-  CU_ASSERT (ash_json_rows_next (&rows, &item, &item_bytes));
+  CU_ASSERT (ash_json_items_next (&rows, &item, &item_bytes));
+  CU_ASSERT (ash_json_items_next (&rows, &item, &item_bytes));
   CU_ASSERT (item_bytes == 1 && *item == '4');
-  CU_ASSERT_FALSE (ash_json_rows_next (&rows, &item, &item_bytes));
+  CU_ASSERT_FALSE (ash_json_items_next (&rows, &item, &item_bytes));
   CU_ASSERT_FALSE (rows.bad);
 }
 
