--- a/net/http_call.c
+++ b/net/http_call.c
@@ -31,7 +31,7 @@
 };
 
 static void
-free_conn (struct ash_pool_conn *conn)
+free_pool_conn (struct ash_pool_conn *conn)
 {
   ash_stream_finish (&conn->stream);
   ash_http_reader_finish (&conn->reader);
@@ -43,7 +43,7 @@
 /* Detaches the call from its connection and calls its end handler, which may start another call:
  * the connection must be idle or freed already. */
 static void
-finish_call (struct ash_http_call *call, enum ash_call_end end)
+end_call (struct ash_http_call *call, enum ash_call_end end)
 {
   call->conn = NULL;
   call->handler->end (call, end);
@@ -54,9 +54,9 @@
 {
   struct ash_http_call *call = conn->call;
 
-  free_conn (conn);
+  free_pool_conn (conn);
   if (call)
-    finish_call (call, end);
+    end_call (call, end);
 }
 
 static int64_t
@@ -82,7 +82,7 @@
 }
 
 static void
-finish_response (struct ash_pool_conn *conn, bool reusable)
+complete_response (struct ash_pool_conn *conn, bool reusable)
 {
   struct ash_http_call *call = conn->call;
   int64_t keep_ms = keep_alive_ms (&conn->reader.head) - IDLE_MARGIN_MS;
@@ -100,8 +100,8 @@
       DL_PREPEND (pool->conns, conn);
     }
   else
-    free_conn (conn);
-  finish_call (call, ASH_CALL_COMPLETE);
+    free_pool_conn (conn);
+  end_call (call, ASH_CALL_COMPLETE);
 }
 
 static bool
@@ -145,7 +145,7 @@
   /* Unexpected data on an idle connection: no request is pending. */
   if (!conn->call)
     {
-      free_conn (conn);
+      free_pool_conn (conn);
       return;
     }
   while (consumed < length)
@@ -156,7 +156,7 @@
       /* The owner cancelled the call from within its handler. */
       if (!conn->call)
         {
-          free_conn (conn);
+          free_pool_conn (conn);
           return;
         }
       if (conn->reader.error)
@@ -168,7 +168,7 @@
         return;
       if (!is_interim (&conn->reader) && !conn->discarding)
         {
-          finish_response (conn, consumed == length);
+          complete_response (conn, consumed == length);
           return;
         }
       conn->closing = conn->closing || conn->discarding;
@@ -184,11 +184,11 @@
   struct ash_pool_conn *conn = stream->owner;
 
   if (!conn->call)
-    free_conn (conn);
+    free_pool_conn (conn);
   else if (end == ASH_STREAM_CONNECT_FAILED)
     fail (conn, ASH_CALL_NOT_SENT);
   else if (end == ASH_STREAM_EOF && !conn->discarding && ash_http_reader_eof (&conn->reader))
-    finish_response (conn, false);
+    complete_response (conn, false);
   else
     fail (conn, ASH_CALL_TRUNCATED);
 }
@@ -219,7 +219,7 @@
 
   DL_FOREACH_SAFE (pool->conns, conn, next)
     if (!conn->call && !conn->reader_running && ash_time_before (conn->idle_until, now))
-      free_conn (conn);
+      free_pool_conn (conn);
 }
 
 void
@@ -230,7 +230,7 @@
 
   DL_FOREACH_SAFE (pool->conns, conn, next)
     if (!conn->call && !conn->reader_running && ash_time_before (conn->last_read, since))
-      free_conn (conn);
+      free_pool_conn (conn);
 }
 
 bool
--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -51,7 +51,7 @@
 
 /* Closes the stream; the sweep frees the connection, as callers on the stack may still use it. */
 static void
-close_conn (struct ash_http_conn *conn)
+close_caller (struct ash_http_conn *conn)
 {
   ash_stream_finish (&conn->stream);
   drop_body (conn);
@@ -190,20 +190,20 @@
 }
 
 void
-ash_http_conn_end (struct ash_http_conn *conn, bool whole)
+ash_http_conn_end (struct ash_http_conn *conn, bool complete)
 {
   if (conn->is_closed)
     return;
-  if (whole && conn->chunked)
+  if (complete && conn->chunked)
     ash_stream_write (&conn->stream, "0\r\n\r\n", 5);
-  if (!whole)
+  if (!complete)
     {
       conn->keep_open = false;
       /* Without chunked coding, a regular close would mark the end of a complete response. */
       if (!conn->chunked)
         {
           ash_stream_reset (&conn->stream);
-          close_conn (conn);
+          close_caller (conn);
           conn->request = NULL;
           return;
         }
@@ -328,7 +328,7 @@
   bool serving = conn->state == ASH_CONN_SERVING;
 
   (void) end;
-  close_conn (conn);
+  close_caller (conn);
   if (serving)
     conn->listener->handler->disconnected (conn);
 }
@@ -420,7 +420,7 @@
   if (conn->listener->closing)
     idle_ms = conn->had_request ? -1 : FIRST_REQUEST_WAIT_MS;
   if (ash_time_diff (conn->since, now) > idle_ms && !has_unread (conn))
-    close_conn (conn);
+    close_caller (conn);
 }
 
 static void
@@ -446,7 +446,7 @@
       break;
     case ASH_CONN_CLOSING:
       if (age_ms > CLOSING_TIMEOUT_MS)
-        close_conn (conn);
+        close_caller (conn);
       break;
     case ASH_CONN_SERVING:
       break;
--- a/net/http_conn.h
+++ b/net/http_conn.h
@@ -131,9 +131,9 @@
 
 /**
  * Ends a response started by ash_http_conn_begin().
- * @param whole false: the connection is closed so that the caller sees a truncated response.
+ * @param complete false: the connection is closed so that the caller sees a truncated response.
  */
-void ash_http_conn_end (struct ash_http_conn *conn, bool whole);
+void ash_http_conn_end (struct ash_http_conn *conn, bool complete);
 
 /** @return the bytes in the send queue. */
 size_t ash_http_conn_queued (const struct ash_http_conn *conn);
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -43,7 +43,7 @@
   uint64_t number;
   enum exchange_state state;
   char *uri;
-  bool begun; /* on_request() was called with the request headers */
+  bool headers_received; /* on_request() was called with the request headers */
   bool suspended;
   bool too_large;
   struct ash_time since;
@@ -86,7 +86,7 @@
   if (!exchange->suspended)
     return;
   exchange->suspended = false;
-  exchange->server->resumed = true;
+  exchange->server->run_needed = true;
   MHD_resume_connection (exchange->connection);
 }
 
@@ -254,9 +254,9 @@
   (void) connection;
   if (!exchange)
     return MHD_NO;
-  if (!exchange->begun)
+  if (!exchange->headers_received)
     {
-      exchange->begun = true;
+      exchange->headers_received = true;
       return MHD_YES;
     }
   if (*upload_bytes)
@@ -440,14 +440,14 @@
 }
 
 void
-ash_http_end (struct ash_http_server *server, uint64_t number, bool whole)
+ash_http_end (struct ash_http_server *server, uint64_t number, bool complete)
 {
   struct ash_http_exchange *exchange = find_exchange (server, number);
 
   if (!exchange || exchange->state != EXCHANGE_STREAM)
     return;
   exchange->ended = true;
-  if (!whole)
+  if (!complete)
     exchange->failed = true;
   resume (exchange);
 }
@@ -469,7 +469,7 @@
 static void
 run (struct ash_http_server *server)
 {
-  server->resumed = false;
+  server->run_needed = false;
   MHD_run (server->daemon);
 }
 
@@ -499,7 +499,7 @@
 
   (void) events;
   ev_timer_stop (loop, &server->timer);
-  if (server->resumed)
+  if (server->run_needed)
     wait_ms = 0;
   else if (MHD_get_timeout (server->daemon, &wait_ms) != MHD_YES)
     return;
@@ -519,7 +519,7 @@
 /* Checks for a disconnect, as libmicrohttpd does not read from the socket of a suspended
  * connection. A caller that only shuts down its sending side counts as disconnected too. */
 static bool
-is_disconnected (const struct ash_http_exchange *exchange)
+is_closed (const struct ash_http_exchange *exchange)
 {
   char byte;
   ssize_t length =
@@ -556,7 +556,7 @@
   (void) events;
   HASH_ITER (hh, server->exchanges, exchange, next)
     {
-      if (exchange->suspended && is_disconnected (exchange))
+      if (exchange->suspended && is_closed (exchange))
         {
           /* libmicrohttpd sees the error in read_pending() or when it writes the response. */
           server->handler.gone (server->handler.data, exchange->number);
@@ -676,7 +676,7 @@
     }
   close (server->listen_fd);
   server->listen_fd = -1;
-  server->resumed = true;
+  server->run_needed = true;
 }
 
 static bool
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -68,7 +68,7 @@
   struct ash_http_exchange *exchanges;
   struct ash_http_server_conn *conns;
   uint64_t last_number;
-  bool resumed;             /**< a connection was resumed: MHD_run() must be called */
+  bool run_needed;          /**< MHD_run() must be called before the loop blocks */
   bool keep_alive_disabled; /**< responses carry `Connection: close` */
   int listen_fd;
 };
@@ -130,8 +130,8 @@
 
 /**
  * Ends a response started by ash_http_begin().
- * @param whole false: the connection is closed, so that the caller sees a truncated response.
+ * @param complete false: the connection is closed, so that the caller sees a truncated response.
  */
-void ash_http_end (struct ash_http_server *server, uint64_t number, bool whole);
+void ash_http_end (struct ash_http_server *server, uint64_t number, bool complete);
 
 #endif
