--- a/net/event_stream.h
+++ b/net/event_stream.h
@@ -8,7 +8,7 @@
 
 #include "net/buffer.h"
 
-/** Largest accepted event, its blank line included. */
+/** Largest accepted event, its blank line included; a correct server sends no larger one. */
 #define ASH_EVENT_MAX_BYTES (256 * 1024)
 
 /** A complete event. */
--- a/net/http_message.h
+++ b/net/http_message.h
@@ -100,8 +100,7 @@
  */
 size_t ash_http_reader_feed (struct ash_http_reader *reader, const uint8_t *bytes, size_t length);
 
-/** Handles the regular close of the connection. @return whether it completes the current message.
- */
+/** Handles the end of the connection. @return whether it completes the current message. */
 bool ash_http_reader_eof (struct ash_http_reader *reader);
 
 /** @return the value of the first field of that name, or NULL. */
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -31,8 +31,7 @@
   struct MHD_Connection *connection; /**< for ash_http_header() and ash_http_query() */
 };
 
-/** Headers of a response. Names are not copied: they must be valid until the response is started.
- */
+/** Headers of a response. Names are not copied: they must stay valid until it is started. */
 struct ash_http_headers
 {
   struct
--- a/net/peer.c
+++ b/net/peer.c
@@ -121,8 +121,7 @@
         continue;
       if (sent < 0)
         {
-          /* on_writable() closes the link, as flush() may be called from within an event handler.
-           */
+          /* on_writable() closes the link: flush() may be called from an event handler. */
           if (errno != EAGAIN)
             link->close_pending = true;
           break;
@@ -401,8 +400,7 @@
 
   (void) loop;
   (void) events;
-  /* This process may have been suspended: the bytes in the socket are then too old to be handled.
-   */
+  /* This process may have been suspended; the bytes in the socket are then too old. */
   if (is_silent (link, ash_clock_now ()))
     {
       close_link (link, "silent");
@@ -547,8 +545,7 @@
     }
 }
 
-/* The timer runs every heartbeat_ms: a heartbeat is sent at the timer run closest to its due time.
- */
+/* Runs every heartbeat_ms, and sends each heartbeat at the run closest to its due time. */
 static void
 send_due_heartbeats (struct ash_peers *peers, struct ash_time now)
 {
