--- a/daemon/rank_group.c
+++ b/daemon/rank_group.c
@@ -389,7 +389,7 @@
 }
 
 void
-ash_rank_ask (struct ash_rank_box *box, enum ash_rank_query question)
+ash_rank_ask (struct ash_rank_box *box, enum ash_rank_query_type question)
 {
   struct ash_buffer request = { 0 };
   struct ash_rank_call *call;
--- a/daemon/rank_group.h
+++ b/daemon/rank_group.h
@@ -23,7 +23,7 @@
   struct ash_http_call call;
   struct ash_rank_box *box;
   bool is_order;
-  enum ash_rank_query question;
+  enum ash_rank_query_type question;
   struct ash_rank_order order;
   uint16_t status;
   struct ash_buffer answer;
@@ -84,7 +84,7 @@
 bool ash_rank_map_is_known (const struct ash_rank_group *group);
 
 /** Asks a rank. */
-void ash_rank_ask (struct ash_rank_box *box, enum ash_rank_query question);
+void ash_rank_ask (struct ash_rank_box *box, enum ash_rank_query_type question);
 
 /** Sends the orders that are due. */
 void ash_rank_send_orders (struct ash_rank_group *group, struct ash_groups *groups);
