--- a/bench/experts.c
+++ b/bench/experts.c
@@ -226,10 +226,10 @@
           if (method->forecast == FORECAST_WRONG)
             expected[e] = 1e6 * other;
         }
-      ash_expert_policy_expect (policy, expected);
+      ash_expert_policy_set_forecast (policy, expected);
     }
   if (interval == INTERVALS / 2)
-    ash_expert_policy_expect_no_more (policy, true);
+    ash_expert_policy_end_forecast (policy, true);
 }
 
 static void
--- a/bench/router_world.c
+++ b/bench/router_world.c
@@ -280,7 +280,7 @@
   ms = router_world_pass_ms (engine, shifted ? world->setup->shift_skew : ROUTER_WORLD_SKEW,
                              most_writers, most_read, slowness (world, group));
   if (shifted)
-    ms *= 1 + ASH_PASS_COPYING_PART;
+    ms *= 1 + ASH_PASS_COPY_SLOWDOWN;
   world->groups[group].passing = true;
   world->groups[group].pass_ends_ms = world->now_ms + (int64_t) (ms + 0.5);
   world->pass_sum_ms += ms;
--- a/controllers/change_plan.h
+++ b/controllers/change_plan.h
@@ -16,9 +16,9 @@
 /** What a change costs, and how long its gain lasts. */
 struct ash_change_terms
 {
-  double copy_ms;     /**< a rank copies one expert */
-  double expert_part; /**< of a pass of even ranks: what grows with skew */
-  double lasts_ms;    /**< the present demand goes on so long */
+  double copy_ms;         /**< a rank copies one expert */
+  double expert_fraction; /**< of a pass of even ranks: what grows with skew */
+  double remaining_ms;    /**< the present demand goes on so long */
   /** Of each rank: it takes so many times as long as usual; NULL: none is slow. */
   const double *pace;
 };
@@ -28,10 +28,10 @@
  * @param after skew of the map with 1, 2 ... @p most copies a rank.
  * @return copies a rank to begin with; 0: no change pays.
  */
-uint32_t ash_change_plan (const struct ash_change_terms *terms,
-                          double skew,
-                          const double *after,
-                          uint32_t most);
+uint32_t ash_change_plan_copies (const struct ash_change_terms *terms,
+                                 double skew,
+                                 const double *after,
+                                 uint32_t most);
 
 /** When demand has shifted. Zeroed memory is a valid start. */
 struct ash_shift_times
@@ -42,9 +42,9 @@
 };
 
 /** Demand has shifted. */
-void ash_shift_times_note (struct ash_shift_times *times, struct ash_time now);
+void ash_shift_times_record (struct ash_shift_times *times, struct ash_time now);
 
 /** @return milliseconds that the present demand is expected to last. */
-double ash_shift_times_lasts_ms (const struct ash_shift_times *times, struct ash_time now);
+double ash_shift_times_remaining_ms (const struct ash_shift_times *times, struct ash_time now);
 
 #endif
--- a/controllers/expert_change.c
+++ b/controllers/expert_change.c
@@ -28,15 +28,15 @@
 
 /* ---- what the ranks' answers say together ---- */
 
-/* A rank that is not blank and has the newest map, or NULL if all are blank. */
-static const struct ash_expert_answer *
-newest (const struct ash_expert_change *change)
+/* A rank that is not blank and has the newest_rank map, or NULL if all are blank. */
+static const struct ash_expert_rank_answer *
+newest_rank (const struct ash_expert_change *change)
 {
-  const struct ash_expert_answer *found = NULL;
+  const struct ash_expert_rank_answer *found = NULL;
 
   for (uint32_t i = 0; i < change->rank_count; i++)
     {
-      const struct ash_expert_answer *answer = &change->answers[i];
+      const struct ash_expert_rank_answer *answer = &change->answers[i];
 
       if (!answer->blank && (!found || answer->version > found->version))
         found = answer;
@@ -45,9 +45,9 @@
 }
 
 static bool
-is_behind (const struct ash_expert_change *change, const struct ash_expert_answer *answer)
+is_behind (const struct ash_expert_change *change, const struct ash_expert_rank_answer *answer)
 {
-  return !answer->blank && answer->version < newest (change)->version;
+  return !answer->blank && answer->version < newest_rank (change)->version;
 }
 
 static uint64_t
@@ -65,7 +65,7 @@
  * step, the one that is replaced had begun the step before: that is not run
  * again, and with which map it was run need not be known any more. */
 static uint64_t
-step_to_go_on_from (const struct ash_expert_change *change)
+resume_step (const struct ash_expert_change *change)
 {
   uint64_t latest = latest_begun (change);
 
@@ -76,7 +76,7 @@
 
 /* Which ranks a phase is for. */
 static bool
-is_meant (const struct ash_expert_change *change, const struct ash_expert_answer *answer)
+is_addressed (const struct ash_expert_change *change, const struct ash_expert_rank_answer *answer)
 {
   switch (change->phase)
     {
@@ -94,7 +94,7 @@
 static void
 fill_order (const struct ash_expert_change *change, struct Ash__RankOrder *order)
 {
-  const struct ash_expert_answer *found = newest (change);
+  const struct ash_expert_rank_answer *found = newest_rank (change);
 
   switch (change->phase)
     {
@@ -112,7 +112,7 @@
       order->map = found->map;
       order->step = found->from;
       order->before = found->before;
-      order->begun = step_to_go_on_from (change);
+      order->begun = resume_step (change);
       order->placement.data = (uint8_t *) (uintptr_t) change->found.placement;
       order->placement.len = change->found.length;
       break;
@@ -161,7 +161,7 @@
   change->since = now;
   for (uint32_t i = 0; i < change->rank_count; i++)
     {
-      change->answers[i].awaited = is_meant (change, &change->answers[i]);
+      change->answers[i].awaited = is_addressed (change, &change->answers[i]);
       any |= change->answers[i].awaited;
     }
   if (any)
@@ -190,7 +190,7 @@
   switch (change->phase)
     {
     case ASH_EXPERT_PREPARE:
-      if (!newest (change))
+      if (!newest_rank (change))
         {
           /* All are new: there is no state to give them. */
           change->phase = ASH_EXPERT_FAILED;
@@ -206,7 +206,7 @@
         return;
       __attribute__ ((fallthrough));
     case ASH_EXPERT_ADOPT:
-      if (change->wanted.digest && change->wanted.digest != newest (change)->map)
+      if (change->wanted.digest && change->wanted.digest != newest_rank (change)->map)
         begin_arm (change, now);
       else
         change->phase = ASH_EXPERT_DONE;
@@ -241,13 +241,13 @@
 }
 
 static void
-keep_answer (struct ash_expert_change *change,
-             struct ash_expert_answer *answer,
-             const struct Ash__RankState *state)
+store_answer (struct ash_expert_change *change,
+              struct ash_expert_rank_answer *answer,
+              const struct Ash__RankState *state)
 {
-  /* The placement of the newest map, for ranks that are behind or replaced. */
+  /* The placement of the newest_rank map, for ranks that are behind or replaced. */
   if (!state->blank && state->placement.len <= sizeof change->found.placement &&
-      (!change->found.digest || state->version > newest (change)->version))
+      (!change->found.digest || state->version > newest_rank (change)->version))
     {
       change->found.digest = state->map;
       change->found.length = (uint32_t) state->placement.len;
@@ -273,11 +273,11 @@
 }
 
 static void
-take_refusal (struct ash_expert_change *change,
-              struct ash_time now,
-              const struct Ash__RankState *state)
+handle_refusal (struct ash_expert_change *change,
+                struct ash_time now,
+                const struct Ash__RankState *state)
 {
-  struct ash_expert_answer *answer = &change->answers[state->rank];
+  struct ash_expert_rank_answer *answer = &change->answers[state->rank];
 
   /* It has begun the step, or its last map is not in use yet: arm all again at
    * a later step. Anything else needs a look at all ranks anew. */
@@ -292,11 +292,11 @@
 }
 
 void
-ash_expert_change_take (struct ash_expert_change *change,
-                        struct ash_time now,
-                        const struct Ash__RankState *state)
+ash_expert_change_handle_state (struct ash_expert_change *change,
+                                struct ash_time now,
+                                const struct Ash__RankState *state)
 {
-  struct ash_expert_answer *answer;
+  struct ash_expert_rank_answer *answer;
 
   if (state->promised > change->highest)
     change->highest = state->promised;
@@ -308,14 +308,14 @@
     return;
   if (!state->accepted)
     {
-      take_refusal (change, now, state);
+      handle_refusal (change, now, state);
       return;
     }
   answer->awaited = false;
   /* Of the phases after the first, only steps that went on are news: what was
    * read at first decides until the next phase begins. */
   if (change->phase == ASH_EXPERT_PREPARE)
-    keep_answer (change, answer, state);
+    store_answer (change, answer, state);
   else
     answer->begun = state->begun;
   if (all_answered (change))
@@ -327,7 +327,7 @@
 {
   if (!ash_expert_change_running (change))
     return;
-  if (ash_time_diff (change->since, now) >= ASH_EXPERT_GIVE_UP_MS)
+  if (ash_time_diff (change->since, now) >= ASH_EXPERT_CHANGE_TIMEOUT_MS)
     change->phase = ASH_EXPERT_FAILED;
   else if (ash_time_diff (change->sent, now) >= ASH_EXPERT_RESEND_MS)
     send_orders (change, now);
--- a/controllers/expert_change.h
+++ b/controllers/expert_change.h
@@ -18,7 +18,7 @@
 #define ASH_EXPERT_RESEND_MS 50
 
 /** A change without an answer from some rank for so long is given up. */
-#define ASH_EXPERT_GIVE_UP_MS 1000
+#define ASH_EXPERT_CHANGE_TIMEOUT_MS 1000
 
 /** Steps ahead of the latest begun one at which a map is armed: enough for the
  * orders to arrive, so that no rank has to wait in the normal case. */
@@ -53,7 +53,7 @@
 };
 
 /** What is known of a rank. */
-struct ash_expert_answer
+struct ash_expert_rank_answer
 {
   bool awaited; /**< by the present phase */
   bool blank;
@@ -83,7 +83,7 @@
   uint64_t step;                /**< at which it is armed */
   struct ash_time sent;
   struct ash_time since; /**< the phase began */
-  struct ash_expert_answer answers[ASH_EXPERT_RANKS_MAX];
+  struct ash_expert_rank_answer answers[ASH_EXPERT_RANKS_MAX];
 };
 
 void ash_expert_change_init (struct ash_expert_change *change,
@@ -103,9 +103,9 @@
                               const struct ash_expert_map *wanted);
 
 /** Takes a rank's answer. */
-void ash_expert_change_take (struct ash_expert_change *change,
-                             struct ash_time now,
-                             const struct Ash__RankState *state);
+void ash_expert_change_handle_state (struct ash_expert_change *change,
+                                     struct ash_time now,
+                                     const struct Ash__RankState *state);
 
 /** Sends unanswered orders again; gives up in the end. */
 void ash_expert_change_tick (struct ash_expert_change *change, struct ash_time now);
--- a/controllers/expert_guard.c
+++ b/controllers/expert_guard.c
@@ -9,9 +9,9 @@
 }
 
 static uint64_t
-rank_life (const struct ash_expert_guard *guard)
+rank_incarnation (const struct ash_expert_guard *guard)
 {
-  return guard->engine_life ^ guard->incarnation;
+  return guard->engine_incarnation ^ guard->incarnation;
 }
 
 static bool
@@ -32,13 +32,13 @@
   if (!guard->checks && (guard->busy || !is_settled (guard, now)))
     return ASH_EXPERT_WAIT;
   /* Until the engine has told its life, no order can have been meant for it. */
-  if (!guard->engine_life && order->kind != ASH__RANK_ORDER__KIND__PREPARE)
+  if (!guard->engine_incarnation && order->kind != ASH__RANK_ORDER__KIND__PREPARE)
     return ASH_EXPERT_REFUSE;
-  if (!ash_expert_fence_pass (&guard->fence, rank_life (guard), order))
+  if (!ash_expert_fence_admit (&guard->fence, rank_incarnation (guard), order))
     return ASH_EXPERT_REFUSE;
   guard->busy = true;
   *forwarded = *order;
-  forwarded->life = guard->engine_life;
+  forwarded->life = guard->engine_incarnation;
   return ASH_EXPERT_FORWARD;
 }
 
@@ -47,7 +47,7 @@
                           const struct Ash__RankOrder *order,
                           struct Ash__RankState *state)
 {
-  state->life = rank_life (guard);
+  state->life = rank_incarnation (guard);
   state->ballot = order->ballot;
   state->sequence = order->sequence;
   state->promised = guard->fence.promised;
@@ -63,8 +63,8 @@
     guard->busy = false;
   if (guard->unsettled && guard->answered.ms == ASH_TIME_NEVER.ms)
     guard->answered = now;
-  guard->engine_life = state->life;
-  state->life = rank_life (guard);
+  guard->engine_incarnation = state->life;
+  state->life = rank_incarnation (guard);
   if (state->promised < guard->fence.promised)
     state->promised = guard->fence.promised;
 }
--- a/controllers/expert_guard.h
+++ b/controllers/expert_guard.h
@@ -30,12 +30,12 @@
 /** The guard. */
 struct ash_expert_guard
 {
-  uint64_t incarnation;     /**< of the agent */
-  uint64_t engine_life;     /**< as its last answer had it; 0: not known */
-  bool checks;              /**< the engine checks orders itself */
-  bool busy;                /**< an order is with the engine */
-  bool unsettled;           /**< an order that nobody waits for may be on its way to it */
-  struct ash_time answered; /**< first answer since; ASH_TIME_NEVER: none */
+  uint64_t incarnation;        /**< of the agent */
+  uint64_t engine_incarnation; /**< as its last answer had it; 0: not known */
+  bool checks;                 /**< the engine checks orders itself */
+  bool busy;                   /**< an order is with the engine */
+  bool unsettled;              /**< an order that nobody waits for may be on its way to it */
+  struct ash_time answered;    /**< first answer since; ASH_TIME_NEVER: none */
   struct ash_expert_fence fence;
 };
 
--- a/controllers/expert_policy.c
+++ b/controllers/expert_policy.c
@@ -3,14 +3,14 @@
 #include <string.h>
 
 /* A new report counts so much in the smoothed loads. */
-#define FAST_SHARE 0.5
-#define SLOW_SHARE 0.1
+#define FAST_WEIGHT 0.5
+#define SLOW_WEIGHT 0.1
 
 /* Reports before anything is moved: one alone says little. */
 #define REPORTS_MIN 3
 
 /* The maximum alone does not see that one of several equal maxima was lowered. */
-#define SPREAD_SHARE 0.05
+#define SPREAD_WEIGHT 0.05
 
 /* A gain below this is noise. */
 #define GAIN_MIN 0.01
@@ -35,8 +35,8 @@
 ash_expert_policy_report (struct ash_expert_policy *policy, const double *tokens)
 {
   double sum = 0;
-  double fast = policy->reports ? FAST_SHARE : 1;
-  double slow = policy->reports ? SLOW_SHARE : 1;
+  double fast = policy->reports ? FAST_WEIGHT : 1;
+  double slow = policy->reports ? SLOW_WEIGHT : 1;
 
   for (uint32_t e = 0; e < policy->expert_count; e++)
     sum += tokens[e];
@@ -51,7 +51,7 @@
 }
 
 void
-ash_expert_policy_expect (struct ash_expert_policy *policy, const double *tokens)
+ash_expert_policy_set_forecast (struct ash_expert_policy *policy, const double *tokens)
 {
   double sum = 0;
 
@@ -63,7 +63,7 @@
 }
 
 void
-ash_expert_policy_expect_no_more (struct ash_expert_policy *policy, bool begun)
+ash_expert_policy_end_forecast (struct ash_expert_policy *policy, bool begun)
 {
   if (policy->forecast && begun)
     {
@@ -118,7 +118,7 @@
 
 /* What is to be made small: the skew, and a little of the loads' spread. */
 static double
-badness (const double *ranks, uint32_t rank_count)
+objective (const double *ranks, uint32_t rank_count)
 {
   double most = 0;
   double squares = 0;
@@ -129,7 +129,7 @@
       squares += ranks[r] * ranks[r];
     }
   /* The mean load is 1 / rank_count, as shares add up to 1. */
-  return most * rank_count + SPREAD_SHARE * squares * rank_count;
+  return most * rank_count + SPREAD_WEIGHT * squares * rank_count;
 }
 
 double
@@ -209,10 +209,10 @@
 }
 
 static double
-badness_with (const struct loads *loads,
-              const struct ash_expert_placement *placement,
-              const double *speeds,
-              const struct candidate *candidate)
+objective_with (const struct loads *loads,
+                const struct ash_expert_placement *placement,
+                const double *speeds,
+                const struct candidate *candidate)
 {
   double ranks[ASH_EXPERT_POLICY_RANKS_MAX] = { 0 };
 
@@ -221,33 +221,34 @@
     shift_replica (ranks, loads, placement, speeds, &candidate->moves[0]);
   else
     exchange (ranks, loads, placement, speeds, candidate);
-  return badness (ranks, placement->rank_count);
+  return objective (ranks, placement->rank_count);
 }
 
 /* What the state is, on both smoothings, before a candidate is weighed. */
-struct weighing
+struct evaluation
 {
   const struct ash_expert_placement *placement;
   const double *speeds;
   struct loads fast;
   struct loads slow;
-  double fast_badness;
-  double slow_badness;
+  double fast_objective;
+  double slow_objective;
 };
 
 /* A gain counts as far as it shows in what is new and in what lasts: popularity
  * that swings to and fro shows in one of them only. */
 static double
-gain_of (const struct weighing *weighing, const struct candidate *candidate)
+gain_of (const struct evaluation *evaluation, const struct candidate *candidate)
 {
-  double fast = weighing->fast_badness -
-                badness_with (&weighing->fast, weighing->placement, weighing->speeds, candidate);
+  double fast =
+      evaluation->fast_objective -
+      objective_with (&evaluation->fast, evaluation->placement, evaluation->speeds, candidate);
   double slow;
 
   if (fast <= GAIN_MIN)
     return fast;
-  slow = weighing->slow_badness -
-         badness_with (&weighing->slow, weighing->placement, weighing->speeds, candidate);
+  slow = evaluation->slow_objective -
+         objective_with (&evaluation->slow, evaluation->placement, evaluation->speeds, candidate);
   return fast < slow ? fast : slow;
 }
 
@@ -281,16 +282,16 @@
 
 /* The half of the ranks that have less than the others are worth looking at. */
 static bool
-is_light (const struct loads *loads, uint32_t rank, uint32_t rank_count)
+is_below_mean (const struct loads *loads, uint32_t rank, uint32_t rank_count)
 {
   return loads->ranks[rank] * rank_count < 1;
 }
 
 static double
-find_best (const struct weighing *weighing, uint32_t room, struct candidate *best)
+find_best (const struct evaluation *evaluation, uint32_t room, struct candidate *best)
 {
-  const struct ash_expert_placement *placement = weighing->placement;
-  const struct loads *loads = &weighing->fast;
+  const struct ash_expert_placement *placement = evaluation->placement;
+  const struct loads *loads = &evaluation->fast;
   double best_gain = 0;
   uint32_t first = slowest_rank (loads, placement->rank_count) * placement->rank_slots;
 
@@ -300,10 +301,10 @@
         struct candidate candidate;
         double gain;
 
-        if (!is_light (loads, to / placement->rank_slots, placement->rank_count) ||
+        if (!is_below_mean (loads, to / placement->rank_slots, placement->rank_count) ||
             !make_candidate (placement, loads, from, to, &candidate) || candidate.count > room)
           continue;
-        gain = gain_of (weighing, &candidate) / candidate.count;
+        gain = gain_of (evaluation, &candidate) / candidate.count;
         if (gain <= best_gain)
           continue;
         best_gain = gain;
@@ -331,7 +332,7 @@
   const double *fast = policy->forecast ? policy->expected : policy->fast;
   const double *slow = policy->forecast ? policy->expected : policy->slow;
   struct ash_expert_placement changed = *placement;
-  struct weighing weighing = { .placement = &changed, .speeds = speeds };
+  struct evaluation evaluation = { .placement = &changed, .speeds = speeds };
   struct candidate best;
 
   *decision = (struct ash_expert_decision){ 0 };
@@ -345,11 +346,11 @@
 
       if (room > ASH_EXPERT_MOVES_MAX - decision->move_count)
         room = ASH_EXPERT_MOVES_MAX - decision->move_count;
-      compute_loads (&weighing.fast, &changed, fast, speeds);
-      compute_loads (&weighing.slow, &changed, slow, speeds);
-      weighing.fast_badness = badness (weighing.fast.ranks, changed.rank_count);
-      weighing.slow_badness = badness (weighing.slow.ranks, changed.rank_count);
-      gain = find_best (&weighing, room, &best);
+      compute_loads (&evaluation.fast, &changed, fast, speeds);
+      compute_loads (&evaluation.slow, &changed, slow, speeds);
+      evaluation.fast_objective = objective (evaluation.fast.ranks, changed.rank_count);
+      evaluation.slow_objective = objective (evaluation.slow.ranks, changed.rank_count);
+      gain = find_best (&evaluation, room, &best);
       if (gain <= GAIN_MIN || gain * weights->skew * weights->horizon <= weights->cost)
         {
           decision->refused_gain = gain;
@@ -366,7 +367,7 @@
 /* ---- the full repack ---- */
 
 static uint16_t
-heaviest (const struct loads *loads, uint32_t expert_count, const uint16_t *left)
+most_loaded_expert (const struct loads *loads, uint32_t expert_count, const uint16_t *left)
 {
   uint32_t found = 0;
   double most = -1;
@@ -384,10 +385,10 @@
 }
 
 static uint32_t
-lightest_rank (const struct ash_expert_placement *placement,
-               const double *load,
-               const uint32_t *used,
-               uint16_t expert)
+least_loaded_rank (const struct ash_expert_placement *placement,
+                   const double *load,
+                   const uint32_t *used,
+                   uint16_t expert)
 {
   uint32_t found = placement->rank_count;
 
@@ -420,12 +421,12 @@
       loads.replicas[e] = 1;
     }
   for (uint32_t s = placement->expert_count; s < slot_count (placement); s++)
-    loads.replicas[heaviest (&loads, placement->expert_count, NULL)]++;
+    loads.replicas[most_loaded_expert (&loads, placement->expert_count, NULL)]++;
   memcpy (left, loads.replicas, sizeof left);
   for (uint32_t s = 0; s < slot_count (placement); s++)
     {
-      uint16_t expert = heaviest (&loads, placement->expert_count, left);
-      uint32_t rank = lightest_rank (placement, load, used, expert);
+      uint16_t expert = most_loaded_expert (&loads, placement->expert_count, left);
+      uint32_t rank = least_loaded_rank (placement, load, used, expert);
 
       placement->slots[rank * placement->rank_slots + used[rank]++] = expert;
       load[rank] += loads.tokens[expert] / loads.replicas[expert];
--- a/controllers/expert_policy.h
+++ b/controllers/expert_policy.h
@@ -79,13 +79,13 @@
  * A declared event is about to begin: from now on decisions are made for its loads.
  * @param tokens of each expert, in any unit.
  */
-void ash_expert_policy_expect (struct ash_expert_policy *policy, const double *tokens);
+void ash_expert_policy_set_forecast (struct ash_expert_policy *policy, const double *tokens);
 
 /**
  * It has begun, or was called off. What was expected is believed from then on, if
  * it has begun, and corrected by reports as ever.
  */
-void ash_expert_policy_expect_no_more (struct ash_expert_policy *policy, bool begun);
+void ash_expert_policy_end_forecast (struct ash_expert_policy *policy, bool begun);
 
 /**
  * Decides what to move now.
--- a/controllers/expert_rank.c
+++ b/controllers/expert_rank.c
@@ -37,7 +37,7 @@
 }
 
 static bool
-take_arm (struct ash_expert_rank *rank, const struct Ash__RankOrder *order)
+apply_arm (struct ash_expert_rank *rank, const struct Ash__RankOrder *order)
 {
   /* Begun already: it was begun with the old map, here and perhaps elsewhere. */
   if (rank->blank || order->step <= rank->begun)
@@ -54,7 +54,7 @@
 }
 
 static bool
-take_commit (struct ash_expert_rank *rank, const struct Ash__RankOrder *order)
+apply_commit (struct ash_expert_rank *rank, const struct Ash__RankOrder *order)
 {
   if (rank->blank)
     return false;
@@ -70,7 +70,7 @@
 /* Another rank has committed it, so all were armed for it, this one too: it has
  * not begun that step. */
 static bool
-take_finish (struct ash_expert_rank *rank, const struct Ash__RankOrder *order)
+apply_finish (struct ash_expert_rank *rank, const struct Ash__RankOrder *order)
 {
   if (rank->blank)
     return false;
@@ -83,7 +83,7 @@
 }
 
 static bool
-take_adopt (struct ash_expert_rank *rank, const struct Ash__RankOrder *order)
+apply_adopt (struct ash_expert_rank *rank, const struct Ash__RankOrder *order)
 {
   if (!rank->blank)
     return rank->version == order->version && rank->map == order->map;
@@ -97,30 +97,30 @@
 }
 
 static bool
-take_kind (struct ash_expert_rank *rank, const struct Ash__RankOrder *order)
+apply_order (struct ash_expert_rank *rank, const struct Ash__RankOrder *order)
 {
   switch (order->kind)
     {
     case ASH__RANK_ORDER__KIND__PREPARE:
       return true;
     case ASH__RANK_ORDER__KIND__ARM:
-      return take_arm (rank, order);
+      return apply_arm (rank, order);
     case ASH__RANK_ORDER__KIND__COMMIT:
-      return take_commit (rank, order);
+      return apply_commit (rank, order);
     case ASH__RANK_ORDER__KIND__FINISH:
-      return take_finish (rank, order);
+      return apply_finish (rank, order);
     case ASH__RANK_ORDER__KIND__DISARM:
       disarm (rank);
       return true;
     case ASH__RANK_ORDER__KIND__ADOPT:
-      return take_adopt (rank, order);
+      return apply_adopt (rank, order);
     default:
       return false;
     }
 }
 
 static bool
-is_fenced (const struct ash_expert_fence *fence, uint64_t life, const struct Ash__RankOrder *order)
+is_stale (const struct ash_expert_fence *fence, uint64_t life, const struct Ash__RankOrder *order)
 {
   if (order->ballot < fence->promised)
     return true;
@@ -133,11 +133,11 @@
 }
 
 bool
-ash_expert_fence_pass (struct ash_expert_fence *fence,
-                       uint64_t life,
-                       const struct Ash__RankOrder *order)
+ash_expert_fence_admit (struct ash_expert_fence *fence,
+                        uint64_t life,
+                        const struct Ash__RankOrder *order)
 {
-  if (is_fenced (fence, life, order))
+  if (is_stale (fence, life, order))
     return false;
   fence->promised = order->ballot;
   fence->sequence = order->sequence;
@@ -145,15 +145,15 @@
 }
 
 void
-ash_expert_rank_take (struct ash_expert_rank *rank,
-                      const struct Ash__RankOrder *order,
-                      const char *peer,
-                      const struct ash_sink *sink)
+ash_expert_rank_handle_order (struct ash_expert_rank *rank,
+                              const struct Ash__RankOrder *order,
+                              const char *peer,
+                              const struct ash_sink *sink)
 {
   struct Ash__RankState state = ASH__RANK_STATE__INIT;
 
-  if (ash_expert_fence_pass (&rank->fence, rank->life, order))
-    state.accepted = take_kind (rank, order);
+  if (ash_expert_fence_admit (&rank->fence, rank->life, order))
+    state.accepted = apply_order (rank, order);
   state.group = ash_text (rank->group);
   state.rank = rank->rank;
   state.life = rank->life;
--- a/controllers/expert_rank.h
+++ b/controllers/expert_rank.h
@@ -23,9 +23,9 @@
  * Lets an order pass, or not; what passes makes those before it late.
  * @param life of the rank that it comes to
  */
-bool ash_expert_fence_pass (struct ash_expert_fence *fence,
-                            uint64_t life,
-                            const struct Ash__RankOrder *order);
+bool ash_expert_fence_admit (struct ash_expert_fence *fence,
+                             uint64_t life,
+                             const struct Ash__RankOrder *order);
 
 /** A rank of a group in lock-step. */
 struct ash_expert_rank
@@ -57,10 +57,10 @@
                                  uint64_t life);
 
 /** Takes an order and answers it through @p sink to @p peer. */
-void ash_expert_rank_take (struct ash_expert_rank *rank,
-                           const struct Ash__RankOrder *order,
-                           const char *peer,
-                           const struct ash_sink *sink);
+void ash_expert_rank_handle_order (struct ash_expert_rank *rank,
+                                   const struct Ash__RankOrder *order,
+                                   const char *peer,
+                                   const struct ash_sink *sink);
 
 /** @return whether the next step may be begun, as far as this rank decides. */
 bool ash_expert_rank_may_begin (const struct ash_expert_rank *rank);
--- a/controllers/layer_policy.c
+++ b/controllers/layer_policy.c
@@ -9,13 +9,13 @@
 
 /* The weights are for groups of up to so many ranks. With more, a move must gain less and a rank
  * may have more of them, by the number of ranks. */
-#define WEIGHTS_RANKS 12
+#define WEIGHTS_RANK_COUNT 12
 
 /* Replicas that slow ranks give up in one change, at most. */
-#define GIVEN_UP_MAX 1024
+#define DROPS_MAX 1024
 
 /* Giving up alone must take so much off the skew: a change has the group stand for a moment. */
-#define GIVEN_UP_LEAST 0.05
+#define DROP_ONLY_SKEW_GAIN_MIN 0.05
 
 /* Ranks of a group, a bit each. */
 struct rank_set
@@ -39,7 +39,7 @@
   double load[ASH_LAYER_RANKS_MAX];               /* over the mean rank's */
   double power;                                   /* sum of the loads' eighth powers */
   uint32_t new_count[ASH_LAYER_RANKS_MAX];
-  bool is_new[ASH_LAYER_RANKS_MAX][ASH_LAYER_SLOTS_MAX];
+  bool is_assigned[ASH_LAYER_RANKS_MAX][ASH_LAYER_SLOTS_MAX];
 };
 
 /* A replica of an expert into a rank's slot. */
@@ -64,7 +64,7 @@
   {
     uint32_t layer;
     struct move move;
-  } made[GIVEN_UP_MAX + ASH_LAYER_RANKS_MAX * ASH_CHANGE_COPIES_MAX];
+  } made[DROPS_MAX + ASH_LAYER_RANKS_MAX * ASH_CHANGE_COPIES_MAX];
 };
 
 void
@@ -107,7 +107,7 @@
     total += counts[expert];
   if (total <= 0)
     return;
-  if (cosine (demand, counts, policy->expert_count) < policy->weights.alike)
+  if (cosine (demand, counts, policy->expert_count) < policy->weights.similarity_min)
     {
       kept = 0;
       policy->shifts++;
@@ -148,7 +148,7 @@
 /* ---- loads ---- */
 
 static double
-raise (double load)
+eighth_power (double load)
 {
   double square = load * load;
   double fourth = square * square;
@@ -181,11 +181,11 @@
 {
   layer->power = 0;
   for (uint32_t rank = 0; rank < layer->map->rank_count; rank++)
-    layer->power += raise (layer->load[rank]);
+    layer->power += eighth_power (layer->load[rank]);
 }
 
 static void
-count_layer (struct layer *layer)
+update_loads (struct layer *layer)
 {
   const struct ash_layer_map *map = layer->map;
 
@@ -281,7 +281,8 @@
         {
           uint32_t other = i * WORD_BITS + (uint32_t) __builtin_ctzll (ranks);
 
-          power += raise (load_after (layer, &swap, other)) - raise (layer->load[other]);
+          power +=
+              eighth_power (load_after (layer, &swap, other)) - eighth_power (layer->load[other]);
         }
     }
   return eighth_root (power > 0 ? power : 0);
@@ -311,12 +312,12 @@
       double gain;
 
       /* The last replica must stay, and what was just decided too. */
-      if (layer->is_new[rank][slot] || (old != ASH_NO_EXPERT && layer->replicas[old] < 2))
+      if (layer->is_assigned[rank][slot] || (old != ASH_NO_EXPERT && layer->replicas[old] < 2))
         continue;
       gain = now - norm_after (layer, rank, old, expert);
       if (gain > best->gain)
         *best = (struct move){ rank, slot, expert, gain };
-      /* All empty slots are alike. */
+      /* All empty slots are similarity_min. */
       if (old == ASH_NO_EXPERT)
         break;
     }
@@ -349,10 +350,10 @@
 
 /* The layer whose best move gains most; the layer count if none is worth it. */
 static uint32_t
-best_layer (const struct change *change, const struct ash_layer_map *map, double least_gain)
+best_layer_index (const struct change *change, const struct ash_layer_map *map, double min_gain)
 {
   uint32_t best = map->layer_count;
-  double gain = least_gain;
+  double gain = min_gain;
 
   for (uint32_t i = 0; i < map->layer_count; i++)
     if (change->best[i].expert != ASH_NO_EXPERT && change->best[i].gain > gain)
@@ -370,17 +371,17 @@
   struct move move = change->best[layer->index];
 
   layer->map->slots[layer->index][move.rank][move.slot] = move.expert;
-  layer->is_new[move.rank][move.slot] = true;
+  layer->is_assigned[move.rank][move.slot] = true;
   layer->new_count[move.rank]++;
   change->rank_moves[move.rank]++;
   change->made[change->made_count].layer = layer->index;
   change->made[change->made_count].move = move;
   change->made_count++;
-  count_layer (layer);
+  update_loads (layer);
 }
 
 static void
-open_layer (struct layer *layer,
+init_layer (struct layer *layer,
             const struct ash_layer_policy *policy,
             const double *pace,
             struct ash_layer_map *map,
@@ -391,7 +392,7 @@
   layer->pace = pace;
   layer->map = map;
   layer->index = index;
-  count_layer (layer);
+  update_loads (layer);
 }
 
 double
@@ -403,7 +404,7 @@
     {
       struct layer layer;
 
-      open_layer (&layer, policy, NULL, (struct ash_layer_map *) (uintptr_t) map, i);
+      init_layer (&layer, policy, NULL, (struct ash_layer_map *) (uintptr_t) map, i);
       sum += layer.load[most_loaded (&layer)];
     }
   return map->layer_count ? sum / map->layer_count : 1;
@@ -433,30 +434,30 @@
 /* What a move must gain at least. Where many ranks share the top, the norm of all hardly falls with
  * one of them: by the bound for few ranks no move would pay after a shift. */
 static double
-least_gain_of (const struct change *change, const struct ash_layer_weights *weights)
+min_gain_of (const struct change *change, const struct ash_layer_weights *weights)
 {
   uint32_t rank_count = change->map.rank_count;
 
-  return rank_count > WEIGHTS_RANKS ? weights->least_gain * WEIGHTS_RANKS / rank_count
-                                    : weights->least_gain;
+  return rank_count > WEIGHTS_RANK_COUNT ? weights->min_gain * WEIGHTS_RANK_COUNT / rank_count
+                                         : weights->min_gain;
 }
 
 /* Copies of a rank at most. A rank of a large group has a small part of the experts, and each hot
  * one is to stand at many ranks. In groups of few ranks more copies gain nothing. */
 static uint32_t
-most_copies (const struct ash_layer_map *map, const struct ash_layer_weights *weights)
+max_copies (const struct ash_layer_map *map, const struct ash_layer_weights *weights)
 {
   uint32_t most = weights->rank_moves;
 
-  if (map->rank_count > WEIGHTS_RANKS)
-    most = most * map->rank_count / WEIGHTS_RANKS;
+  if (map->rank_count > WEIGHTS_RANK_COUNT)
+    most = most * map->rank_count / WEIGHTS_RANK_COUNT;
   return most < ASH_CHANGE_COPIES_MAX ? most : ASH_CHANGE_COPIES_MAX;
 }
 
 /* A slow rank gives up the replica whose loss shortens the layer's norm most. That needs no copy.
  * @return whether there was one. */
 static bool
-give_up (struct change *change, struct layer *layer, uint32_t rank)
+drop_replica (struct change *change, struct layer *layer, uint32_t rank)
 {
   const struct ash_layer_map *map = layer->map;
   struct move best = { .rank = rank, .expert = ASH_NO_EXPERT };
@@ -473,34 +474,34 @@
       if (gain > best.gain)
         best = (struct move){ rank, slot, ASH_NO_EXPERT, gain };
     }
-  if (best.gain <= 0 || change->made_count == GIVEN_UP_MAX)
+  if (best.gain <= 0 || change->made_count == DROPS_MAX)
     return false;
   layer->map->slots[layer->index][rank][best.slot] = ASH_NO_EXPERT;
   change->made[change->made_count].layer = layer->index;
   change->made[change->made_count++].move = best;
-  count_layer (layer);
+  update_loads (layer);
   return true;
 }
 
 static void
-relieve_slow (struct change *change, const struct ash_change_terms *terms)
+relieve_slow_ranks (struct change *change, const struct ash_change_terms *terms)
 {
   for (uint32_t rank = 0; terms->pace && rank < change->map.rank_count; rank++)
     for (uint32_t i = 0; terms->pace[rank] > 1 && i < change->map.layer_count; i++)
-      while (give_up (change, &change->layers[i], rank))
+      while (drop_replica (change, &change->layers[i], rank))
         ;
 }
 
 /* Makes the moves that are worth it while no rank may have more copies than the limit. */
 static void
-make_moves (struct change *change, double least_gain)
+make_moves (struct change *change, double min_gain)
 {
   const struct ash_layer_map *map = &change->map;
   uint32_t layer;
 
   for (uint32_t i = 0; i < map->layer_count; i++)
     change->best[i] = find_move (change, &change->layers[i]);
-  while ((layer = best_layer (change, map, least_gain)) < map->layer_count)
+  while ((layer = best_layer_index (change, map, min_gain)) < map->layer_count)
     {
       make_move (change, &change->layers[layer]);
       /* A rank that has its part of copies now is no longer open to any layer. */
@@ -543,25 +544,25 @@
     }
   ash_layer_map_copy (&change->map, map);
   for (uint32_t i = 0; i < map->layer_count; i++)
-    open_layer (&change->layers[i], policy, terms->pace, &change->map, i);
+    init_layer (&change->layers[i], policy, terms->pace, &change->map, i);
   decision->skew_before = mean_skew (change);
-  relieve_slow (change, terms);
+  relieve_slow_ranks (change, terms);
   skews[0] = mean_skew (change);
   counts[0] = change->made_count;
-  while (most < most_copies (map, &policy->weights))
+  while (most < max_copies (map, &policy->weights))
     {
       change->rank_limit = most + 1;
-      make_moves (change, least_gain_of (change, &policy->weights));
+      make_moves (change, min_gain_of (change, &policy->weights));
       if (change->made_count == counts[most])
         break;
       most++;
       skews[most] = mean_skew (change);
       counts[most] = change->made_count;
     }
-  decision->copies = ash_change_plan (terms, skews[0], skews + 1, most);
+  decision->copies = ash_change_plan_copies (terms, skews[0], skews + 1, most);
   decision->moves = counts[decision->copies];
   decision->skew_after = skews[decision->copies];
-  if (!decision->copies && decision->skew_before - skews[0] < GIVEN_UP_LEAST)
+  if (!decision->copies && decision->skew_before - skews[0] < DROP_ONLY_SKEW_GAIN_MIN)
     {
       decision->moves = 0;
       decision->skew_after = decision->skew_before;
--- a/controllers/layer_policy.h
+++ b/controllers/layer_policy.h
@@ -10,7 +10,7 @@
  *
  * What is asked for shifts at once and does not come back: counts from before a shift
  * say nothing of what comes after. So each layer's counts are added up as long as they
- * look alike, and begun anew when they don't. How long a change takes is decided by the
+ * look similarity_min, and begun anew when they don't. How long a change takes is decided by the
  * rank that copies most; so copies are dealt evenly over the ranks, first one to each that
  * can use it, then a second one: what comes first of that is a change of its own where
  * copying takes long (change_plan.h).
@@ -24,13 +24,13 @@
 /** Weights of the policy. */
 struct ash_layer_weights
 {
-  double decay;         /**< what former counts weigh against new ones that look alike */
-  double alike;         /**< cosine of two reports of a layer from which they are alike */
-  double least_gain;    /**< a move must take so much off the layer's norm, in mean loads, where
-                             there are few ranks */
-  uint32_t layer_moves; /**< experts that are new to a rank in one layer, in one change */
-  uint32_t rank_moves;  /**< and in all layers together, ASH_CHANGE_COPIES_MAX at most; in a group
-                             of many ranks more, by their number */
+  double decay;          /**< what former counts weigh against new ones that look similarity_min */
+  double similarity_min; /**< cosine of two reports of a layer from which they are similarity_min */
+  double min_gain;       /**< a move must take so much off the layer's norm, in mean loads, where
+                                there are few ranks */
+  uint32_t layer_moves;  /**< experts that are new to a rank in one layer, in one change */
+  uint32_t rank_moves;   /**< and in all layers together, ASH_CHANGE_COPIES_MAX at most; in a group
+                              of many ranks more, by their number */
 };
 
 /** What is believed of the demand. */
--- a/controllers/map_finish.c
+++ b/controllers/map_finish.c
@@ -7,11 +7,12 @@
 static bool
 lists_are_newer (const struct ash_map_switch *sw, const struct ash_map_rank *rank)
 {
-  return ash_time_before (ash_time_add (rank->reported, -(int64_t) sw->lag_ms), rank->lists_asked);
+  return ash_time_before (ash_time_add (rank->reported, -(int64_t) sw->lag_ms),
+                          rank->lists_requested);
 }
 
 static uint64_t
-prepared_of (const struct ash_map_switch *sw, const struct ash_map_rank *rank)
+prepared_version (const struct ash_map_switch *sw, const struct ash_map_rank *rank)
 {
   return lists_are_newer (sw, rank) ? rank->prepared : rank->report.prepared;
 }
@@ -19,7 +20,7 @@
 /* Lists don't say what is armed, but only what is prepared can be: an older report's word may be of
  * a change that was taken back since. */
 static uint64_t
-armed_of (const struct ash_map_switch *sw, const struct ash_map_rank *rank)
+armed_version (const struct ash_map_switch *sw, const struct ash_map_rank *rank)
 {
   bool is_over = lists_are_newer (sw, rank) && rank->prepared != rank->report.armed;
 
@@ -32,11 +33,11 @@
   uint64_t lowest = 0;
 
   for (uint32_t i = 0; i < sw->rank_count; i++)
-    if (armed_of (sw, &sw->ranks[i]) > sw->ranks[i].report.map)
+    if (armed_version (sw, &sw->ranks[i]) > sw->ranks[i].report.map)
       return sw->ranks[i].report.armed;
   for (uint32_t i = 0; i < sw->rank_count; i++)
     {
-      uint64_t prepared = prepared_of (sw, &sw->ranks[i]);
+      uint64_t prepared = prepared_version (sw, &sw->ranks[i]);
 
       if (prepared > sw->ranks[i].report.map && (!lowest || prepared < lowest))
         lowest = prepared;
@@ -45,14 +46,14 @@
 }
 
 bool
-ash_map_finish_is_told (const struct ash_map_switch *sw, struct ash_time since)
+ash_map_finish_state_is_current (const struct ash_map_switch *sw, struct ash_time since)
 {
   for (uint32_t i = 0; i < sw->rank_count; i++)
     {
       const struct ash_map_rank *rank = &sw->ranks[i];
       int64_t reported_ms = ash_time_diff (since, rank->reported);
 
-      if (ash_time_before (rank->lists_asked, since) &&
+      if (ash_time_before (rank->lists_requested, since) &&
           reported_ms < (int64_t) sw->lag_ms + REPORT_MARGIN_MS)
         return false;
     }
@@ -64,9 +65,9 @@
  * one of this life, or of whoever finished for it, where it has let that step go before: also if it
  * has let a later one go since, the group not having moved. */
 static bool
-is_free (const struct ash_map_switch *sw, uint32_t rank, uint64_t step)
+can_hold (const struct ash_map_switch *sw, uint32_t rank, uint64_t step)
 {
-  return !sw->ranks[rank].report.held && sw->ranks[rank].let_go < step;
+  return !sw->ranks[rank].report.held && sw->ranks[rank].released_step < step;
 }
 
 uint32_t
@@ -74,10 +75,10 @@
 {
   uint32_t spare = (sw->own_rank + sw->rank_count / 2) % sw->rank_count;
 
-  if (is_free (sw, sw->own_rank, step))
+  if (can_hold (sw, sw->own_rank, step))
     return sw->own_rank;
   for (uint32_t i = 0; i < sw->rank_count; i++)
-    if (is_free (sw, (spare + i) % sw->rank_count, step))
+    if (can_hold (sw, (spare + i) % sw->rank_count, step))
       return (spare + i) % sw->rank_count;
   return spare;
 }
--- a/controllers/map_finish.h
+++ b/controllers/map_finish.h
@@ -17,7 +17,7 @@
 uint64_t ash_map_finish_version (const struct ash_map_switch *sw);
 
 /** @return whether what tells what another router had done is newer than its hold. */
-bool ash_map_finish_is_told (const struct ash_map_switch *sw, struct ash_time since);
+bool ash_map_finish_state_is_current (const struct ash_map_switch *sw, struct ash_time since);
 
 /** @return a rank where this router can hold a step beside what is held. */
 uint32_t ash_map_finish_rank (const struct ash_map_switch *sw, uint64_t step);
--- a/controllers/map_switch.c
+++ b/controllers/map_switch.c
@@ -8,7 +8,7 @@
 #define PREPARE_RESEND_MS 120
 
 /* Ranks that have not copied all by then won't: ten times what a full change takes. */
-#define PREPARE_MS 12000
+#define PREPARE_TIMEOUT_MS 12000
 
 /* Steps beyond the one that is believed to run now. A hold that comes too late is refused
  * and tried for the next step, which costs one round trip; one for a step far ahead costs
@@ -17,25 +17,25 @@
 #define HOLDS_MAX 16
 
 /* A prepare that is refused so often won't be taken. */
-#define PREPARES_MAX 6
+#define PREPARE_REFUSALS_MAX 6
 
 /* A rank that should have copied all is asked again so often. */
-#define PREPARE_AGAIN_MS 80
+#define PREPARE_POLL_MS 80
 
 /* How long a hold must have been seen before another router finishes it: longer than a
  * change takes from hold to go, an answer lost included. */
-#define FOREIGN_MS 120
+#define FOREIGN_HOLD_MIN_MS 120
 
 /* How long reports may still tell of a hold that was let go. */
-#define RELEASED_MS 1200
+#define RELEASED_HOLD_MS 1200
 
 /* A rank that has not taken an arm by then is not waited for any longer: nearly what a full
  * change copies for, and the group stands still meanwhile. */
-#define ARM_MS 1000
+#define ARM_TIMEOUT_MS 1000
 
 /* Without the map in use there is no fence. Its lists come within a round trip, or are asked
  * for again after 400 ms. */
-#define FENCE_WAIT_MS 2000
+#define FENCE_TIMEOUT_MS 2000
 
 /* Reports are asked for this often: of all ranks in the long run, of the first one to see
  * a new epoch or a hold, and of those that something hangs on. */
@@ -44,10 +44,10 @@
 #define REPORT_SOON_MS 150
 
 /* Versions of different routers differ in their lower bits. */
-#define VERSION_DRAW_BITS 20
+#define VERSION_RANDOM_BITS 20
 
 static void
-enter (struct ash_map_switch *sw, struct ash_time now, enum ash_map_phase phase)
+enter_phase (struct ash_map_switch *sw, struct ash_time now, enum ash_map_phase phase)
 {
   sw->phase = phase;
   sw->phase_began = now;
@@ -55,7 +55,7 @@
     {
       sw->ranks[i].answered = false;
       sw->ranks[i].copying = false;
-      sw->ranks[i].rearmed = false;
+      sw->ranks[i].disarm_first = false;
       sw->ranks[i].refusals = 0;
       sw->ranks[i].sent = (struct ash_time){ 0 };
     }
@@ -64,10 +64,10 @@
 static void
 end (struct ash_map_switch *sw, struct ash_time now, enum ash_map_result result)
 {
-  enter (sw, now, ASH_MAP_IDLE);
+  enter_phase (sw, now, ASH_MAP_IDLE);
   sw->result = result;
   sw->version = 0;
-  sw->fence_drawn = false;
+  sw->fence_is_set = false;
   sw->step = 0;
   sw->finishing = false;
 }
@@ -89,7 +89,7 @@
 /* ---- reports ---- */
 
 static void
-form_anew (struct ash_map_switch *sw, struct ash_time now, uint64_t epoch)
+reset_for_epoch (struct ash_map_switch *sw, struct ash_time now, uint64_t epoch)
 {
   uint32_t rank_count = sw->rank_count;
   uint32_t lag_ms = sw->lag_ms;
@@ -100,27 +100,27 @@
   ash_map_switch_init (sw, rank_count, lag_ms, own_rank);
   sw->epoch = epoch;
   sw->phase_began = now;
-  sw->result = under_way ? ASH_MAP_VOID : ASH_MAP_NONE;
+  sw->result = under_way ? ASH_MAP_GROUP_REFORMED : ASH_MAP_NONE;
 }
 
 static bool
-own_hold (const struct ash_map_switch *sw,
-          struct ash_time now,
-          const struct ash_rank_report *report)
+is_own_hold (const struct ash_map_switch *sw,
+             struct ash_time now,
+             const struct ash_rank_report *report)
 {
   uint64_t held = report->held;
 
   if (sw->phase >= ASH_MAP_HOLD && held == sw->step && report->rank == sw->holder)
     return true;
-  return held == sw->released && ash_time_diff (sw->released_at, now) < RELEASED_MS;
+  return held == sw->released && ash_time_diff (sw->released_at, now) < RELEASED_HOLD_MS;
 }
 
 /* Of several holds that are not this router's, the one at the lowest step is where the group
  * stands; the others come next. */
 static void
-note_hold (struct ash_map_switch *sw, struct ash_time now, const struct ash_rank_report *report)
+record_hold (struct ash_map_switch *sw, struct ash_time now, const struct ash_rank_report *report)
 {
-  bool foreign = report->held && !own_hold (sw, now, report);
+  bool foreign = report->held && !is_own_hold (sw, now, report);
   bool known = sw->foreign_held && report->rank == sw->foreign_rank;
 
   if (foreign && (known || !sw->foreign_held || report->held < sw->foreign_held))
@@ -145,48 +145,51 @@
   if (report->epoch < sw->epoch)
     return; /* an old word */
   if (report->epoch > sw->epoch)
-    form_anew (sw, now, report->epoch);
+    reset_for_epoch (sw, now, report->epoch);
   /* Maps only grow within an epoch: a lower one is the word of before a change. */
   map = rank->report.map > report->map ? rank->report.map : report->map;
   rank->report = *report;
   rank->report.map = map;
   rank->reported = now;
   rank->known = true;
-  ash_map_note_step (sw, ash_time_add (now, -(int64_t) sw->lag_ms), report->step);
+  ash_map_record_step (sw, ash_time_add (now, -(int64_t) sw->lag_ms), report->step);
   /* That a rank tells to be armed with the version does not do for an answer: it does not tell
    * for which step, and another router may have armed it for another one. */
-  note_hold (sw, now, report);
+  record_hold (sw, now, report);
 }
 
 void
-ash_map_switch_uses (struct ash_map_switch *sw, uint32_t rank, uint64_t epoch, uint64_t version)
+ash_map_switch_set_active (struct ash_map_switch *sw,
+                           uint32_t rank,
+                           uint64_t epoch,
+                           uint64_t version)
 {
   if (epoch == sw->epoch && version > sw->ranks[rank].report.map)
     sw->ranks[rank].report.map = version;
 }
 
 void
-ash_map_switch_prepared (struct ash_map_switch *sw,
-                         uint32_t rank,
-                         uint64_t epoch,
-                         uint64_t version,
-                         struct ash_time asked)
+ash_map_switch_set_prepared (struct ash_map_switch *sw,
+                             uint32_t rank,
+                             uint64_t epoch,
+                             uint64_t version,
+                             struct ash_time asked)
 {
   if (epoch != sw->epoch)
     return;
   sw->ranks[rank].prepared = version;
-  sw->ranks[rank].lists_asked = asked;
+  sw->ranks[rank].lists_requested = asked;
 }
 
 bool
-ash_map_switch_wants_lists (const struct ash_map_switch *sw, uint32_t rank)
+ash_map_switch_needs_lists (const struct ash_map_switch *sw, uint32_t rank)
 {
   return sw->phase == ASH_MAP_IDLE && sw->foreign_held &&
-         ash_time_before (sw->ranks[rank].lists_asked, sw->foreign_since);
+         ash_time_before (sw->ranks[rank].lists_requested, sw->foreign_since);
 }
 
 bool
-ash_map_switch_held_elsewhere (const struct ash_map_switch *sw)
+ash_map_switch_has_foreign_hold (const struct ash_map_switch *sw)
 {
   return sw->foreign_held != 0;
 }
@@ -204,16 +207,16 @@
 ash_map_switch_ready (const struct ash_map_switch *sw, struct ash_time now)
 {
   /* Ranks are armed until the step begins that was let go, and prepare nothing till then. */
-  bool settled = ash_map_step_now (sw, now) >= sw->released;
+  bool settled = ash_map_current_step (sw, now) >= sw->released;
 
   return sw->phase == ASH_MAP_IDLE && !sw->foreign_held && settled && all_known (sw);
 }
 
 uint64_t
-ash_map_switch_version (const struct ash_map_switch *sw, uint64_t draw)
+ash_map_switch_new_version (const struct ash_map_switch *sw, uint64_t draw)
 {
   uint64_t above = sw->version > sw->fence ? sw->version : sw->fence;
-  uint64_t mask = (UINT64_C (1) << VERSION_DRAW_BITS) - 1;
+  uint64_t mask = (UINT64_C (1) << VERSION_RANDOM_BITS) - 1;
 
   for (uint32_t i = 0; i < sw->rank_count; i++)
     {
@@ -223,7 +226,7 @@
       above = report->prepared > above ? report->prepared : above;
       above = report->armed > above ? report->armed : above;
     }
-  return ((above >> VERSION_DRAW_BITS) + 1) << VERSION_DRAW_BITS | (draw & mask);
+  return ((above >> VERSION_RANDOM_BITS) + 1) << VERSION_RANDOM_BITS | (draw & mask);
 }
 
 /* ---- phases ---- */
@@ -241,7 +244,7 @@
   sw->holds = 0;
   sw->refused = 0;
   sw->result = ASH_MAP_NONE;
-  enter (sw, now, ASH_MAP_PREPARE);
+  enter_phase (sw, now, ASH_MAP_PREPARE);
 }
 
 static bool
@@ -256,7 +259,7 @@
 /* A rank that has fewer copies to make than the slowest one is not asked once that one is done,
  * but it may have begun later: a lost order, or a slow link. */
 static void
-trust_copies (struct ash_map_switch *sw, struct ash_time now)
+mark_copied (struct ash_map_switch *sw, struct ash_time now)
 {
   uint32_t slowest = 0;
 
@@ -279,9 +282,9 @@
 static void
 begin_hold (struct ash_map_switch *sw, struct ash_time now)
 {
-  uint64_t begun = ash_map_step_now (sw, now);
+  uint64_t begun = ash_map_current_step (sw, now);
 
-  enter (sw, now, ASH_MAP_HOLD);
+  enter_phase (sw, now, ASH_MAP_HOLD);
   sw->holder = sw->own_rank;
   begun = begun > sw->released ? begun : sw->released;
   begun = begun > sw->refused ? begun : sw->refused;
@@ -290,10 +293,10 @@
 }
 
 static void
-finish_foreign (struct ash_map_switch *sw, struct ash_time now)
+finish_foreign_change (struct ash_map_switch *sw, struct ash_time now)
 {
-  if (!sw->foreign_held || ash_time_diff (sw->foreign_since, now) < FOREIGN_MS || !all_known (sw) ||
-      !ash_map_finish_is_told (sw, sw->foreign_since))
+  if (!sw->foreign_held || ash_time_diff (sw->foreign_since, now) < FOREIGN_HOLD_MIN_MS ||
+      !all_known (sw) || !ash_map_finish_state_is_current (sw, sw->foreign_since))
     return;
   sw->version = ash_map_finish_version (sw);
   sw->step = sw->foreign_held;
@@ -303,13 +306,13 @@
   /* With nothing to arm the group is just let go. Else the step is held here as well: the
    * other router may live, and let go what it holds while ranks are being armed. */
   sw->holder = sw->version ? ash_map_finish_rank (sw, sw->step) : sw->foreign_rank;
-  enter (sw, now, sw->version ? ASH_MAP_HOLD : ASH_MAP_GO);
+  enter_phase (sw, now, sw->version ? ASH_MAP_HOLD : ASH_MAP_GO);
 }
 
 /* Whether the rank has had a newer version than the present one, which it then never takes.
  * That it has not told of the present one says nothing: it may still copy. */
 static bool
-is_past (const struct ash_map_switch *sw, const struct ash_map_rank *rank)
+has_newer_version (const struct ash_map_switch *sw, const struct ash_map_rank *rank)
 {
   return rank->report.prepared > sw->version || rank->report.map > sw->version;
 }
@@ -318,9 +321,9 @@
 cannot_arm (const struct ash_map_switch *sw, struct ash_time now)
 {
   for (uint32_t i = 0; i < sw->rank_count; i++)
-    if (is_past (sw, &sw->ranks[i]))
+    if (has_newer_version (sw, &sw->ranks[i]))
       return true;
-  return ash_time_diff (sw->phase_began, now) > ARM_MS;
+  return ash_time_diff (sw->phase_began, now) > ARM_TIMEOUT_MS;
 }
 
 /* Whether no rank can be armed any more with the version that is given up: each has taken the
@@ -332,32 +335,32 @@
     {
       const struct ash_map_rank *rank = &sw->ranks[i];
       bool fresh = ash_time_diff (sw->phase_began, rank->reported) > (int64_t) sw->lag_ms;
-      bool armed_else = fresh && rank->report.armed && rank->report.armed != sw->version;
+      bool armed_otherwise = fresh && rank->report.armed && rank->report.armed != sw->version;
 
-      if (!rank->answered && !(rank->refusals && (is_past (sw, rank) || armed_else)))
+      if (!rank->answered && !(rank->refusals && (has_newer_version (sw, rank) || armed_otherwise)))
         return false;
     }
   return true;
 }
 
 bool
-ash_map_switch_wants_fence (const struct ash_map_switch *sw)
+ash_map_switch_needs_fence (const struct ash_map_switch *sw)
 {
-  return (sw->phase == ASH_MAP_DISARM || sw->phase == ASH_MAP_FENCE) && !sw->fence_drawn;
+  return (sw->phase == ASH_MAP_DISARM || sw->phase == ASH_MAP_FENCE) && !sw->fence_is_set;
 }
 
 void
-ash_map_switch_fence (struct ash_map_switch *sw, uint64_t version)
+ash_map_switch_set_fence (struct ash_map_switch *sw, uint64_t version)
 {
   sw->fence = version;
-  sw->fence_drawn = true;
+  sw->fence_is_set = true;
 }
 
 static void
-let_go (struct ash_map_switch *sw, struct ash_time now)
+released_step (struct ash_map_switch *sw, struct ash_time now)
 {
   sw->version = 0;
-  enter (sw, now, ASH_MAP_GO);
+  enter_phase (sw, now, ASH_MAP_GO);
 }
 
 /* Another router may have let go what is held here: nothing is to be armed any more. */
@@ -368,90 +371,90 @@
 }
 
 static void
-end_release (struct ash_map_switch *sw, struct ash_time now)
+finish_release (struct ash_map_switch *sw, struct ash_time now)
 {
   enum ash_map_result result = sw->finishing ? ASH_MAP_FINISHED : ASH_MAP_CHANGED;
 
   sw->released = sw->step;
   sw->released_at = now;
-  end (sw, now, sw->version ? result : ASH_MAP_GIVEN_UP);
+  end (sw, now, sw->version ? result : ASH_MAP_ABORTED);
 }
 
 static void
-move_on (struct ash_map_switch *sw, struct ash_time now)
+advance (struct ash_map_switch *sw, struct ash_time now)
 {
   if (has_begun (sw))
-    let_go (sw, now);
+    released_step (sw, now);
   switch (sw->phase)
     {
     case ASH_MAP_IDLE:
-      finish_foreign (sw, now);
+      finish_foreign_change (sw, now);
       break;
     case ASH_MAP_PREPARE:
-      if (sw->foreign_held || ash_time_diff (sw->began, now) > PREPARE_MS)
-        end (sw, now, ASH_MAP_GIVEN_UP);
+      if (sw->foreign_held || ash_time_diff (sw->began, now) > PREPARE_TIMEOUT_MS)
+        end (sw, now, ASH_MAP_ABORTED);
       else
         {
-          trust_copies (sw, now);
+          mark_copied (sw, now);
           if (all_answered (sw) && all_known (sw))
             begin_hold (sw, now);
         }
       break;
     case ASH_MAP_HOLD:
       if (sw->ranks[sw->holder].answered)
-        enter (sw, now, sw->finishing ? ASH_MAP_DISARM : ASH_MAP_ARM);
+        enter_phase (sw, now, sw->finishing ? ASH_MAP_DISARM : ASH_MAP_ARM);
       break;
     case ASH_MAP_ARM:
       if (all_answered (sw))
-        enter (sw, now, ASH_MAP_GO);
+        enter_phase (sw, now, ASH_MAP_GO);
       else if (cannot_arm (sw, now))
-        enter (sw, now, ASH_MAP_DISARM);
+        enter_phase (sw, now, ASH_MAP_DISARM);
       break;
     case ASH_MAP_DISARM:
       if (all_answered (sw))
-        enter (sw, now, ASH_MAP_FENCE);
+        enter_phase (sw, now, ASH_MAP_FENCE);
       break;
     case ASH_MAP_FENCE:
       if (all_fenced (sw) ||
-          (!sw->fence_drawn && ash_time_diff (sw->phase_began, now) > FENCE_WAIT_MS))
-        let_go (sw, now);
+          (!sw->fence_is_set && ash_time_diff (sw->phase_began, now) > FENCE_TIMEOUT_MS))
+        released_step (sw, now);
       break;
     case ASH_MAP_GO:
       if (sw->ranks[sw->holder].answered &&
           (!sw->finishing || sw->ranks[sw->foreign_rank].answered))
-        end_release (sw, now);
+        finish_release (sw, now);
       break;
     }
 }
 
 /* At once for the first time; an answer that stays the same has another cause. */
 static void
-disarm_again (struct ash_map_switch *sw, uint32_t rank)
+request_disarm (struct ash_map_switch *sw, uint32_t rank)
 {
-  sw->ranks[rank].rearmed = true;
+  sw->ranks[rank].disarm_first = true;
   if (sw->ranks[rank].refusals++ == 0)
     sw->ranks[rank].sent = (struct ash_time){ 0 };
 }
 
 static void
-take_refusal (struct ash_map_switch *sw, struct ash_time now, uint32_t rank)
+handle_refusal (struct ash_map_switch *sw, struct ash_time now, uint32_t rank)
 {
   switch (sw->phase)
     {
     case ASH_MAP_PREPARE:
       /* It is still armed with the map before: its step has not begun. If that lasts, it is
        * another router's version, or a map that does not fit: read anew, tried anew. */
-      if (++sw->ranks[rank].refusals >= PREPARES_MAX)
-        end (sw, now, ASH_MAP_GIVEN_UP);
+      if (++sw->ranks[rank].refusals >= PREPARE_REFUSALS_MAX)
+        end (sw, now, ASH_MAP_ABORTED);
       break;
     case ASH_MAP_HOLD:
       /* The step has begun, or another router holds one; reports will tell which. */
       sw->refused = sw->step;
       /* What was to be finished is: its step has begun. */
       if (sw->finishing)
-        end (sw, now, ASH_MAP_GIVEN_UP);
+        end (sw, now, ASH_MAP_ABORTED);
       else if (sw->holds >= HOLDS_MAX || sw->foreign_held)
-        end (sw, now, ASH_MAP_GIVEN_UP);
+        end (sw, now, ASH_MAP_ABORTED);
       else
         begin_hold (sw, now);
       break;
@@ -466,10 +469,10 @@
       break;
     case ASH_MAP_FENCE:
       /* It had something newer; or it is armed, by an arm that came after the disarm. */
-      if (sw->ranks[rank].rearmed)
-        sw->ranks[rank].rearmed = false; /* that was refused: it is in use */
+      if (sw->ranks[rank].disarm_first)
+        sw->ranks[rank].disarm_first = false; /* that was refused: it is in use */
       else
-        disarm_again (sw, rank);
+        request_disarm (sw, rank);
       break;
     case ASH_MAP_IDLE:
       break;
@@ -488,7 +491,7 @@
     case ASH_MAP_DISARM:
       return ASH_RANK_DISARM;
     case ASH_MAP_FENCE:
-      return sw->ranks[rank].rearmed ? ASH_RANK_DISARM : ASH_RANK_PREPARE;
+      return sw->ranks[rank].disarm_first ? ASH_RANK_DISARM : ASH_RANK_PREPARE;
     case ASH_MAP_GO:
       return ASH_RANK_GO;
     case ASH_MAP_IDLE:
@@ -500,9 +503,9 @@
 
 /* What that rank is to be told now. */
 static struct ash_rank_order
-order_due (const struct ash_map_switch *sw, uint32_t rank)
+current_order (const struct ash_map_switch *sw, uint32_t rank)
 {
-  bool fence = sw->phase == ASH_MAP_FENCE && !sw->ranks[rank].rearmed;
+  bool fence = sw->phase == ASH_MAP_FENCE && !sw->ranks[rank].disarm_first;
 
   return (struct ash_rank_order){
     .kind = order_kind (sw, rank),
@@ -515,28 +518,28 @@
 
 /* Whether the answer is to what is still to be done there. */
 static bool
-is_due (const struct ash_map_switch *sw, const struct ash_rank_order *order)
+is_current_order (const struct ash_map_switch *sw, const struct ash_rank_order *order)
 {
-  struct ash_rank_order due = order_due (sw, order->rank);
+  struct ash_rank_order due = current_order (sw, order->rank);
 
   return sw->phase != ASH_MAP_IDLE && order->kind == due.kind && order->epoch == due.epoch &&
          order->version == due.version && order->step == due.step;
 }
 
 static void
-take_done (struct ash_map_switch *sw, struct ash_time now, uint32_t i, bool begun_only)
+handle_success (struct ash_map_switch *sw, struct ash_time now, uint32_t i, bool copying_started)
 {
   struct ash_map_rank *rank = &sw->ranks[i];
 
-  if (sw->phase == ASH_MAP_PREPARE && begun_only)
+  if (sw->phase == ASH_MAP_PREPARE && copying_started)
     {
       if (!rank->copying)
         rank->copying_since = now;
       rank->copying = true;
     }
-  else if (sw->phase == ASH_MAP_FENCE && rank->rearmed)
+  else if (sw->phase == ASH_MAP_FENCE && rank->disarm_first)
     {
-      rank->rearmed = false;
+      rank->disarm_first = false;
       rank->sent = (struct ash_time){ 0 };
     }
   else
@@ -544,20 +547,20 @@
 }
 
 void
-ash_map_switch_answered (struct ash_map_switch *sw,
-                         struct ash_time now,
-                         const struct ash_rank_order *order,
-                         uint16_t status)
+ash_map_switch_handle_answer (struct ash_map_switch *sw,
+                              struct ash_time now,
+                              const struct ash_rank_order *order,
+                              uint16_t status)
 {
   /* An answer to something that is over. */
-  if (!is_due (sw, order))
+  if (!is_current_order (sw, order))
     return;
   /* To a prepare, 202 says that it has begun to copy, 200 that all is there. */
   if (status == 200 || status == 202)
-    take_done (sw, now, order->rank, status == 202);
+    handle_success (sw, now, order->rank, status == 202);
   else if (status == 409)
-    take_refusal (sw, now, order->rank);
-  move_on (sw, now);
+    handle_refusal (sw, now, order->rank);
+  advance (sw, now);
 }
 
 static uint32_t
@@ -585,12 +588,12 @@
   /* The slowest is asked; its answer stands for those that had less to copy. */
   if (left_ms > 0 || rank->copy_ms < slowest_copy_ms (sw))
     return INT64_MAX;
-  return PREPARE_AGAIN_MS;
+  return PREPARE_POLL_MS;
 }
 
 /* Whether the present phase's order is for that rank. */
 static bool
-is_meant (const struct ash_map_switch *sw, uint32_t rank)
+is_addressed (const struct ash_map_switch *sw, uint32_t rank)
 {
   switch (sw->phase)
     {
@@ -599,7 +602,7 @@
     case ASH_MAP_GO:
       return rank == sw->holder || (sw->finishing && rank == sw->foreign_rank);
     case ASH_MAP_FENCE:
-      return sw->fence_drawn;
+      return sw->fence_is_set;
     case ASH_MAP_IDLE:
     case ASH_MAP_PREPARE:
     case ASH_MAP_ARM:
@@ -616,35 +619,35 @@
 {
   uint32_t count = 0;
 
-  move_on (sw, now);
+  advance (sw, now);
   if (sw->phase == ASH_MAP_IDLE)
     return 0;
   for (uint32_t i = 0; i < sw->rank_count; i++)
     {
       struct ash_map_rank *rank = &sw->ranks[i];
 
-      if (rank->answered || !is_meant (sw, i) ||
+      if (rank->answered || !is_addressed (sw, i) ||
           (rank->sent.ms && ash_time_diff (rank->sent, now) < resend_ms (sw, rank, now)))
         continue;
       rank->sent = now;
       if (sw->phase == ASH_MAP_GO)
-        rank->let_go = sw->step > rank->let_go ? sw->step : rank->let_go;
-      orders[count++] = order_due (sw, i);
+        rank->released_step = sw->step > rank->released_step ? sw->step : rank->released_step;
+      orders[count++] = current_order (sw, i);
     }
   return count;
 }
 
 /* Requests are at work, and yet no step begins: some rank may be held. */
 static bool
-stands_still (const struct ash_map_switch *sw, struct ash_time now)
+is_stalled (const struct ash_map_switch *sw, struct ash_time now)
 {
   const struct ash_rank_report *first = &sw->ranks[0].report;
 
-  return first->active && !ash_map_moves (sw, now);
+  return first->active && !ash_map_is_stepping (sw, now);
 }
 
 bool
-ash_map_switch_wants_report (const struct ash_map_switch *sw, struct ash_time now, uint32_t rank)
+ash_map_switch_needs_report (const struct ash_map_switch *sw, struct ash_time now, uint32_t rank)
 {
   const struct ash_map_rank *known = &sw->ranks[rank];
   int64_t age_ms = ash_time_diff (known->reported, now);
@@ -653,7 +656,7 @@
     return age_ms >= REPORT_SOON_MS;
   if ((sw->phase == ASH_MAP_ARM || sw->phase == ASH_MAP_FENCE) && known->refusals)
     return age_ms >= REPORT_SOON_MS;
-  if (sw->foreign_held || stands_still (sw, now))
+  if (sw->foreign_held || is_stalled (sw, now))
     return age_ms >= REPORT_SOON_MS;
   return age_ms >= (rank == 0 ? REPORT_FIRST_MS : REPORT_ALL_MS);
 }
--- a/controllers/map_switch.h
+++ b/controllers/map_switch.h
@@ -14,7 +14,7 @@
  *    has another version prepared refuses every late arm of the dead one, for good. A fence
  *    that is refused tells that an arm came between: disarmed and fenced again;
  *  - a late hold or arm finds its step begun and is refused;
- *  - versions are never used twice, also not by two routers (ash_map_switch_version());
+ *  - versions are never used twice, also not by two routers (ash_map_switch_new_version());
  *  - each router holds at a rank of its own, so that one can't let go what another holds, and
  *    no step twice.
  *
@@ -48,9 +48,9 @@
 {
   ASH_MAP_NONE,
   ASH_MAP_CHANGED,
-  ASH_MAP_FINISHED, /**< what another router had begun */
-  ASH_MAP_GIVEN_UP, /**< before a rank had taken it */
-  ASH_MAP_VOID,     /**< the group formed anew */
+  ASH_MAP_FINISHED,       /**< what another router had begun */
+  ASH_MAP_ABORTED,        /**< before a rank had taken it */
+  ASH_MAP_GROUP_REFORMED, /**< the group formed anew */
 };
 
 /** What is known of a rank. */
@@ -59,16 +59,16 @@
   struct ash_rank_report report;
   struct ash_time reported;
   bool known;
-  uint64_t prepared;           /**< as its lists told, without the lag of reports */
-  struct ash_time lists_asked; /**< when the question was sent that those answered */
-  bool answered;               /**< the present phase's order is carried out there */
-  bool copying;                /**< it has begun to prepare */
-  bool rearmed;                /**< it has refused the fence: to be disarmed first */
+  uint64_t prepared;               /**< as its lists told, without the lag of reports */
+  struct ash_time lists_requested; /**< when the question was sent that those answered */
+  bool answered;                   /**< the present phase's order is carried out there */
+  bool copying;                    /**< it has begun to prepare */
+  bool disarm_first;               /**< it has refused the fence: to be disarmed first */
   struct ash_time copying_since;
-  struct ash_time sent; /**< the present phase's order; 0: not yet */
-  uint64_t let_go;      /**< the last step for which it was told to go */
-  uint32_t refusals;    /**< of the present phase's order */
-  uint32_t copy_ms;     /**< how long it is expected to copy for the present change */
+  struct ash_time sent;   /**< the present phase's order; 0: not yet */
+  uint64_t released_step; /**< the last step for which it was told to go */
+  uint32_t refusals;      /**< of the present phase's order */
+  uint32_t copy_ms;       /**< how long it is expected to copy for the present change */
 };
 
 /** One group. */
@@ -81,7 +81,7 @@
   enum ash_map_result result;
   uint64_t version;  /**< being changed to */
   uint64_t fence;    /**< version with the map in use that ranks prepare, going back */
-  bool fence_drawn;  /**< for the present change */
+  bool fence_is_set; /**< for the present change */
   uint64_t step;     /**< being held */
   uint32_t own_rank; /**< where this router holds steps */
   uint32_t holder;   /**< rank that holds it */
@@ -90,10 +90,10 @@
   uint64_t refused;  /**< the last step that could not be held; it may not have begun */
   struct ash_time began;
   struct ash_time phase_began;
-  double pass_ms;          /**< time of a pass, as streams of this router show it; 0: not known */
-  double step_ms;          /**< the same, as the steps that ranks told show it */
-  uint64_t told_step;      /**< the last one told without lag */
-  struct ash_time told_at; /**< when */
+  double pass_ms;        /**< time of a pass, as streams of this router show it; 0: not known */
+  double step_ms;        /**< the same, as the steps that ranks told show it */
+  uint64_t sampled_step; /**< the last one told without lag */
+  struct ash_time sampled_at; /**< when */
   uint64_t last_step;
   struct ash_time last_step_at; /**< when it was reported, less the lag */
   uint64_t released;            /**< the last step let go here */
@@ -122,7 +122,7 @@
 bool ash_map_switch_ready (const struct ash_map_switch *sw, struct ash_time now);
 
 /** @return a version above all that any rank is known to have had. @param draw random bits. */
-uint64_t ash_map_switch_version (const struct ash_map_switch *sw, uint64_t draw);
+uint64_t ash_map_switch_new_version (const struct ash_map_switch *sw, uint64_t draw);
 
 /**
  * Begins a change to a map of that version.
@@ -134,42 +134,44 @@
                            const uint32_t copy_ms[ASH_LAYER_RANKS_MAX]);
 
 /** @return whether a change goes back and needs a version with the map in use. */
-bool ash_map_switch_wants_fence (const struct ash_map_switch *sw);
+bool ash_map_switch_needs_fence (const struct ash_map_switch *sw);
 
-/** The map in use can be prepared as that version, drawn by ash_map_switch_version(). */
-void ash_map_switch_fence (struct ash_map_switch *sw, uint64_t version);
+/** The map in use can be prepared as that version, drawn by ash_map_switch_new_version(). */
+void ash_map_switch_set_fence (struct ash_map_switch *sw, uint64_t version);
 
 /** A rank is known to use that map, whatever its reports still tell. */
-void
-ash_map_switch_uses (struct ash_map_switch *sw, uint32_t rank, uint64_t epoch, uint64_t version);
+void ash_map_switch_set_active (struct ash_map_switch *sw,
+                                uint32_t rank,
+                                uint64_t epoch,
+                                uint64_t version);
 
 /**
  * A rank's lists have told what it has prepared.
  * @param asked when the question was sent: the answer is of no earlier moment.
  */
-void ash_map_switch_prepared (struct ash_map_switch *sw,
-                              uint32_t rank,
-                              uint64_t epoch,
-                              uint64_t version,
-                              struct ash_time asked);
+void ash_map_switch_set_prepared (struct ash_map_switch *sw,
+                                  uint32_t rank,
+                                  uint64_t epoch,
+                                  uint64_t version,
+                                  struct ash_time asked);
 
 /** @return whether a rank's lists are needed to finish what another router holds. */
-bool ash_map_switch_wants_lists (const struct ash_map_switch *sw, uint32_t rank);
+bool ash_map_switch_needs_lists (const struct ash_map_switch *sw, uint32_t rank);
 
 /** @return whether a step is held by another router, as far as is known. */
-bool ash_map_switch_held_elsewhere (const struct ash_map_switch *sw);
+bool ash_map_switch_has_foreign_hold (const struct ash_map_switch *sw);
 
 /** A pass takes so long now, as the pauses of streams show. */
-void ash_map_switch_pass (struct ash_map_switch *sw, double pass_ms);
+void ash_map_switch_set_pass_ms (struct ash_map_switch *sw, double pass_ms);
 
 /** A rank has told its present step, without the lag of reports. */
-void ash_map_switch_step (struct ash_map_switch *sw, struct ash_time now, uint64_t step);
+void ash_map_switch_sample_step (struct ash_map_switch *sw, struct ash_time now, uint64_t step);
 
 /** An order was answered. @param status of HTTP; 0: not answered. */
-void ash_map_switch_answered (struct ash_map_switch *sw,
-                              struct ash_time now,
-                              const struct ash_rank_order *order,
-                              uint16_t status);
+void ash_map_switch_handle_answer (struct ash_map_switch *sw,
+                                   struct ash_time now,
+                                   const struct ash_rank_order *order,
+                                   uint16_t status);
 
 /** Time goes on. Fills what is to be sent now. @return how many orders. */
 uint32_t ash_map_switch_orders (struct ash_map_switch *sw,
@@ -178,6 +180,6 @@
 
 /** @return whether a report of that rank is awaited: soon, or in good time. */
 bool
-ash_map_switch_wants_report (const struct ash_map_switch *sw, struct ash_time now, uint32_t rank);
+ash_map_switch_needs_report (const struct ash_map_switch *sw, struct ash_time now, uint32_t rank);
 
 #endif
--- a/controllers/pass_model.c
+++ b/controllers/pass_model.c
@@ -9,10 +9,10 @@
 
 /* Part of the streams that are under way during a shift: one each 3 to 4 s, 0.5 to 1 s until the
  * map has followed, and a stream lasts 1 to 2 s. */
-#define SHIFTED_STREAMS 0.6
+#define SHIFTED_STREAM_FRACTION 0.6
 
 /* What a stream that pauses too long once loses of its worth. */
-#define LATE_LOSS 0.5
+#define LATE_STREAM_LOSS 0.5
 
 #define BITS_PER_MB 8.0
 #define MS_PER_S 1000.0
@@ -34,7 +34,7 @@
 }
 
 double
-ash_pass_model_expert_part (const struct ash_engine_facts *engine, double streams)
+ash_pass_model_expert_fraction (const struct ash_engine_facts *engine, double streams)
 {
   double even_ms = ash_pass_model_ms (engine, streams, 1);
 
@@ -59,19 +59,19 @@
 
 /* What callers get of a rank with so many streams, in streams a millisecond of a pass. */
 static double
-value_of (const struct ash_engine_facts *engine, uint32_t pause_aim_ms, uint32_t streams)
+useful_rate (const struct ash_engine_facts *engine, uint32_t pause_aim_ms, uint32_t streams)
 {
   double usual_ms = ash_pass_model_ms (engine, streams, USUAL_SKEW) + prompt_ms (engine);
   double shifted_ms =
-      ash_pass_model_ms (engine, streams, SHIFTED_SKEW) * (1 + ASH_PASS_COPYING_PART) +
+      ash_pass_model_ms (engine, streams, SHIFTED_SKEW) * (1 + ASH_PASS_COPY_SLOWDOWN) +
       prompt_ms (engine);
-  double late_part = 0;
+  double late_fraction = 0;
 
   if (usual_ms > pause_aim_ms)
-    late_part = 1;
+    late_fraction = 1;
   else if (shifted_ms > pause_aim_ms)
-    late_part = SHIFTED_STREAMS;
-  return streams * (1 - late_part * LATE_LOSS) / usual_ms;
+    late_fraction = SHIFTED_STREAM_FRACTION;
+  return streams * (1 - late_fraction * LATE_STREAM_LOSS) / usual_ms;
 }
 
 uint32_t
@@ -84,10 +84,10 @@
 
   if (ash_pass_model_ms (engine, 1, USUAL_SKEW) <= 0)
     return bound;
-  best_value = value_of (engine, pause_aim_ms, bound);
+  best_value = useful_rate (engine, pause_aim_ms, bound);
   for (uint32_t streams = bound; streams-- > 1;)
     {
-      double value = value_of (engine, pause_aim_ms, streams);
+      double value = useful_rate (engine, pause_aim_ms, streams);
 
       if (value <= best_value)
         continue;
--- a/controllers/pass_model.h
+++ b/controllers/pass_model.h
@@ -10,13 +10,13 @@
 #include "controllers/route_table.h"
 
 /** Passes take so much longer while a rank copies experts, as engines publish it. */
-#define ASH_PASS_COPYING_PART 0.15
+#define ASH_PASS_COPY_SLOWDOWN 0.15
 
 /** @return milliseconds of a pass that reads no prompt, with so many streams at each rank. */
 double ash_pass_model_ms (const struct ash_engine_facts *engine, double streams, double skew);
 
 /** @return the part of a pass of even ranks that grows with the skew of the map, 0 to 1. */
-double ash_pass_model_expert_part (const struct ash_engine_facts *engine, double streams);
+double ash_pass_model_expert_fraction (const struct ash_engine_facts *engine, double streams);
 
 /** @return milliseconds that a rank takes to copy one expert; 0 if its link is not known. */
 double ash_pass_model_copy_ms (const struct ash_engine_facts *engine);
--- a/controllers/pass_watch.c
+++ b/controllers/pass_watch.c
@@ -4,19 +4,19 @@
 
 /* Part of the newest pause: the mean follows within about a dozen pauses, a pass or two of
  * a few streams. */
-#define NEWEST_PART 0.12
+#define NEW_PAUSE_WEIGHT 0.12
 
 /* Pauses that it takes to know anything. */
-#define SEEN_LEAST 12
+#define PAUSES_MIN 12
 
 /* Passes are too long above this, against what is explained. Prompts that are read add about
  * 10 in 100; a shift adds 40 and more. A false alarm has the price of a look at the counts,
  * which fewer streams share where there are fewer ranks: 1.3 for 16 of them, 1.22 for 64. */
-#define SLOWER_TIMES 1.2
-#define SLOWER_TIMES_RANKS 1.6
+#define SLOW_RATIO 1.2
+#define SLOW_RATIO_RANKS 1.6
 
 /* A pause beyond this is no pass: the stream stood still for another reason. */
-#define PAUSE_MOST_MS 600
+#define PAUSE_MAX_MS 600
 
 void
 ash_pass_watch_reset (struct ash_pass_watch *watch)
@@ -25,38 +25,38 @@
 }
 
 void
-ash_pass_watch_pause (struct ash_pass_watch *watch,
-                      const struct ash_engine_facts *engine,
-                      double streams,
-                      int64_t pause_ms)
+ash_pass_watch_add_pause (struct ash_pass_watch *watch,
+                          const struct ash_engine_facts *engine,
+                          double streams,
+                          int64_t pause_ms)
 {
   double even_ms = ash_pass_model_ms (engine, streams, 1);
   double ratio = even_ms > 0 ? (double) pause_ms / even_ms : 0;
 
-  if (pause_ms < 1 || pause_ms > PAUSE_MOST_MS || even_ms <= 0)
+  if (pause_ms < 1 || pause_ms > PAUSE_MAX_MS || even_ms <= 0)
     return;
-  watch->expert_part = ash_pass_model_expert_part (engine, streams);
+  watch->expert_fraction = ash_pass_model_expert_fraction (engine, streams);
   watch->pass_ms +=
-      watch->seen ? NEWEST_PART * ((double) pause_ms - watch->pass_ms) : (double) pause_ms;
-  watch->ratio += watch->seen ? NEWEST_PART * (ratio - watch->ratio) : ratio;
+      watch->seen ? NEW_PAUSE_WEIGHT * ((double) pause_ms - watch->pass_ms) : (double) pause_ms;
+  watch->ratio += watch->seen ? NEW_PAUSE_WEIGHT * (ratio - watch->ratio) : ratio;
   watch->seen++;
   if (watch->ratio < watch->accepted)
     watch->accepted = watch->ratio;
 }
 
 void
-ash_pass_watch_accept (struct ash_pass_watch *watch)
+ash_pass_watch_accept_ratio (struct ash_pass_watch *watch)
 {
   watch->accepted = watch->ratio;
 }
 
 bool
-ash_pass_watch_slower (const struct ash_pass_watch *watch, uint32_t ranks, double skew)
+ash_pass_watch_is_slow (const struct ash_pass_watch *watch, uint32_t ranks, double skew)
 {
-  double times = SLOWER_TIMES + SLOWER_TIMES_RANKS / (ranks ? ranks : 1);
-  double explained = 1 + watch->expert_part * (skew - 1);
+  double times = SLOW_RATIO + SLOW_RATIO_RANKS / (ranks ? ranks : 1);
+  double explained = 1 + watch->expert_fraction * (skew - 1);
 
   if (explained < watch->accepted)
     explained = watch->accepted;
-  return watch->seen > SEEN_LEAST && watch->ratio > times * explained;
+  return watch->seen > PAUSES_MIN && watch->ratio > times * explained;
 }
--- a/controllers/prompt_gate.c
+++ b/controllers/prompt_gate.c
@@ -3,39 +3,39 @@
 #include "controllers/pass_model.h"
 
 /* Passes this much longer than usual are a shift's; prompts and copies add less. */
-#define JUMP_TIMES 1.25
+#define CLOSE_RATIO 1.25
 
 /* They are as usual again below this. */
-#define USUAL_TIMES 1.15
+#define OPEN_RATIO 1.15
 
 /* Shorter passes leave enough of the good pause for prompts, against that pause. */
-#define LONG_PART 0.6
+#define LONG_PASS_FRACTION 0.6
 
 /* A pause beyond this is no pass: the stream stood still for another reason. */
-#define PAUSE_MOST_MS 600
+#define PAUSE_MAX_MS 600
 
 /* By then the maps have followed; longer passes that stay are the usual ones from now on. */
-#define CLOSED_MOST_MS 450
+#define CLOSED_MAX_MS 450
 
 /* Part of the newest pass in the mean: some seconds of a few streams. */
-#define NEWEST_PART 0.03
+#define NEW_PAUSE_WEIGHT 0.03
 
 /* Of the aim: what is left is enough for a first event once passes are as usual. */
-#define KEPT_PART 0.4
+#define HOLD_FRACTION 0.4
 
 /* The same for a stream that broke before: when many routers or links were lost, all that were
  * under way come back at once, and those that come new would be late with them. */
-#define KEPT_RESUMED_PART 1.5
+#define HOLD_RESUMED_FRACTION 1.5
 
 /* Of the time for which a prompt may be kept: what the copy of one expert takes at most. A change
  * has several, after a look at the counts. */
-#define COPY_PART 0.25
+#define COPY_FRACTION 0.25
 
 /* Of the good pause: what the reading of prompts may take of each pass. */
-#define READING_PART 0.1
+#define READING_FRACTION 0.1
 
 /* Prompts that come by chance together go at once. */
-#define BURST_LEAST 2.0
+#define BURST_MIN 2.0
 
 #define MS_PER_S 1000.0
 
@@ -51,59 +51,59 @@
 
   if (prompt_ms <= 0 || !routers)
     return 0;
-  return READING_PART * pause_aim_ms / prompt_ms * ranks / routers;
+  return READING_FRACTION * pause_aim_ms / prompt_ms * ranks / routers;
 }
 
 bool
-ash_prompt_gate_maps_follow (const struct ash_engine_facts *engine, uint32_t aim_ms)
+ash_prompt_gate_maps_adapt_in_time (const struct ash_engine_facts *engine, uint32_t aim_ms)
 {
   double copy_ms = ash_pass_model_copy_ms (engine);
 
-  return copy_ms > 0 && copy_ms <= COPY_PART * KEPT_PART * aim_ms;
+  return copy_ms > 0 && copy_ms <= COPY_FRACTION * HOLD_FRACTION * aim_ms;
 }
 
 bool
-ash_prompt_gate_pause (struct ash_prompt_gate *gate,
-                       struct ash_time now,
-                       int64_t pause_ms,
-                       uint32_t pause_aim_ms)
+ash_prompt_gate_add_pause (struct ash_prompt_gate *gate,
+                           struct ash_time now,
+                           int64_t pause_ms,
+                           uint32_t pause_aim_ms)
 {
   double pause = (double) pause_ms;
 
-  if (pause_ms > PAUSE_MOST_MS || !pause_aim_ms)
+  if (pause_ms > PAUSE_MAX_MS || !pause_aim_ms)
     return false;
   if (gate->usual_ms <= 0)
     gate->usual_ms = pause;
   if (gate->closed)
     {
-      if (ash_time_diff (gate->closed_at, now) > CLOSED_MOST_MS)
+      if (ash_time_diff (gate->closed_at, now) > CLOSED_MAX_MS)
         gate->usual_ms = pause;
-      else if (pause > USUAL_TIMES * gate->usual_ms)
+      else if (pause > OPEN_RATIO * gate->usual_ms)
         return false;
       gate->closed = false;
       return true;
     }
-  if (pause > JUMP_TIMES * gate->usual_ms && pause > LONG_PART * pause_aim_ms)
+  if (pause > CLOSE_RATIO * gate->usual_ms && pause > LONG_PASS_FRACTION * pause_aim_ms)
     {
       gate->closed = true;
       gate->closed_at = now;
       return true;
     }
-  gate->usual_ms += NEWEST_PART * (pause - gate->usual_ms);
+  gate->usual_ms += NEW_PAUSE_WEIGHT * (pause - gate->usual_ms);
   return false;
 }
 
 static bool
 is_closed (const struct ash_prompt_gate *gate, struct ash_time now)
 {
-  return gate->closed && ash_time_diff (gate->closed_at, now) <= CLOSED_MOST_MS;
+  return gate->closed && ash_time_diff (gate->closed_at, now) <= CLOSED_MAX_MS;
 }
 
 /* Adds what has become allowed since this was last looked at. */
 static void
-allow (struct ash_prompt_gate *gate, double per_pass, struct ash_time now)
+refill (struct ash_prompt_gate *gate, double per_pass, struct ash_time now)
 {
-  double most = per_pass > BURST_LEAST ? per_pass : BURST_LEAST;
+  double most = per_pass > BURST_MIN ? per_pass : BURST_MIN;
 
   gate->allowed += per_pass * (double) ash_time_diff (gate->allowed_at, now) / gate->usual_ms;
   gate->allowed_at = now;
@@ -112,23 +112,23 @@
 }
 
 struct ash_time
-ash_prompt_gate_until (struct ash_prompt_gate *gate,
-                       const struct ash_prompt_terms *terms,
-                       struct ash_time came,
-                       struct ash_time now)
+ash_prompt_gate_send_time (struct ash_prompt_gate *gate,
+                           const struct ash_prompt_terms *terms,
+                           struct ash_time came,
+                           struct ash_time now)
 {
-  double kept_part = terms->resumed ? KEPT_RESUMED_PART : KEPT_PART;
-  struct ash_time most = ash_time_add (came, (int64_t) (kept_part * terms->aim_ms));
+  double hold_fraction = terms->resumed ? HOLD_RESUMED_FRACTION : HOLD_FRACTION;
+  struct ash_time most = ash_time_add (came, (int64_t) (hold_fraction * terms->aim_ms));
   double needed = terms->resumed ? 2 : 1; /* one is left to those that come new */
   struct ash_time until;
 
   if (!terms->pause_aim_ms || !ash_time_before (now, most))
     return now;
-  if (terms->maps_follow && is_closed (gate, now))
+  if (terms->maps_adapt_in_time && is_closed (gate, now))
     return most;
   if (terms->per_pass <= 0 || gate->usual_ms <= 0)
     return now;
-  allow (gate, terms->per_pass, now);
+  refill (gate, terms->per_pass, now);
   if (gate->allowed >= needed)
     return now;
   until = ash_time_add (
@@ -137,7 +137,7 @@
 }
 
 void
-ash_prompt_gate_sent (struct ash_prompt_gate *gate)
+ash_prompt_gate_record_sent (struct ash_prompt_gate *gate)
 {
   gate->allowed = gate->allowed > 1 ? gate->allowed - 1 : 0;
 }
--- a/controllers/prompt_gate.h
+++ b/controllers/prompt_gate.h
@@ -28,11 +28,11 @@
 /** What this router may send. */
 struct ash_prompt_terms
 {
-  double per_pass;       /**< prompts that may go each pass; 0: any number */
-  bool maps_follow;      /**< see ash_prompt_gate_maps_follow() */
-  uint32_t pause_aim_ms; /**< longest pause of a stream that is good; 0: none is kept back */
-  uint32_t aim_ms;       /**< in which a caller is to see the first event */
-  bool resumed;          /**< the stream broke before: its caller has paused too long already */
+  double per_pass;         /**< prompts that may go each pass; 0: any number */
+  bool maps_adapt_in_time; /**< see ash_prompt_gate_maps_adapt_in_time() */
+  uint32_t pause_aim_ms;   /**< longest pause of a stream that is good; 0: none is kept back */
+  uint32_t aim_ms;         /**< in which a caller is to see the first event */
+  bool resumed;            /**< the stream broke before: its caller has paused too long already */
 };
 
 /**
@@ -50,28 +50,28 @@
  * @return whether ranks copy experts so fast that a map has followed a shift before a prompt that
  * waits for it would be late: else it is not kept back for that.
  */
-bool ash_prompt_gate_maps_follow (const struct ash_engine_facts *engine, uint32_t aim_ms);
+bool ash_prompt_gate_maps_adapt_in_time (const struct ash_engine_facts *engine, uint32_t aim_ms);
 
 /**
  * A stream has paused so long between two events.
  * @param pause_aim_ms longest pause that is good.
  * @return whether the gate has just closed or opened.
  */
-bool ash_prompt_gate_pause (struct ash_prompt_gate *gate,
-                            struct ash_time now,
-                            int64_t pause_ms,
-                            uint32_t pause_aim_ms);
+bool ash_prompt_gate_add_pause (struct ash_prompt_gate *gate,
+                                struct ash_time now,
+                                int64_t pause_ms,
+                                uint32_t pause_aim_ms);
 
 /**
  * @param came when the request came.
  * @return when it may go: now, or when it is to be looked at again.
  */
-struct ash_time ash_prompt_gate_until (struct ash_prompt_gate *gate,
-                                       const struct ash_prompt_terms *terms,
-                                       struct ash_time came,
-                                       struct ash_time now);
+struct ash_time ash_prompt_gate_send_time (struct ash_prompt_gate *gate,
+                                           const struct ash_prompt_terms *terms,
+                                           struct ash_time came,
+                                           struct ash_time now);
 
 /** A prompt goes. */
-void ash_prompt_gate_sent (struct ash_prompt_gate *gate);
+void ash_prompt_gate_record_sent (struct ash_prompt_gate *gate);
 
 #endif
--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -92,7 +92,7 @@
                                  request.bytes + request.start, request.length, exchange->trusted);
   ash_buffer_finish (&request);
   if (exchange->forward.pause_aim_ms)
-    ash_prompt_gate_sent (&ash_router_service (router, exchange->forward.service)->gate);
+    ash_prompt_gate_record_sent (&ash_router_service (router, exchange->forward.service)->gate);
   ash_forward_sent (&exchange->forward, endpoint);
   exchange->sent = ash_clock_now ();
   exchange->heard = exchange->sent;
--- a/daemon/exchange_answer.c
+++ b/daemon/exchange_answer.c
@@ -70,7 +70,7 @@
   struct ash_router *router = exchange->router;
   struct ash_prompt_gate *gate = &ash_router_service (router, exchange->forward.service)->gate;
 
-  if (!ash_prompt_gate_pause (gate, exchange->heard, pause_ms, exchange->forward.pause_aim_ms))
+  if (!ash_prompt_gate_add_pause (gate, exchange->heard, pause_ms, exchange->forward.pause_aim_ms))
     return;
   router->room = router->room || !gate->closed;
   ash_log_event (&router->log, ASH_EV_PROMPTS_KEPT,
@@ -90,7 +90,7 @@
     return;
   note_pass (exchange, pause_ms);
   ash_direct_paused (exchange->endpoint, exchange->heard, pause_ms);
-  ash_groups_pause (&exchange->router->groups, exchange->endpoint->hash, pause_ms);
+  ash_map_manager_add_pause (&exchange->router->groups, exchange->endpoint->hash, pause_ms);
 }
 
 static void
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -230,7 +230,7 @@
   heartbeat->reads_platform =
       !router->stopping && ash_store_answers (&router->store, ASH_STORE_SERVERS);
   heartbeat->link_mbps = (uint32_t) router->settings.link_mbps;
-  heartbeat->changes_map = ash_groups_changes (&router->groups);
+  heartbeat->changes_map = ash_map_manager_is_changing (&router->groups);
   heartbeat->endpoints_revision = router->endpoints.revision;
   heartbeat->endpoints_digest = router->store.digest;
   if (peer && names_others (fleet, peer))
--- a/daemon/group.c
+++ b/daemon/group.c
@@ -80,7 +80,7 @@
   event.kind_case = ASH__EVENT__KIND_RANK_STATE;
   event.rank_state = (struct Ash__RankState *) (uintptr_t) state;
   if (strcmp (peer, group->daemon->settings->box) == 0)
-    ash_expert_change_take (&group->change, ash_clock_now (), state);
+    ash_expert_change_handle_state (&group->change, ash_clock_now (), state);
   else
     ash_daemon_send (group->daemon, &event);
 }
@@ -279,7 +279,7 @@
       return true;
     case ASH__EVENT__KIND_RANK_STATE:
       if (group->member && strcmp (event->rank_state->group, group->name) == 0)
-        ash_expert_change_take (&group->change, ash_clock_now (), event->rank_state);
+        ash_expert_change_handle_state (&group->change, ash_clock_now (), event->rank_state);
       return true;
     default:
       return false;
@@ -483,15 +483,15 @@
       if (strcmp (group->profile, profile->name) == 0)
         return;
       ash_profile_loads (profile, loads);
-      ash_expert_policy_expect (&group->policy, loads);
+      ash_expert_policy_set_forecast (&group->policy, loads);
       strcpy (group->profile, profile->name);
       ash_log_event (&group->log, ASH_EV_FORECAST, "group=%s event=\"%s\" profile=\"%s\"",
                      group->name, event->name, profile->name);
       return;
     }
   if (*group->profile)
-    ash_expert_policy_expect_no_more (&group->policy,
-                                      profile && strcmp (group->profile, profile->name) == 0);
+    ash_expert_policy_end_forecast (&group->policy,
+                                    profile && strcmp (group->profile, profile->name) == 0);
   *group->profile = '\0';
 }
 
--- a/daemon/groups.c
+++ b/daemon/map_manager.c
@@ -1,7 +1,7 @@
-#include "daemon/groups.h"
+#include "daemon/map_manager.h"
 
 #include "controllers/pass_model.h"
-#include "daemon/rank_group.h"
+#include "daemon/rank_client.h"
 #include "daemon/router.h"
 
 #include <inttypes.h>
@@ -12,7 +12,7 @@
 #define TICK_S 0.02
 
 /* Counts that have not come by then are done without. */
-#define COUNTS_WAIT_MS 150
+#define COUNTS_TIMEOUT_MS 150
 
 /* A router that has just come to lead waits: the one before may still be finishing, which takes
  * two passes or three. */
@@ -20,36 +20,36 @@
 
 /* From one look at the counts to the next after passes have become longer: one or two passes,
  * each with some tokens of every stream. */
-#define COUNTS_PAUSE_MS 100
+#define COUNTS_INTERVAL_MS 100
 
 /* From a decision to the next look because of long passes: two passes or three, so that the next
  * one has shown something. A look costs a router and two ranks two questions; a second without one
  * costs most of a second at a skew of about 3. */
-#define LOOK_AGAIN_MS 300
+#define SAMPLE_AGAIN_MS 300
 
 /* Within so many passes of an epoch all counts are of what is asked for now. */
 #define FIRST_PASSES 40
 
 /* Looks without any answer that are taken again at once, at other ranks. */
-#define LOOKS_LOST_MAX 3
+#define EMPTY_SAMPLES_MAX 3
 
 /* Several words within the time after which others take it that this router is stuck. */
-#define CHANGES_TOLD_MS 60
+#define CHANGING_RESEND_MS 60
 
 /* Part of a pass that experts take, from which a slow rank is worth a change: it costs orders to
  * all ranks, and a group with few streams is slow by the rank's own part. */
-#define SLOW_PART_LEAST 0.1
+#define SLOW_EXPERT_FRACTION_MIN 0.1
 
 /* How often a rank that is slow is asked whether it still is. */
 #define REPORT_SLOW_MS 400
 
 /* How often an endpoint that is in no group as yet is asked. */
-#define REPORT_ALONE_MS 1000
+#define REPORT_UNGROUPED_MS 1000
 
 /* ---- what others are told ---- */
 
 bool
-ash_groups_changes (const struct ash_groups *groups)
+ash_map_manager_is_changing (const struct ash_map_manager *groups)
 {
   for (const struct ash_rank_group *group = groups->groups; group; group = group->hh.next)
     if (group->sw.phase != ASH_MAP_IDLE)
@@ -60,15 +60,15 @@
 /* Those that would lead next hear of a change before its first order leaves, and then often, so
  * that they notice soon if this router stops in the midst of it. */
 static void
-tell_changes (struct ash_groups *groups, struct ash_time now)
+report_changing (struct ash_map_manager *groups, struct ash_time now)
 {
-  bool changes = ash_groups_changes (groups);
+  bool changes = ash_map_manager_is_changing (groups);
 
   if (changes == groups->changes &&
-      (!changes || ash_time_diff (groups->changes_told, now) < CHANGES_TOLD_MS))
+      (!changes || ash_time_diff (groups->changing_sent_at, now) < CHANGING_RESEND_MS))
     return;
   groups->changes = changes;
-  groups->changes_told = now;
+  groups->changing_sent_at = now;
   ash_fleet_tell_successors (&groups->router->fleet);
 }
 
@@ -115,7 +115,7 @@
 }
 
 static void
-decide_group (struct ash_rank_group *group, struct ash_groups *groups)
+decide_group (struct ash_rank_group *group, struct ash_map_manager *groups)
 {
   struct ash_router *router = groups->router;
   const struct ash_route_service *service = ash_rank_service (groups);
@@ -125,43 +125,43 @@
   uint32_t copy_ms[ASH_LAYER_RANKS_MAX] = { 0 };
   struct ash_time now = ash_clock_now ();
 
-  if (!group->undecided || !service || !ash_map_switch_ready (&group->sw, now) ||
-      !ash_rank_map_is_known (group))
+  if (!group->needs_decision || !service || !ash_map_switch_ready (&group->sw, now) ||
+      !ash_rank_group_map_is_known (group))
     return;
   ash_layer_map_copy (&group->next, &group->map);
   terms = (struct ash_change_terms){
     .copy_ms = ash_pass_model_copy_ms (&service->engine),
-    .expert_part = ash_pass_model_expert_part (&service->engine, mean_streams (group)),
-    .lasts_ms = ash_shift_times_lasts_ms (&groups->shifts, now),
+    .expert_fraction = ash_pass_model_expert_fraction (&service->engine, mean_streams (group)),
+    .remaining_ms = ash_shift_times_remaining_ms (&groups->shifts, now),
   };
   /* What slow ranks hold matters only where experts do. */
-  if (terms.expert_part >= SLOW_PART_LEAST)
+  if (terms.expert_fraction >= SLOW_EXPERT_FRACTION_MIN)
     terms.pace = pace;
   for (uint32_t rank = 0; rank < group->sw.rank_count; rank++)
     pace[rank] = group->boxes[rank] && group->boxes[rank]->pace > 1 ? group->boxes[rank]->pace : 1;
   ash_layer_policy_decide (groups->policy, &terms, &group->next, &decision);
-  group->undecided = decision.more;
+  group->needs_decision = decision.more;
   group->skew = decision.skew_before;
-  group->next_skew = decision.skew_after;
+  group->next_map_skew = decision.skew_after;
   ash_log_event (&router->log, ASH_EV_MAP_CHANGE,
                  "group=%s epoch=%" PRIu64 " moves=%u copies=%u more=%d skew=%.3f expected=%.3f "
                  "lasts_ms=%.0f counts=%" PRIu64
                  " age_ms=%lld pass_ms=%.1f ratio=%.2f step=%" PRIu64,
                  group->name, group->sw.epoch, decision.moves, decision.copies, decision.more,
-                 decision.skew_before, decision.skew_after, terms.lasts_ms, groups->policy->reports,
-                 (long long) ash_time_diff (groups->decided, now), group->sw.pass_ms,
-                 group->watch.ratio, group->sw.last_step);
+                 decision.skew_before, decision.skew_after, terms.remaining_ms,
+                 groups->policy->reports, (long long) ash_time_diff (groups->decided, now),
+                 group->sw.pass_ms, group->watch.ratio, group->sw.last_step);
   if (!decision.moves)
     return;
   expect_copies (group, &service->engine, copy_ms);
-  group->next.version = ash_map_switch_version (&group->sw, ash_random_next (&router->random));
+  group->next.version = ash_map_switch_new_version (&group->sw, ash_random_next (&router->random));
   ash_map_switch_begin (&group->sw, now, group->next.version, copy_ms);
-  tell_changes (groups, now);
-  ash_rank_send_orders (group, groups);
+  report_changing (groups, now);
+  ash_rank_group_send_orders (group, groups);
 }
 
 static void
-set_counts_state (struct ash_groups *groups, enum ash_counts_state state, struct ash_time now)
+set_counts_state (struct ash_map_manager *groups, enum ash_counts_state state, struct ash_time now)
 {
   groups->counts_state = state;
   groups->counts_since = now;
@@ -169,7 +169,7 @@
 
 /* Some ranks: their requests are a sample of all, and each number has a price. */
 static void
-ask_counts (struct ash_groups *groups)
+query_counts (struct ash_map_manager *groups)
 {
   uint32_t count = HASH_COUNT (groups->boxes);
   uint32_t samples = groups->router->settings.count_samples;
@@ -177,80 +177,81 @@
   uint32_t index = 0;
 
   groups->counts_awaited = 0;
-  groups->counts_taken = 0;
-  for (struct ash_rank_box *box = groups->boxes; box; box = box->hh.next, index++)
-    if (index % stride == groups->sample_first % stride)
+  groups->counts_used = 0;
+  for (struct ash_rank_endpoint *box = groups->boxes; box; box = box->hh.next, index++)
+    if (index % stride == groups->sample_offset % stride)
       {
-        ash_rank_ask (box, ASH_RANK_COUNTS);
+        ash_rank_query (box, ASH_RANK_COUNTS);
         groups->counts_awaited++;
       }
 }
 
 /* What is asked for from now on is counted. */
 static void
-begin_counting (struct ash_groups *groups, struct ash_time now)
+query_baseline (struct ash_map_manager *groups, struct ash_time now)
 {
-  ask_counts (groups);
-  groups->counts_from_look = true;
-  groups->look_began = now;
-  set_counts_state (groups, ASH_COUNTS_BEFORE, now);
+  query_counts (groups);
+  groups->counts_from_baseline = true;
+  groups->baseline_requested_at = now;
+  set_counts_state (groups, ASH_COUNTS_BASELINE, now);
 }
 
 /* The ranks were asked already: their answers are of all since the last look, or the start. */
 static void
-count_all_so_far (struct ash_groups *groups, struct ash_time now)
+use_counts_so_far (struct ash_map_manager *groups, struct ash_time now)
 {
-  groups->counts_from_look = false;
-  set_counts_state (groups, ASH_COUNTS_ASKED, now);
+  groups->counts_from_baseline = false;
+  set_counts_state (groups, ASH_COUNTS_FINAL, now);
 }
 
 static void
-decide (struct ash_groups *groups, struct ash_time now)
+decide (struct ash_map_manager *groups, struct ash_time now)
 {
   uint32_t wanted = groups->policy->layer_count * groups->policy->expert_count;
 
   /* All answers were lost. That was taken for a look that found no shift: with answers of 43 of 72
    * endpoints lost, a shift was seen 4.9 s late. */
-  if (!groups->counts_taken && groups->looks_lost < LOOKS_LOST_MAX)
+  if (!groups->counts_used && groups->empty_samples < EMPTY_SAMPLES_MAX)
     {
-      groups->looks_lost++;
-      groups->sample_first++;
-      begin_counting (groups, now);
+      groups->empty_samples++;
+      groups->sample_offset++;
+      query_baseline (groups, now);
       return;
     }
-  groups->looks_lost = 0;
-  set_counts_state (groups, ASH_COUNTS_RESTING, now);
+  groups->empty_samples = 0;
+  set_counts_state (groups, ASH_COUNTS_IDLE, now);
   groups->counts_awaited = 0;
   groups->decided = now;
   ash_layer_policy_report (groups->policy, groups->counts);
   /* In some layers alone, it may be a few counts' chance. */
   if (groups->policy->reports > 1 && groups->policy->shifts * 2 > groups->policy->layer_count)
-    ash_shift_times_note (&groups->shifts, now);
+    ash_shift_times_record (&groups->shifts, now);
   memset (groups->counts, 0, wanted * sizeof *groups->counts);
   for (struct ash_rank_group *group = groups->groups; group; group = group->hh.next)
     {
-      group->undecided = true;
+      group->needs_decision = true;
       if (groups->policy->shifts)
         ash_pass_watch_reset (&group->watch);
-      else if (groups->suspects)
-        ash_pass_watch_accept (&group->watch);
+      else if (groups->slow_passes)
+        ash_pass_watch_accept_ratio (&group->watch);
     }
-  groups->suspects = false;
+  groups->slow_passes = false;
 }
 
 /* A group that stands counts nothing: a look would take that for no demand at all. */
 static bool
-has_begun (const struct ash_groups *groups)
+is_running (const struct ash_map_manager *groups)
 {
   for (const struct ash_rank_group *group = groups->groups; group; group = group->hh.next)
-    if (group->sw.last_step && !ash_map_switch_held_elsewhere (&group->sw) && !group->sw.finishing)
+    if (group->sw.last_step && !ash_map_switch_has_foreign_hold (&group->sw) &&
+        !group->sw.finishing)
       return true;
   return false;
 }
 
 /* All that was counted so far is of the last seconds. */
 static bool
-is_young (const struct ash_groups *groups)
+is_newly_formed (const struct ash_map_manager *groups)
 {
   for (const struct ash_rank_group *group = groups->groups; group; group = group->hh.next)
     if (group->sw.last_step > FIRST_PASSES)
@@ -259,25 +260,25 @@
 }
 
 static bool
-is_slower (const struct ash_groups *groups)
+passes_are_slow (const struct ash_map_manager *groups)
 {
   for (const struct ash_rank_group *group = groups->groups; group; group = group->hh.next)
-    if (ash_pass_watch_slower (&group->watch, HASH_COUNT (groups->boxes), group->skew))
+    if (ash_pass_watch_is_slow (&group->watch, HASH_COUNT (groups->boxes), group->skew))
       return true;
   return false;
 }
 
 /* Passes are long: demand has shifted, or a rank has turned slow. */
 static void
-ask_reports (struct ash_groups *groups, struct ash_time now)
+query_reports (struct ash_map_manager *groups, struct ash_time now)
 {
-  for (struct ash_rank_box *box = groups->boxes; box; box = box->hh.next)
+  for (struct ash_rank_endpoint *box = groups->boxes; box; box = box->hh.next)
     if (ash_time_diff (box->asked[ASH_RANK_REPORT], now) >= REPORT_SLOW_MS)
-      ash_rank_ask (box, ASH_RANK_REPORT);
+      ash_rank_query (box, ASH_RANK_REPORT);
 }
 
 static bool
-open_policy (struct ash_groups *groups)
+ensure_policy (struct ash_map_manager *groups)
 {
   const struct ash_route_service *service = ash_rank_service (groups);
   const struct ash_router_settings *settings = &groups->router->settings;
@@ -289,8 +290,8 @@
     return false;
   weights = (struct ash_layer_weights){
     .decay = settings->map_decay,
-    .alike = settings->map_alike,
-    .least_gain = settings->map_least_gain,
+    .similarity_min = settings->map_alike,
+    .min_gain = settings->map_least_gain,
     .layer_moves = settings->map_layer_moves < service->engine.rank_changes
                        ? settings->map_layer_moves
                        : service->engine.rank_changes,
@@ -307,53 +308,53 @@
 
 /* Whether to look at the counts now, and from which moment on to count. */
 static void
-begin_look (struct ash_groups *groups, struct ash_time now)
+begin_sample (struct ash_map_manager *groups, struct ash_time now)
 {
   int64_t since_ms = ash_time_diff (groups->decided, now);
 
   if (!groups->policy->reports)
     {
-      begin_counting (groups, now);
-      if (is_young (groups))
-        count_all_so_far (groups, now);
+      query_baseline (groups, now);
+      if (is_newly_formed (groups))
+        use_counts_so_far (groups, now);
     }
-  else if (since_ms > LOOK_AGAIN_MS && is_slower (groups))
+  else if (since_ms > SAMPLE_AGAIN_MS && passes_are_slow (groups))
     {
-      groups->suspects = true;
-      ask_reports (groups, now);
-      begin_counting (groups, now);
+      groups->slow_passes = true;
+      query_reports (groups, now);
+      query_baseline (groups, now);
     }
   else if (since_ms > groups->router->settings.map_period_ms)
     {
-      ask_counts (groups);
-      count_all_so_far (groups, now);
+      query_counts (groups);
+      use_counts_so_far (groups, now);
     }
 }
 
 static void
-run_policy (struct ash_groups *groups, struct ash_time now)
+run_policy (struct ash_map_manager *groups, struct ash_time now)
 {
   int64_t since_ms = ash_time_diff (groups->counts_since, now);
-  bool here = !groups->counts_awaited || since_ms > COUNTS_WAIT_MS;
+  bool here = !groups->counts_awaited || since_ms > COUNTS_TIMEOUT_MS;
 
-  if (!groups->boxes || !has_begun (groups) || !open_policy (groups))
+  if (!groups->boxes || !is_running (groups) || !ensure_policy (groups))
     return;
   switch (groups->counts_state)
     {
-    case ASH_COUNTS_RESTING:
-      begin_look (groups, now);
+    case ASH_COUNTS_IDLE:
+      begin_sample (groups, now);
       break;
-    case ASH_COUNTS_BEFORE:
+    case ASH_COUNTS_BASELINE:
       if (here)
-        set_counts_state (groups, ASH_COUNTS_PAUSE, now);
+        set_counts_state (groups, ASH_COUNTS_INTERVAL, now);
       break;
-    case ASH_COUNTS_PAUSE:
-      if (since_ms < COUNTS_PAUSE_MS)
+    case ASH_COUNTS_INTERVAL:
+      if (since_ms < COUNTS_INTERVAL_MS)
         break;
-      ask_counts (groups);
-      set_counts_state (groups, ASH_COUNTS_ASKED, now);
+      query_counts (groups);
+      set_counts_state (groups, ASH_COUNTS_FINAL, now);
       break;
-    case ASH_COUNTS_ASKED:
+    case ASH_COUNTS_FINAL:
       if (here)
         decide (groups, now);
       break;
@@ -363,17 +364,17 @@
 }
 
 void
-ash_groups_pause (struct ash_groups *groups, uint64_t endpoint_hash, int64_t pause_ms)
+ash_map_manager_add_pause (struct ash_map_manager *groups, uint64_t endpoint_hash, int64_t pause_ms)
 {
   const struct ash_route_service *service = ash_rank_service (groups);
-  struct ash_rank_box *box;
+  struct ash_rank_endpoint *box;
 
   HASH_FIND (hh, groups->boxes, &endpoint_hash, sizeof endpoint_hash, box);
   if (box && box->group && service)
     {
-      ash_pass_watch_pause (&box->group->watch, &service->engine, mean_streams (box->group),
-                            pause_ms);
-      ash_map_switch_pass (&box->group->sw, box->group->watch.pass_ms);
+      ash_pass_watch_add_pause (&box->group->watch, &service->engine, mean_streams (box->group),
+                                pause_ms);
+      ash_map_switch_set_pass_ms (&box->group->sw, box->group->watch.pass_ms);
     }
 }
 
@@ -381,47 +382,47 @@
 
 /* Of the map in use, to draw the next one; or to finish what another router holds. */
 static bool
-wants_lists (const struct ash_rank_group *group,
-             const struct ash_rank_box *box,
+needs_lists (const struct ash_rank_group *group,
+             const struct ash_rank_endpoint *box,
              struct ash_time now)
 {
   bool map_needed =
-      ash_map_switch_ready (&group->sw, now) || ash_map_switch_wants_fence (&group->sw);
+      ash_map_switch_ready (&group->sw, now) || ash_map_switch_needs_fence (&group->sw);
 
-  if (ash_map_switch_wants_lists (&group->sw, box->rank))
+  if (ash_map_switch_needs_lists (&group->sw, box->rank))
     return true;
-  return map_needed && !ash_rank_map_is_known (group) && !group->listed[box->rank];
+  return map_needed && !ash_rank_group_map_is_known (group) && !group->listed[box->rank];
 }
 
 static void
-watch_box (struct ash_rank_box *box, struct ash_time now)
+watch_endpoint (struct ash_rank_endpoint *box, struct ash_time now)
 {
   struct ash_rank_group *group = box->group;
   int64_t asked_ms = ash_time_diff (box->asked[ASH_RANK_REPORT], now);
 
-  ash_rank_sweep (box, now);
+  ash_rank_expire_calls (box, now);
   if (!group)
     {
-      if (asked_ms >= REPORT_ALONE_MS)
-        ash_rank_ask (box, ASH_RANK_REPORT);
+      if (asked_ms >= REPORT_UNGROUPED_MS)
+        ash_rank_query (box, ASH_RANK_REPORT);
       return;
     }
-  if ((asked_ms >= 100 && ash_map_switch_wants_report (&group->sw, now, box->rank)) ||
+  if ((asked_ms >= 100 && ash_map_switch_needs_report (&group->sw, now, box->rank)) ||
       (asked_ms >= REPORT_SLOW_MS && box->pace > 1))
-    ash_rank_ask (box, ASH_RANK_REPORT);
-  if (wants_lists (group, box, now) &&
-      ash_time_diff (box->asked[ASH_RANK_LISTS], now) >= ASH_RANK_CALL_MS)
-    ash_rank_ask (box, ASH_RANK_LISTS);
+    ash_rank_query (box, ASH_RANK_REPORT);
+  if (needs_lists (group, box, now) &&
+      ash_time_diff (box->asked[ASH_RANK_LISTS], now) >= ASH_RANK_CALL_TIMEOUT_MS)
+    ash_rank_query (box, ASH_RANK_LISTS);
   /* A part of a map that is not the one in use any more. */
   if (group->listed[box->rank] &&
-      (group->sw.phase == ASH_MAP_IDLE || ash_map_switch_wants_fence (&group->sw)) &&
+      (group->sw.phase == ASH_MAP_IDLE || ash_map_switch_needs_fence (&group->sw)) &&
       group->sw.ranks[box->rank].report.map != group->map.version &&
-      ash_time_diff (box->asked[ASH_RANK_LISTS], now) >= ASH_RANK_CALL_MS)
+      ash_time_diff (box->asked[ASH_RANK_LISTS], now) >= ASH_RANK_CALL_TIMEOUT_MS)
     group->listed[box->rank] = false;
 }
 
 static void
-add_boxes (struct ash_groups *groups)
+add_endpoints (struct ash_map_manager *groups)
 {
   const struct ash_route_service *service = ash_rank_service (groups);
   struct ash_router *router = groups->router;
@@ -431,7 +432,7 @@
   for (struct ash_direct_endpoint *endpoint = router->endpoints.endpoints; endpoint;
        endpoint = endpoint->hh.next)
     {
-      struct ash_rank_box *box;
+      struct ash_rank_endpoint *box;
 
       if (endpoint->presence == ASH_DIRECT_GONE ||
           strcmp (endpoint->facts.service, service->name) != 0)
@@ -453,42 +454,42 @@
 }
 
 void
-ash_groups_forget (struct ash_groups *groups, uint64_t endpoint_hash)
+ash_map_manager_remove_endpoint (struct ash_map_manager *groups, uint64_t endpoint_hash)
 {
-  struct ash_rank_box *box;
+  struct ash_rank_endpoint *box;
 
   HASH_FIND (hh, groups->boxes, &endpoint_hash, sizeof endpoint_hash, box);
   if (box)
-    ash_rank_free (groups, box);
+    ash_rank_endpoint_free (groups, box);
 }
 
 /* ---- leading ---- */
 
 static void
-forget_all (struct ash_groups *groups)
+free_all (struct ash_map_manager *groups)
 {
-  struct ash_rank_box *box;
-  struct ash_rank_box *next_box;
+  struct ash_rank_endpoint *box;
+  struct ash_rank_endpoint *next_box;
   struct ash_rank_group *group;
   struct ash_rank_group *next_group;
 
   HASH_ITER (hh, groups->boxes, box, next_box)
-    ash_rank_free (groups, box);
+    ash_rank_endpoint_free (groups, box);
   HASH_ITER (hh, groups->groups, group, next_group)
     ash_rank_group_free (groups, group);
   free (groups->policy);
   free (groups->counts);
   groups->policy = NULL;
   groups->counts = NULL;
-  groups->counts_state = ASH_COUNTS_RESTING;
+  groups->counts_state = ASH_COUNTS_IDLE;
   groups->counts_awaited = 0;
-  groups->suspects = false;
+  groups->slow_passes = false;
   groups->beyond_bounds_logged = false;
   groups->shifts = (struct ash_shift_times){ 0 };
 }
 
 bool
-ash_groups_holds (const struct ash_groups *groups)
+ash_map_manager_holds_step (const struct ash_map_manager *groups)
 {
   for (const struct ash_rank_group *group = groups->groups; group; group = group->hh.next)
     if (group->sw.phase >= ASH_MAP_HOLD)
@@ -497,12 +498,12 @@
 }
 
 static void
-set_leads (struct ash_groups *groups, bool leads, struct ash_time now)
+update_leadership (struct ash_map_manager *groups, bool leads, struct ash_time now)
 {
   if (leads == groups->leads)
     return;
   /* A group that stands still because of this router is let go first. */
-  if (!leads && ash_groups_holds (groups))
+  if (!leads && ash_map_manager_holds_step (groups))
     return;
   groups->leads = leads;
   groups->leads_since = now;
@@ -510,36 +511,36 @@
                  ash_fleet_size (&groups->router->fleet),
                  ash_fleet_linked (&groups->router->fleet));
   if (!leads)
-    forget_all (groups);
+    free_all (groups);
 }
 
 static void
 on_tick (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  struct ash_groups *groups = timer->data;
+  struct ash_map_manager *groups = timer->data;
   struct ash_time now = ash_clock_now ();
-  struct ash_rank_box *box;
-  struct ash_rank_box *next_box;
+  struct ash_rank_endpoint *box;
+  struct ash_rank_endpoint *next_box;
   struct ash_rank_group *group;
   struct ash_rank_group *next_group;
 
   (void) loop;
   (void) events;
-  set_leads (groups, ash_fleet_leads (&groups->router->fleet), now);
-  tell_changes (groups, now);
+  update_leadership (groups, ash_fleet_leads (&groups->router->fleet), now);
+  report_changing (groups, now);
   if (!groups->leads)
     return;
-  add_boxes (groups);
+  add_endpoints (groups);
   HASH_ITER (hh, groups->boxes, box, next_box)
-    watch_box (box, now);
+    watch_endpoint (box, now);
   HASH_ITER (hh, groups->groups, group, next_group)
-    ash_rank_send_orders (group, groups);
+    ash_rank_group_send_orders (group, groups);
   if (ash_time_diff (groups->leads_since, now) > LEAD_WAIT_MS && !groups->router->stopping)
     run_policy (groups, now);
 }
 
 void
-ash_groups_open (struct ash_groups *groups, struct ash_router *router)
+ash_map_manager_open (struct ash_map_manager *groups, struct ash_router *router)
 {
   groups->router = router;
   ev_timer_init (&groups->timer, on_tick, TICK_S, TICK_S);
@@ -548,17 +549,17 @@
 }
 
 void
-ash_groups_close (struct ash_groups *groups)
+ash_map_manager_close (struct ash_map_manager *groups)
 {
   if (!groups->router)
     return;
   ev_timer_stop (groups->router->loop, &groups->timer);
-  forget_all (groups);
+  free_all (groups);
 }
 
 void
-ash_groups_woke (struct ash_groups *groups)
+ash_map_manager_resumed (struct ash_map_manager *groups)
 {
   groups->leads = false;
-  forget_all (groups);
+  free_all (groups);
 }
--- a/daemon/rank_group.c
+++ b/daemon/rank_client.c
@@ -1,4 +1,4 @@
-#include "daemon/rank_group.h"
+#include "daemon/rank_client.h"
 
 #include "daemon/router.h"
 
@@ -9,7 +9,7 @@
 
 /* The engine's facts of the one service that has experts; NULL if there is none. */
 const struct ash_route_service *
-ash_rank_service (const struct ash_groups *groups)
+ash_rank_service (const struct ash_map_manager *groups)
 {
   const struct ash_route_table *table = groups->router->table;
 
@@ -22,19 +22,19 @@
 /* ---- maps as they are in use ---- */
 
 static void
-forget_map (struct ash_rank_group *group)
+invalidate_map (struct ash_rank_group *group)
 {
   memset (group->listed, 0, sizeof group->listed);
 }
 
 /* All ranks have told their part, and it is of the map that they use. */
 bool
-ash_rank_map_is_known (const struct ash_rank_group *group)
+ash_rank_group_map_is_known (const struct ash_rank_group *group)
 {
   for (uint32_t i = 0; i < group->sw.rank_count; i++)
     if (!group->listed[i] || group->sw.ranks[i].report.map != group->map.version)
       return false;
-  return group->lists_epoch == group->sw.epoch;
+  return group->listed_epoch == group->sw.epoch;
 }
 
 bool
@@ -49,9 +49,9 @@
 /* A group beyond what is kept here stays on the map it has. Told once a while of leading: each of
  * its ranks reports again and again. */
 static void
-note_beyond_bounds (struct ash_groups *groups,
-                    const struct ash_engine_facts *engine,
-                    const struct ash_rank_report *report)
+record_beyond_bounds (struct ash_map_manager *groups,
+                      const struct ash_engine_facts *engine,
+                      const struct ash_rank_report *report)
 {
   groups->beyond_bounds++;
   if (groups->beyond_bounds_logged)
@@ -66,7 +66,7 @@
 }
 
 static struct ash_rank_group *
-new_group (struct ash_groups *groups,
+new_group (struct ash_map_manager *groups,
            const struct ash_route_service *service,
            const struct ash_rank_report *report)
 {
@@ -84,7 +84,7 @@
 }
 
 static struct ash_rank_group *
-find_group (struct ash_groups *groups, const struct ash_rank_report *report)
+find_group (struct ash_map_manager *groups, const struct ash_rank_report *report)
 {
   const struct ash_route_service *service = ash_rank_service (groups);
   struct ash_rank_group *group;
@@ -94,14 +94,14 @@
     return group;
   if (!ash_rank_engine_fits (&service->engine) || report->rank_count > ASH_LAYER_RANKS_MAX)
     {
-      note_beyond_bounds (groups, &service->engine, report);
+      record_beyond_bounds (groups, &service->engine, report);
       return NULL;
     }
   return new_group (groups, service, report);
 }
 
 static void
-log_result (struct ash_rank_group *group, struct ash_groups *groups, struct ash_time now)
+log_result (struct ash_rank_group *group, struct ash_map_manager *groups, struct ash_time now)
 {
   struct ash_map_switch *sw = &group->sw;
   bool good = sw->result == ASH_MAP_CHANGED || sw->result == ASH_MAP_FINISHED;
@@ -113,7 +113,7 @@
 }
 
 static void
-take_result (struct ash_rank_group *group, struct ash_groups *groups, struct ash_time now)
+handle_result (struct ash_rank_group *group, struct ash_map_manager *groups, struct ash_time now)
 {
   struct ash_map_switch *sw = &group->sw;
 
@@ -123,15 +123,15 @@
   if (sw->result == ASH_MAP_CHANGED)
     {
       ash_layer_map_copy (&group->map, &group->next);
-      group->skew = group->next_skew;
+      group->skew = group->next_map_skew;
       /* What the ranks report will lag behind; this router knows better. */
       for (uint32_t i = 0; i < sw->rank_count; i++)
-        ash_map_switch_uses (sw, i, sw->epoch, group->map.version);
+        ash_map_switch_set_active (sw, i, sw->epoch, group->map.version);
       ash_pass_watch_reset (&group->watch);
     }
   else
     {
-      forget_map (group);
+      invalidate_map (group);
       for (uint32_t i = 0; i < sw->rank_count; i++)
         sw->ranks[i].known = false;
     }
@@ -141,7 +141,7 @@
 /* Callers' requests spare an endpoint that is slow, here and at the peers. @return whether it has
  * turned slow, or is as usual again. */
 static bool
-note_pace (struct ash_rank_box *box, struct ash_time now, double pace)
+update_pace (struct ash_rank_endpoint *box, struct ash_time now, double pace)
 {
   struct ash_router *router = box->groups->router;
   struct ash_direct_endpoint *endpoint = ash_direct_find_hash (&router->endpoints, box->hash);
@@ -162,17 +162,17 @@
 }
 
 static void
-take_report (struct ash_rank_box *box, const struct ash_rank_report *report)
+handle_report (struct ash_rank_endpoint *box, const struct ash_rank_report *report)
 {
-  struct ash_groups *groups = box->groups;
+  struct ash_map_manager *groups = box->groups;
   struct ash_time now = ash_clock_now ();
   struct ash_rank_group *group = *report->group ? find_group (groups, report) : NULL;
   uint64_t epoch;
 
   if (!group || report->rank >= group->sw.rank_count)
     return;
-  if (note_pace (box, now, report->pace) && groups->policy && groups->policy->reports)
-    group->undecided = true;
+  if (update_pace (box, now, report->pace) && groups->policy && groups->policy->reports)
+    group->needs_decision = true;
   if (box->group && box->group != group)
     box->group->boxes[box->rank] = NULL;
   box->group = group;
@@ -185,43 +185,43 @@
       ash_log_event (&groups->router->log, ASH_EV_MAP_EPOCH,
                      "group=%s epoch=%" PRIu64 " before=%" PRIu64 " broken=%d", group->name,
                      group->sw.epoch, epoch, report->broken);
-      forget_map (group);
+      invalidate_map (group);
     }
-  take_result (group, groups, now);
+  handle_result (group, groups, now);
 }
 
 /* Whether a box's new counts are of the time that the look is about. Without its answer to the
  * look's first question they are of all its life. */
 static bool
-are_of_look (const struct ash_rank_box *box, bool goes_on)
+is_in_sample (const struct ash_rank_endpoint *box, bool is_continuous)
 {
-  const struct ash_groups *groups = box->groups;
+  const struct ash_map_manager *groups = box->groups;
 
-  if (groups->counts_state != ASH_COUNTS_ASKED)
+  if (groups->counts_state != ASH_COUNTS_FINAL)
     return false;
-  if (!groups->counts_from_look)
-    return goes_on || !groups->policy->reports;
-  return goes_on && !ash_time_before (box->counts_read, groups->look_began);
+  if (!groups->counts_from_baseline)
+    return is_continuous || !groups->policy->reports;
+  return is_continuous && !ash_time_before (box->counts_read, groups->baseline_requested_at);
 }
 
 /* Adds what is new since the box was last asked. */
 static void
-add_counts (struct ash_rank_box *box, const struct ash_rank_counts *counts)
+add_counts (struct ash_rank_endpoint *box, const struct ash_rank_counts *counts)
 {
-  struct ash_groups *groups = box->groups;
-  bool goes_on = box->has_counts && box->counts_epoch == counts->epoch;
-  bool counts_here = are_of_look (box, goes_on);
+  struct ash_map_manager *groups = box->groups;
+  bool is_continuous = box->has_counts && box->counts_epoch == counts->epoch;
+  bool is_used = is_in_sample (box, is_continuous);
 
   if (!box->counts)
     box->counts = calloc (counts->count, sizeof *box->counts);
   if (!box->counts)
     return;
-  groups->counts_taken += counts_here;
+  groups->counts_used += is_used;
   for (uint32_t i = 0; i < counts->count; i++)
     {
-      uint64_t before = goes_on && box->counts[i] <= counts->numbers[i] ? box->counts[i] : 0;
+      uint64_t before = is_continuous && box->counts[i] <= counts->numbers[i] ? box->counts[i] : 0;
 
-      if (counts_here)
+      if (is_used)
         groups->counts[i] += (double) (counts->numbers[i] - before);
       box->counts[i] = counts->numbers[i];
     }
@@ -231,9 +231,9 @@
 }
 
 static void
-take_counts (struct ash_rank_box *box, const struct ash_rank_call *call)
+handle_counts (struct ash_rank_endpoint *box, const struct ash_rank_call *call)
 {
-  struct ash_groups *groups = box->groups;
+  struct ash_map_manager *groups = box->groups;
   struct ash_layer_policy *policy = groups->policy;
   uint32_t wanted = policy ? policy->layer_count * policy->expert_count : 0;
   struct ash_rank_counts counts = { .numbers = calloc (wanted + 1, sizeof *counts.numbers) };
@@ -247,14 +247,14 @@
   if (wanted && counts.count == wanted)
     {
       if (box->group && box->group->sw.epoch == counts.epoch)
-        ash_map_switch_step (&box->group->sw, ash_clock_now (), counts.step);
+        ash_map_switch_sample_step (&box->group->sw, ash_clock_now (), counts.step);
       add_counts (box, &counts);
     }
   free (counts.numbers);
 }
 
 static void
-take_lists (struct ash_rank_box *box, const struct ash_rank_call *call)
+handle_lists (struct ash_rank_endpoint *box, const struct ash_rank_call *call)
 {
   struct ash_rank_group *group = box->group;
   struct ash_rank_lists lists;
@@ -269,23 +269,23 @@
       ash_log_event (&box->groups->router->log, ASH_EV_MAP_GIVEN_UP,
                      "group=%s rank=%u why=\"unreadable lists\" bytes=%zu", group->name, box->rank,
                      call->answer.length);
-      forget_map (group);
+      invalidate_map (group);
       return;
     }
   /* Parts of two maps do not make one. */
-  if (version != group->map.version || lists.epoch != group->lists_epoch)
-    forget_map (group);
-  group->lists_epoch = lists.epoch;
+  if (version != group->map.version || lists.epoch != group->listed_epoch)
+    invalidate_map (group);
+  group->listed_epoch = lists.epoch;
   group->listed[box->rank] = true;
   /* Lists do not lag as reports do. */
-  ash_map_switch_uses (&group->sw, box->rank, lists.epoch, group->map.version);
-  ash_map_switch_prepared (&group->sw, box->rank, lists.epoch, lists.prepared, call->sent);
+  ash_map_switch_set_active (&group->sw, box->rank, lists.epoch, group->map.version);
+  ash_map_switch_set_prepared (&group->sw, box->rank, lists.epoch, lists.prepared, call->sent);
 }
 
 static void
-take_answer (struct ash_rank_call *call)
+handle_answer (struct ash_rank_call *call)
 {
-  struct ash_rank_box *box = call->box;
+  struct ash_rank_endpoint *box = call->box;
   struct ash_rank_report report;
 
   switch (call->question)
@@ -293,13 +293,13 @@
     case ASH_RANK_REPORT:
       if (ash_platform_report_read ((const char *) call->answer.bytes + call->answer.start,
                                     call->answer.length, &report))
-        take_report (box, &report);
+        handle_report (box, &report);
       break;
     case ASH_RANK_COUNTS:
-      take_counts (box, call);
+      handle_counts (box, call);
       break;
     case ASH_RANK_LISTS:
-      take_lists (box, call);
+      handle_lists (box, call);
       break;
     }
 }
@@ -314,9 +314,9 @@
 }
 
 static void
-answer_order (struct ash_rank_call *call, uint16_t status)
+finish_order (struct ash_rank_call *call, uint16_t status)
 {
-  struct ash_rank_box *box = call->box;
+  struct ash_rank_endpoint *box = call->box;
   struct ash_time now = ash_clock_now ();
 
   if (!box->group)
@@ -326,8 +326,8 @@
                    "group=%s rank=%u order=%d version=%" PRIu64 " step=%" PRIu64 " status=%u",
                    box->group->name, box->rank, (int) call->order.kind, call->order.version,
                    call->order.step, status);
-  ash_map_switch_answered (&box->group->sw, now, &call->order, status);
-  take_result (box->group, box->groups, now);
+  ash_map_switch_handle_answer (&box->group->sw, now, &call->order, status);
+  handle_result (box->group, box->groups, now);
 }
 
 static bool
@@ -351,17 +351,17 @@
 on_end (struct ash_http_call *http_call, enum ash_call_end end)
 {
   struct ash_rank_call *call = http_call->owner;
-  struct ash_rank_box *box = call->box;
+  struct ash_rank_endpoint *box = call->box;
   uint16_t status = end == ASH_CALL_COMPLETE ? call->status : 0;
 
   if (call->is_order)
-    answer_order (call, status);
+    finish_order (call, status);
   else if (status == 200)
-    take_answer (call);
+    handle_answer (call);
   free_call (call);
   /* The next orders of a change leave at once: the group may be held. */
   if (box->group)
-    ash_rank_send_orders (box->group, box->groups);
+    ash_rank_group_send_orders (box->group, box->groups);
 }
 
 static const struct ash_call_handler call_handler = { on_head, on_body, on_end };
@@ -369,7 +369,7 @@
 /* ---- what goes out ---- */
 
 static struct ash_rank_call *
-start_call (struct ash_rank_box *box, const struct ash_buffer *request)
+start_call (struct ash_rank_endpoint *box, const struct ash_buffer *request)
 {
   struct ash_rank_call *call = calloc (1, sizeof *call);
 
@@ -389,7 +389,7 @@
 }
 
 void
-ash_rank_ask (struct ash_rank_box *box, enum ash_rank_query_type question)
+ash_rank_query (struct ash_rank_endpoint *box, enum ash_rank_query_type question)
 {
   struct ash_buffer request = { 0 };
   struct ash_rank_call *call;
@@ -404,15 +404,16 @@
 
 /* An order's text: written once for all ranks, as that of a map is long. */
 static const struct ash_buffer *
-order_text (struct ash_rank_group *group, const struct ash_rank_order *order)
+order_body (struct ash_rank_group *group, const struct ash_rank_order *order)
 {
-  const struct ash_rank_order *said = &group->said;
+  const struct ash_rank_order *encoded_order = &group->encoded_order;
 
-  if (group->text.length && said->kind == order->kind && said->epoch == order->epoch &&
-      said->version == order->version && said->step == order->step)
+  if (group->text.length && encoded_order->kind == order->kind &&
+      encoded_order->epoch == order->epoch && encoded_order->version == order->version &&
+      encoded_order->step == order->step)
     return &group->text;
   ash_buffer_consume (&group->text, group->text.length);
-  group->said = *order;
+  group->encoded_order = *order;
   if (!ash_platform_order_body (&group->text, order,
                                 order->kind == ASH_RANK_PREPARE ? &group->next : NULL))
     ash_buffer_consume (&group->text, group->text.length);
@@ -421,17 +422,17 @@
 
 static void
 send_order (struct ash_rank_group *group,
-            struct ash_groups *groups,
+            struct ash_map_manager *groups,
             const struct ash_rank_order *order)
 {
-  struct ash_rank_box *box = group->boxes[order->rank];
+  struct ash_rank_endpoint *box = group->boxes[order->rank];
   struct ash_buffer request = { 0 };
   struct ash_rank_call *call;
 
   if (!box)
     return;
   groups->orders++;
-  ash_platform_rank_order (&request, box->address, order_text (group, order));
+  ash_platform_rank_order (&request, box->address, order_body (group, order));
   call = start_call (box, &request);
   if (call)
     {
@@ -443,47 +444,47 @@
 
 /* A change that goes back has its ranks prepare the map in use under a newer version. */
 static void
-draw_fence (struct ash_rank_group *group, struct ash_groups *groups)
+set_fence (struct ash_rank_group *group, struct ash_map_manager *groups)
 {
-  if (!ash_map_switch_wants_fence (&group->sw) || !ash_rank_map_is_known (group))
+  if (!ash_map_switch_needs_fence (&group->sw) || !ash_rank_group_map_is_known (group))
     return;
   ash_layer_map_copy (&group->next, &group->map);
   group->next.version =
-      ash_map_switch_version (&group->sw, ash_random_next (&groups->router->random));
-  ash_map_switch_fence (&group->sw, group->next.version);
+      ash_map_switch_new_version (&group->sw, ash_random_next (&groups->router->random));
+  ash_map_switch_set_fence (&group->sw, group->next.version);
 }
 
 void
-ash_rank_send_orders (struct ash_rank_group *group, struct ash_groups *groups)
+ash_rank_group_send_orders (struct ash_rank_group *group, struct ash_map_manager *groups)
 {
   struct ash_rank_order orders[ASH_LAYER_RANKS_MAX];
   struct ash_time now = ash_clock_now ();
   uint32_t count;
 
-  draw_fence (group, groups);
+  set_fence (group, groups);
   count = ash_map_switch_orders (&group->sw, now, orders);
-  take_result (group, groups, now);
+  handle_result (group, groups, now);
   for (uint32_t i = 0; i < count; i++)
     send_order (group, groups, &orders[i]);
 }
 
 void
-ash_rank_sweep (struct ash_rank_box *box, struct ash_time now)
+ash_rank_expire_calls (struct ash_rank_endpoint *box, struct ash_time now)
 {
   struct ash_rank_call *call;
   struct ash_rank_call *next;
 
   DL_FOREACH_SAFE (box->calls, call, next)
-    if (ash_time_diff (call->sent, now) > ASH_RANK_CALL_MS)
+    if (ash_time_diff (call->sent, now) > ASH_RANK_CALL_TIMEOUT_MS)
       {
         if (call->is_order)
-          answer_order (call, 0);
+          finish_order (call, 0);
         free_call (call);
       }
 }
 
 void
-ash_rank_group_free (struct ash_groups *groups, struct ash_rank_group *group)
+ash_rank_group_free (struct ash_map_manager *groups, struct ash_rank_group *group)
 {
   HASH_DEL (groups->groups, group);
   ash_buffer_finish (&group->text);
@@ -491,7 +492,7 @@
 }
 
 void
-ash_rank_free (struct ash_groups *groups, struct ash_rank_box *box)
+ash_rank_endpoint_free (struct ash_map_manager *groups, struct ash_rank_endpoint *box)
 {
   while (box->calls)
     free_call (box->calls);
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -107,7 +107,7 @@
   return (struct ash_prompt_terms){
     .per_pass = ash_prompt_gate_per_pass (&service->engine, route->pause_aim_ms, ranks,
                                           ash_fleet_size (&router->fleet)),
-    .maps_follow = ash_prompt_gate_maps_follow (&service->engine, route->aim_ms),
+    .maps_adapt_in_time = ash_prompt_gate_maps_adapt_in_time (&service->engine, route->aim_ms),
     .pause_aim_ms = route->pause_aim_ms,
     .aim_ms = route->aim_ms,
     .resumed = exchange->facts.last_event_id != NULL,
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -104,7 +104,7 @@
 {
   struct ash_router *router = data;
 
-  ash_groups_forget (&router->groups, endpoint->hash);
+  ash_map_manager_remove_endpoint (&router->groups, endpoint->hash);
   if (endpoint->owner)
     ash_http_pool_finish (endpoint->owner);
   free (endpoint->owner);
@@ -121,7 +121,7 @@
   ash_log_event (&router->log, ASH_EV_ENDPOINT_REBORN, "endpoint=%s address=%s born_ms=%lld",
                  endpoint->facts.id, endpoint->facts.address, (long long) endpoint->facts.born_ms);
   ash_suspects_reborn (&router->suspects, endpoint->hash);
-  ash_groups_forget (&router->groups, endpoint->hash);
+  ash_map_manager_remove_endpoint (&router->groups, endpoint->hash);
   if (endpoint->owner)
     ash_http_pool_set_address (endpoint->owner, endpoint->facts.address);
 }
@@ -219,7 +219,8 @@
 {
   int64_t keep_ms = (int64_t) router->settings.address_keep_ms * KEEP_TIMES;
 
-  return ash_time_diff (router->stop_began, now) > keep_ms && !ash_groups_holds (&router->groups) &&
+  return ash_time_diff (router->stop_began, now) > keep_ms &&
+         !ash_map_manager_holds_step (&router->groups) &&
          !ash_http_listener_busy (&router->frontend);
 }
 
@@ -294,7 +295,7 @@
 wake (struct ash_router *router, struct ash_time now, int64_t gap_ms)
 {
   ash_log_event (&router->log, ASH_EV_WOKE, "gap_ms=%lld", (long long) gap_ms);
-  ash_groups_woke (&router->groups);
+  ash_map_manager_resumed (&router->groups);
   ash_fleet_woke (&router->fleet);
   ash_store_woke (&router->store);
   ash_router_doubt_connections (router, now);
@@ -417,7 +418,7 @@
                      settings->peer_listen, strerror (errno));
       return false;
     }
-  ash_groups_open (&router->groups, router);
+  ash_map_manager_open (&router->groups, router);
   return ash_store_open (&router->store, router);
 }
 
@@ -496,7 +497,7 @@
   ash_http_listener_finish (&router->directory);
   ash_http_listener_finish (&router->figures);
   ash_store_close (&router->store);
-  ash_groups_close (&router->groups);
+  ash_map_manager_close (&router->groups);
   ash_suspects_close (&router->suspects);
   ash_direct_finish (&router->endpoints);
   ash_fleet_close (&router->fleet);
--- a/daemon/router.h
+++ b/daemon/router.h
@@ -14,7 +14,7 @@
 #include "controllers/route_table.h"
 #include "daemon/catch_up.h"
 #include "daemon/fleet.h"
-#include "daemon/groups.h"
+#include "daemon/map_manager.h"
 #include "daemon/store.h"
 #include "daemon/suspects.h"
 #include "net/http_conn.h"
@@ -55,7 +55,7 @@
   struct ash_store store;
   struct ash_fleet fleet;
   struct ash_catch_up catch_up;
-  struct ash_groups groups;
+  struct ash_map_manager groups;
   struct ash_suspects suspects;
   struct ash_http_listener frontend;
   struct ash_http_listener readiness;
--- a/filters/forward.c
+++ b/filters/forward.c
@@ -139,7 +139,7 @@
 {
   return forward->sent || !world->gate
              ? now
-             : ash_prompt_gate_until (world->gate, &forward->prompt, forward->came, now);
+             : ash_prompt_gate_send_time (world->gate, &forward->prompt, forward->came, now);
 }
 
 struct ash_forward_verdict
--- a/spec/map_switch.pml
+++ b/spec/map_switch.pml
@@ -292,7 +292,7 @@
   byte fence;
   byte foreign;        /* rank whose hold is being finished */
   byte answered;       /* set of ranks */
-  byte rearmed;        /* set of ranks that have refused the fence */
+  byte disarm_first;        /* set of ranks that have refused the fence */
   byte found_armed;
   byte found_prepared;
   byte tries;
@@ -300,7 +300,7 @@
 
 idle:
   atomic {
-    v = 0; s = 0; fence = 0; foreign = 0; finishing = false; rearmed = 0; enter;
+    v = 0; s = 0; fence = 0; foreign = 0; finishing = false; disarm_first = 0; enter;
     found_armed = 0; found_prepared = 0;
     if
     :: calm != 0 -> tries++; assert (tries <= TRIES)
@@ -447,23 +447,23 @@
        select (r : 0 .. RANKS - 1);
        if
        :: !unanswered (r)
-       :: unanswered (r) && (rearmed & (1 << r)) != 0 ->
+       :: unanswered (r) && (disarm_first & (1 << r)) != 0 ->
           take_disarm (r, v);
-          rearmed = rearmed & ~(1 << r)
-       :: unanswered (r) && (rearmed & (1 << r)) == 0 ->
+          disarm_first = disarm_first & ~(1 << r)
+       :: unanswered (r) && (disarm_first & (1 << r)) == 0 ->
           take_prepare (r, fence);
           if
           :: ok || armed_in_use (r) -> answered = answered | (1 << r)
           :: else ->
              if
-             :: v != 0 && armed[r] == v -> rearmed = rearmed | (1 << r)
+             :: v != 0 && armed[r] == v -> disarm_first = disarm_first | (1 << r)
              :: else -> r = 0; ok = false; goto read_anew
              fi
           fi
        fi;
        r = 0; ok = false }
-  :: atomic { answered == ALL -> enter; rearmed = 0; break }
-  :: atomic { step >= s -> enter; rearmed = 0; break }
+  :: atomic { answered == ALL -> enter; disarm_first = 0; break }
+  :: atomic { step >= s -> enter; disarm_first = 0; break }
   od;
 #endif
 
@@ -491,7 +491,7 @@
     :: finishing
     :: else -> finishing = true; foreign = own (l)
     fi;
-    enter; rearmed = 0; fence = 0 }
+    enter; disarm_first = 0; fence = 0 }
 read:
   do
   :: atomic { answered != ALL ->
--- a/test/expert_schedule.c
+++ b/test/expert_schedule.c
@@ -194,7 +194,7 @@
   trace (world, boxes[frame.to_rank], ASH__EVENT__KIND_RANK_ORDER, &frame.order);
   rank->fence = (struct ash_expert_fence){ 0 };
   frame.order.life = rank->life;
-  ash_expert_rank_take (rank, &frame.order, "", &sink);
+  ash_expert_rank_handle_order (rank, &frame.order, "", &sink);
   if (frame.agent_life != guard->incarnation)
     return;
   ash_expert_guard_answer (guard, world->now, true, &state);
@@ -243,13 +243,13 @@
   if (frame->to_rank >= 0)
     {
       trace (world, boxes[frame->to_rank], ASH__EVENT__KIND_RANK_ORDER, &frame->order);
-      ash_expert_rank_take (&world->ranks[frame->to_rank], &frame->order, names[frame->coordinator],
-                            &sink);
+      ash_expert_rank_handle_order (&world->ranks[frame->to_rank], &frame->order,
+                                    names[frame->coordinator], &sink);
       return;
     }
   world->sender = frame->coordinator;
   trace (world, names[frame->coordinator], ASH__EVENT__KIND_RANK_STATE, &frame->state);
-  ash_expert_change_take (change, world->now, &frame->state);
+  ash_expert_change_handle_state (change, world->now, &frame->state);
   totals[TOTAL_DONE] += before != ASH_EXPERT_DONE && change->phase == ASH_EXPERT_DONE;
   totals[TOTAL_FAILED] += before != ASH_EXPERT_FAILED && change->phase == ASH_EXPERT_FAILED;
 }
--- a/test/map_schedule.c
+++ b/test/map_schedule.c
@@ -326,8 +326,8 @@
     case ASH_MAP_FINISHED:
       totals[TOTAL_FINISHED]++;
       break;
-    case ASH_MAP_GIVEN_UP:
-    case ASH_MAP_VOID:
+    case ASH_MAP_ABORTED:
+    case ASH_MAP_GROUP_REFORMED:
       totals[TOTAL_GIVEN_UP]++;
       break;
     case ASH_MAP_NONE:
@@ -349,23 +349,23 @@
     return;
   /* Streams tell how long a pass takes, sooner than reports tell of its step. */
   if (run->step && chance (run, 20))
-    ash_map_switch_pass (&router->sw, PASS_MS);
+    ash_map_switch_set_pass_ms (&router->sw, PASS_MS);
   for (uint32_t i = 0; i < RANKS; i++)
     if (run->now_ms - router->asked[i] > 100 &&
-        ash_map_switch_wants_report (&router->sw, now (run), i))
+        ash_map_switch_needs_report (&router->sw, now (run), i))
       ask_report (run, r, i);
   for (uint32_t i = 0; i < RANKS; i++)
     if (run->now_ms - router->asked_lists[i] > LISTS_AGAIN_MS &&
-        ash_map_switch_wants_lists (&router->sw, i))
+        ash_map_switch_needs_lists (&router->sw, i))
       ask_lists (run, r, i);
   if (router->leads && ash_map_switch_ready (&router->sw, now (run)) && chance (run, 10))
     ash_map_switch_begin (&router->sw, now (run),
-                          ash_map_switch_version (&router->sw, ash_random_next (&run->random)),
+                          ash_map_switch_new_version (&router->sw, ash_random_next (&run->random)),
                           copy_ms);
   /* What map is in use may have to be asked first. */
-  if (ash_map_switch_wants_fence (&router->sw) && chance (run, 50))
-    ash_map_switch_fence (&router->sw,
-                          ash_map_switch_version (&router->sw, ash_random_next (&run->random)));
+  if (ash_map_switch_needs_fence (&router->sw) && chance (run, 50))
+    ash_map_switch_set_fence (
+        &router->sw, ash_map_switch_new_version (&router->sw, ash_random_next (&run->random)));
   count = ash_map_switch_orders (&router->sw, now (run), orders);
   count_result (router);
   for (uint32_t i = 0; i < count; i++)
@@ -388,8 +388,9 @@
     }
   else if (here)
     {
-      ash_map_switch_uses (sw, report->rank, report->epoch, report->map);
-      ash_map_switch_prepared (sw, report->rank, report->epoch, report->prepared, message->asked);
+      ash_map_switch_set_active (sw, report->rank, report->epoch, report->map);
+      ash_map_switch_set_prepared (sw, report->rank, report->epoch, report->prepared,
+                                   message->asked);
     }
 }
 
@@ -411,7 +412,7 @@
   else if (copy.is_answer)
     {
       if (here)
-        ash_map_switch_answered (&router->sw, now (run), &copy.order, copy.status);
+        ash_map_switch_handle_answer (&router->sw, now (run), &copy.order, copy.status);
     }
   else
     {
--- a/test/session.c
+++ b/test/session.c
@@ -69,7 +69,7 @@
   struct ash_sink sink = { on_emit, session };
 
   if (event->kind_case == ASH__EVENT__KIND_RANK_ORDER)
-    ash_expert_rank_take (&session->rank, event->rank_order, event->peer, &sink);
+    ash_expert_rank_handle_order (&session->rank, event->rank_order, event->peer, &sink);
   else if (event->kind_case == ASH__EVENT__KIND_TICK && ash_expert_rank_may_begin (&session->rank))
     {
       uint64_t map = ash_expert_rank_begin (&session->rank);
--- a/test/standin_group.c
+++ b/test/standin_group.c
@@ -161,7 +161,7 @@
   struct ash_sink sink = { on_state, &object };
 
   stage (order->map, &order->placement);
-  ash_expert_rank_take (&ranks[r], order, "", &sink);
+  ash_expert_rank_handle_order (&ranks[r], order, "", &sink);
   return object;
 }
 
--- a/test/unit_declared.c
+++ b/test/unit_declared.c
@@ -108,16 +108,16 @@
     ash_expert_policy_report (&policy, before);
   ash_expert_policy_decide (&policy, &placement, speeds, &decision);
   CU_ASSERT_EQUAL (decision.move_count, 0);
-  ash_expert_policy_expect (&policy, expected);
+  ash_expert_policy_set_forecast (&policy, expected);
   ash_expert_policy_decide (&policy, &placement, speeds, &decision);
   CU_ASSERT_EQUAL (decision.move_count, 2);
   CU_ASSERT (decision.skew_after < 1.01);
   ash_expert_placement_apply (&placement, decision.moves, decision.move_count);
   /* Called off: what was reported counts again. Begun: what was expected does. */
-  ash_expert_policy_expect_no_more (&policy, false);
+  ash_expert_policy_end_forecast (&policy, false);
   CU_ASSERT (policy.fast[0] < 0.26);
-  ash_expert_policy_expect (&policy, expected);
-  ash_expert_policy_expect_no_more (&policy, true);
+  ash_expert_policy_set_forecast (&policy, expected);
+  ash_expert_policy_end_forecast (&policy, true);
   CU_ASSERT (policy.fast[0] > 0.44);
   for (int i = 0; i < 10; i++)
     ash_expert_policy_report (&policy, before);
--- a/test/unit_experts.c
+++ b/test/unit_experts.c
@@ -90,9 +90,9 @@
 test_layers (void)
 {
   const struct ash_layer_weights weights = {
-    .decay = 0.5, .alike = 0.9, .least_gain = 0.02, .layer_moves = 2, .rank_moves = 3
+    .decay = 0.5, .similarity_min = 0.9, .min_gain = 0.02, .layer_moves = 2, .rank_moves = 3
   };
-  const struct ash_change_terms lasting = { .expert_part = 0.5, .lasts_ms = 1e5 };
+  const struct ash_change_terms lasting = { .expert_fraction = 0.5, .remaining_ms = 1e5 };
   double counts[LAYERS * EXPERTS];
   struct ash_layer_policy policy;
   struct ash_layer_map map;
@@ -137,7 +137,7 @@
 #define MANY_EXPERTS 192
 
 static const struct ash_layer_weights many_ranks_weights = {
-  .decay = 0.5, .alike = 0.9, .least_gain = 0.03, .layer_moves = 2, .rank_moves = 2
+  .decay = 0.5, .similarity_min = 0.9, .min_gain = 0.03, .layer_moves = 2, .rank_moves = 2
 };
 
 /* What a change for a group of many ranks is drawn up with: too large for the stack. */
@@ -173,7 +173,7 @@
 test_large_groups (void)
 {
   static const uint32_t rank_counts[] = { 64, 65, 96, 300, ASH_LAYER_RANKS_MAX };
-  const struct ash_change_terms lasting = { .expert_part = 0.5, .lasts_ms = 1e5 };
+  const struct ash_change_terms lasting = { .expert_fraction = 0.5, .remaining_ms = 1e5 };
   struct many_ranks many = many_ranks_new ();
   struct ash_layer_decision decision;
 
@@ -201,7 +201,9 @@
 static void
 test_skew_of_many_ranks (void)
 {
-  const struct ash_change_terms terms = { .expert_part = 0.5, .lasts_ms = 3600, .copy_ms = 18 };
+  const struct ash_change_terms terms = { .expert_fraction = 0.5,
+                                          .remaining_ms = 3600,
+                                          .copy_ms = 18 };
   struct many_ranks many = many_ranks_new ();
   struct ash_layer_decision decision;
   struct ash_random random;
@@ -237,7 +239,7 @@
 {
   static const uint32_t slow = 5;
   double pace[ASH_LAYER_RANKS_MAX];
-  struct ash_change_terms terms = { .expert_part = 0.5, .lasts_ms = 1e5, .pace = pace };
+  struct ash_change_terms terms = { .expert_fraction = 0.5, .remaining_ms = 1e5, .pace = pace };
   struct many_ranks many = many_ranks_new ();
   struct ash_layer_decision decision;
   uint32_t held;
@@ -314,16 +316,16 @@
 }
 
 static uint32_t
-copies_of (double expert_mb, double lasts_ms, double skew, const double *after, uint32_t most)
+copies_of (double expert_mb, double remaining_ms, double skew, const double *after, uint32_t most)
 {
   struct ash_engine_facts engine = engine_of (0.7, expert_mb);
   struct ash_change_terms terms = {
     .copy_ms = ash_pass_model_copy_ms (&engine),
-    .expert_part = ash_pass_model_expert_part (&engine, 6),
-    .lasts_ms = lasts_ms,
+    .expert_fraction = ash_pass_model_expert_fraction (&engine, 6),
+    .remaining_ms = remaining_ms,
   };
 
-  return ash_change_plan (&terms, skew, after, most);
+  return ash_change_plan_copies (&terms, skew, after, most);
 }
 
 /* Two copies a rank in one change took 0.93 s where one copy takes 0.4 s: passes were long twice as
@@ -349,16 +351,16 @@
 test_shift_times (void)
 {
   struct ash_shift_times times = { 0 };
-  double first = ash_shift_times_lasts_ms (&times, at (0));
+  double first = ash_shift_times_remaining_ms (&times, at (0));
 
   CU_ASSERT (first > 1000);
-  ash_shift_times_note (&times, at (10000));
-  CU_ASSERT_EQUAL (ash_shift_times_lasts_ms (&times, at (12000)), first);
-  ash_shift_times_note (&times, at (13600));
-  ash_shift_times_note (&times, at (17200));
-  CU_ASSERT_DOUBLE_EQUAL (ash_shift_times_lasts_ms (&times, at (17700)), 3100, 1);
+  ash_shift_times_record (&times, at (10000));
+  CU_ASSERT_EQUAL (ash_shift_times_remaining_ms (&times, at (12000)), first);
+  ash_shift_times_record (&times, at (13600));
+  ash_shift_times_record (&times, at (17200));
+  CU_ASSERT_DOUBLE_EQUAL (ash_shift_times_remaining_ms (&times, at (17700)), 3100, 1);
   /* Overdue: soon, but not at once. */
-  CU_ASSERT_DOUBLE_EQUAL (ash_shift_times_lasts_ms (&times, at (30000)), 1000, 1);
+  CU_ASSERT_DOUBLE_EQUAL (ash_shift_times_remaining_ms (&times, at (30000)), 1000, 1);
 }
 
 static void
@@ -372,41 +374,41 @@
   ash_pass_watch_reset (&watch);
   /* An even pass of four streams takes 38 ms, 9 of them for tokens; a skew of 1.2 adds 1.5. */
   for (int i = 0; i < 50; i++)
-    ash_pass_watch_pause (&watch, &engine, 4, 46);
-  CU_ASSERT_FALSE (ash_pass_watch_slower (&watch, 16, 1.2));
+    ash_pass_watch_add_pause (&watch, &engine, 4, 46);
+  CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 1.2));
   for (int i = 0; i < 15; i++)
-    ash_pass_watch_pause (&watch, &engine, 4, 80);
-  CU_ASSERT (ash_pass_watch_slower (&watch, 16, 1.2));
+    ash_pass_watch_add_pause (&watch, &engine, 4, 80);
+  CU_ASSERT (ash_pass_watch_is_slow (&watch, 16, 1.2));
   /* Nor does a skew of 2.5 explain twice an even pass: steps have a fixed time too. */
-  CU_ASSERT (ash_pass_watch_slower (&watch, 16, 2.5));
+  CU_ASSERT (ash_pass_watch_is_slow (&watch, 16, 2.5));
   /* More streams explain longer passes: 55 ms, 26 of them for tokens. */
   ash_pass_watch_reset (&watch);
   for (int i = 0; i < 50; i++)
-    ash_pass_watch_pause (&watch, &engine, 12, 70);
-  CU_ASSERT_FALSE (ash_pass_watch_slower (&watch, 16, 1.2));
+    ash_pass_watch_add_pause (&watch, &engine, 12, 70);
+  CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 1.2));
   for (int i = 0; i < 50; i++)
-    ash_pass_watch_pause (&watch, &engine, 12, 95);
-  CU_ASSERT (ash_pass_watch_slower (&watch, 16, 1.2));
-  CU_ASSERT_FALSE (ash_pass_watch_slower (&watch, 16, 2.5));
+    ash_pass_watch_add_pause (&watch, &engine, 12, 95);
+  CU_ASSERT (ash_pass_watch_is_slow (&watch, 16, 1.2));
+  CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 2.5));
   /* More ranks share the price of a look: less is enough for one. */
   for (int i = 0; i < 50; i++)
-    ash_pass_watch_pause (&watch, &engine, 12, 76);
-  CU_ASSERT_FALSE (ash_pass_watch_slower (&watch, 16, 1.2));
-  CU_ASSERT (ash_pass_watch_slower (&watch, 64, 1.2));
+    ash_pass_watch_add_pause (&watch, &engine, 12, 76);
+  CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 1.2));
+  CU_ASSERT (ash_pass_watch_is_slow (&watch, 64, 1.2));
   for (int i = 0; i < 50; i++)
-    ash_pass_watch_pause (&watch, &engine, 12, 95);
+    ash_pass_watch_add_pause (&watch, &engine, 12, 95);
   /* A look found no shift: only what is longer again is looked into. */
-  ash_pass_watch_accept (&watch);
-  CU_ASSERT_FALSE (ash_pass_watch_slower (&watch, 16, 1.2));
+  ash_pass_watch_accept_ratio (&watch);
+  CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 1.2));
   for (int i = 0; i < 50; i++)
-    ash_pass_watch_pause (&watch, &engine, 12, 130);
-  CU_ASSERT (ash_pass_watch_slower (&watch, 16, 1.2));
+    ash_pass_watch_add_pause (&watch, &engine, 12, 130);
+  CU_ASSERT (ash_pass_watch_is_slow (&watch, 16, 1.2));
   /* What was accepted holds no longer once passes were short in between. */
   for (int i = 0; i < 50; i++)
-    ash_pass_watch_pause (&watch, &engine, 12, 60);
+    ash_pass_watch_add_pause (&watch, &engine, 12, 60);
   for (int i = 0; i < 50; i++)
-    ash_pass_watch_pause (&watch, &engine, 12, 95);
-  CU_ASSERT (ash_pass_watch_slower (&watch, 16, 1.2));
+    ash_pass_watch_add_pause (&watch, &engine, 12, 95);
+  CU_ASSERT (ash_pass_watch_is_slow (&watch, 16, 1.2));
 }
 
 void
--- a/test/unit_maps.c
+++ b/test/unit_maps.c
@@ -32,7 +32,7 @@
   uint32_t count = ash_map_switch_orders (sw, now, orders);
 
   for (uint32_t i = 0; i < count; i++)
-    ash_map_switch_answered (sw, now, &orders[i], 200);
+    ash_map_switch_handle_answer (sw, now, &orders[i], 200);
   count = ash_map_switch_orders (sw, now, orders);
   CU_ASSERT (count == 1 && orders[0].kind == ASH_RANK_HOLD);
   return orders[0].step;
@@ -51,35 +51,35 @@
   /* No step was seen as yet, though streams have told how long a pass takes. */
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 0);
-  ash_map_switch_pass (&sw, 50);
+  ash_map_switch_set_pass_ms (&sw, 50);
   CU_ASSERT (ash_map_switch_ready (&sw, now));
-  ash_map_switch_begin (&sw, now, ash_map_switch_version (&sw, 1), copy_ms);
+  ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
   CU_ASSERT_EQUAL (held_step (&sw, now), 1);
   /* The group has been idle since its last step. */
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 100);
-  ash_map_switch_pass (&sw, 50);
+  ash_map_switch_set_pass_ms (&sw, 50);
   now = ash_time_add (now, 60000);
   report_all (&sw, now, 100);
-  ash_map_switch_begin (&sw, now, ash_map_switch_version (&sw, 1), copy_ms);
+  ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
   CU_ASSERT_EQUAL (held_step (&sw, now), 101);
   /* It is at work: what it has gone on since it told is counted in. */
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 100);
-  ash_map_switch_pass (&sw, 50);
+  ash_map_switch_set_pass_ms (&sw, 50);
   now = ash_time_add (now, 300);
-  ash_map_switch_begin (&sw, now, ash_map_switch_version (&sw, 1), copy_ms);
+  ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
   CU_ASSERT (held_step (&sw, now) >= 106);
   /* No stream of this router shows its passes, but ranks have told steps: of the second group of a
    * deployment nine steps were tried, each a round trip, before one had not begun. */
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 100);
-  ash_map_switch_step (&sw, now, 110);
-  ash_map_switch_step (&sw, ash_time_add (now, 2), 111);
+  ash_map_switch_sample_step (&sw, now, 110);
+  ash_map_switch_sample_step (&sw, ash_time_add (now, 2), 111);
   now = ash_time_add (now, 130);
-  ash_map_switch_step (&sw, now, 112);
+  ash_map_switch_sample_step (&sw, now, 112);
   now = ash_time_add (now, 300);
-  ash_map_switch_begin (&sw, now, ash_map_switch_version (&sw, 1), copy_ms);
+  ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
   step = held_step (&sw, now);
   CU_ASSERT (step >= 115 && step <= 118);
 }
@@ -99,7 +99,8 @@
   for (uint32_t i = 0; i < count; i++)
     {
       CU_ASSERT_EQUAL (orders[i].kind, kind);
-      ash_map_switch_answered (sw, now, &orders[i], orders[i].rank == odd_rank ? odd_status : 200);
+      ash_map_switch_handle_answer (sw, now, &orders[i],
+                                    orders[i].rank == odd_rank ? odd_status : 200);
     }
 }
 
@@ -118,7 +119,7 @@
 
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 100);
-  version = ash_map_switch_version (&sw, 1);
+  version = ash_map_switch_new_version (&sw, 1);
   ash_map_switch_begin (&sw, now, version, copy_ms);
   answer_all (&sw, now, ASH_RANK_PREPARE, 4, 0);
   answer_all (&sw, now, ASH_RANK_HOLD, 4, 0);
@@ -133,20 +134,20 @@
   now = ash_time_add (now, 5000);
   answer_all (&sw, now, ASH_RANK_DISARM, 4, 0);
   /* Disarmed is not enough to let go. */
-  CU_ASSERT (ash_map_switch_wants_fence (&sw));
+  CU_ASSERT (ash_map_switch_needs_fence (&sw));
   CU_ASSERT_EQUAL (ash_map_switch_orders (&sw, now, orders), 0);
-  ash_map_switch_fence (&sw, ash_map_switch_version (&sw, 2));
+  ash_map_switch_set_fence (&sw, ash_map_switch_new_version (&sw, 2));
   CU_ASSERT (sw.fence > version);
   /* The late arm was taken after the disarm: the rank refuses the fence. */
   answer_all (&sw, now, ASH_RANK_PREPARE, 3, 409);
   CU_ASSERT_EQUAL (ash_map_switch_orders (&sw, now, orders), 1);
   CU_ASSERT_EQUAL (orders[0].kind, ASH_RANK_DISARM);
   CU_ASSERT_EQUAL (orders[0].version, version);
-  ash_map_switch_answered (&sw, now, &orders[0], 200);
+  ash_map_switch_handle_answer (&sw, now, &orders[0], 200);
   answer_all (&sw, now, ASH_RANK_PREPARE, 4, 0);
   answer_all (&sw, now, ASH_RANK_GO, 4, 0);
-  CU_ASSERT_EQUAL (sw.result, ASH_MAP_GIVEN_UP);
-  CU_ASSERT (ash_map_switch_version (&sw, 0) > sw.fence);
+  CU_ASSERT_EQUAL (sw.result, ASH_MAP_ABORTED);
+  CU_ASSERT (ash_map_switch_new_version (&sw, 0) > sw.fence);
 }
 
 /* A report that a rank is armed with the version does not say for which step: another router may
@@ -161,7 +162,7 @@
 
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 100);
-  ash_map_switch_begin (&sw, now, ash_map_switch_version (&sw, 1), copy_ms);
+  ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
   answer_all (&sw, now, ASH_RANK_PREPARE, 4, 0);
   answer_all (&sw, now, ASH_RANK_HOLD, 4, 0);
   answer_all (&sw, now, ASH_RANK_ARM, 3, 0);
@@ -191,7 +192,7 @@
 
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 100);
-  ash_map_switch_begin (&sw, now, ash_map_switch_version (&sw, 1), copy_ms);
+  ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
   answer_all (&sw, now, ASH_RANK_PREPARE, 4, 0);
   answer_all (&sw, now, ASH_RANK_HOLD, 0, 409);
   CU_ASSERT_EQUAL (sw.last_step, 100);
@@ -201,15 +202,15 @@
   answer_all (&sw, now, ASH_RANK_ARM, 3, 409);
   report_all (&sw, now, 102);
   answer_all (&sw, now, ASH_RANK_GO, 0, 409);
-  CU_ASSERT_EQUAL (sw.result, ASH_MAP_GIVEN_UP);
+  CU_ASSERT_EQUAL (sw.result, ASH_MAP_ABORTED);
   /* A step that was let go here is not held again. */
-  ash_map_switch_begin (&sw, now, ash_map_switch_version (&sw, 1), copy_ms);
+  ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
   answer_all (&sw, now, ASH_RANK_PREPARE, 4, 0);
   CU_ASSERT (sw.phase == ASH_MAP_HOLD && sw.step == 103);
   answer_all (&sw, now, ASH_RANK_HOLD, 4, 0);
   answer_all (&sw, now, ASH_RANK_ARM, 4, 0);
   answer_all (&sw, now, ASH_RANK_GO, 4, 0);
-  ash_map_switch_begin (&sw, now, ash_map_switch_version (&sw, 1), copy_ms);
+  ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
   answer_all (&sw, now, ASH_RANK_PREPARE, 4, 0);
   CU_ASSERT_EQUAL (sw.step, 104);
 }
@@ -260,7 +261,7 @@
   CU_ASSERT_EQUAL (sw.holder, 2);
   CU_ASSERT_EQUAL (sw.step, 101);
   answer_all (&sw, now, ASH_RANK_DISARM, 4, 0);
-  CU_ASSERT (ash_map_switch_wants_fence (&sw));
+  CU_ASSERT (ash_map_switch_needs_fence (&sw));
 }
 
 /* Two routers died, each with a hold: the group stands at the lower step, whichever is told last,
@@ -294,7 +295,7 @@
   report_all (&sw, now, 100);
   for (uint64_t step = 101; step <= 102; step++)
     {
-      ash_map_switch_begin (&sw, now, ash_map_switch_version (&sw, step), copy_ms);
+      ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, step), copy_ms);
       answer_all (&sw, now, ASH_RANK_PREPARE, 4, 0);
       CU_ASSERT_EQUAL (sw.step, step);
       answer_all (&sw, now, ASH_RANK_HOLD, 4, 0);
@@ -332,8 +333,8 @@
   now = ash_time_add (now, 130);
   for (uint32_t rank = 0; rank < 4; rank++)
     {
-      ash_map_switch_uses (&sw, rank, 1, 3);
-      ash_map_switch_prepared (&sw, rank, 1, 7, now);
+      ash_map_switch_set_active (&sw, rank, 1, 3);
+      ash_map_switch_set_prepared (&sw, rank, 1, 7, now);
     }
   answer_all (&sw, now, ASH_RANK_HOLD, 4, 0);
   CU_ASSERT (sw.finishing);
--- a/test/unit_prompts.c
+++ b/test/unit_prompts.c
@@ -14,7 +14,7 @@
 
 static const struct ash_prompt_terms usual_terms = {
   .per_pass = 2,
-  .maps_follow = true,
+  .maps_adapt_in_time = true,
   .pause_aim_ms = PAUSE_AIM_MS,
   .aim_ms = AIM_MS,
 };
@@ -32,13 +32,13 @@
          int64_t came,
          int64_t ms)
 {
-  return ash_time_diff (at (ms), ash_prompt_gate_until (gate, terms, at (came), at (ms)));
+  return ash_time_diff (at (ms), ash_prompt_gate_send_time (gate, terms, at (came), at (ms)));
 }
 
 static void
 see (struct ash_prompt_gate *gate, int64_t ms, int64_t pause_ms)
 {
-  ash_prompt_gate_pause (gate, at (ms), pause_ms, PAUSE_AIM_MS);
+  ash_prompt_gate_add_pause (gate, at (ms), pause_ms, PAUSE_AIM_MS);
 }
 
 /* ---- decisions ---- */
@@ -49,7 +49,7 @@
   struct ash_prompt_gate gate = { 0 };
   struct ash_prompt_terms slow = usual_terms;
 
-  slow.maps_follow = false;
+  slow.maps_adapt_in_time = false;
   see (&gate, 0, 55);
   see (&gate, 55, 56);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 60, 60), 0);
@@ -58,7 +58,7 @@
   /* One that has waited as long goes; so does one whose maps take too long to follow. */
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 0, 160), 0);
   CU_ASSERT_EQUAL (wait_ms (&gate, &slow, 150, 150), 0);
-  CU_ASSERT (ash_prompt_gate_pause (&gate, at (250), 58, PAUSE_AIM_MS));
+  CU_ASSERT (ash_prompt_gate_add_pause (&gate, at (250), 58, PAUSE_AIM_MS));
   CU_ASSERT_FALSE (gate.closed);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 250, 250), 0);
 }
@@ -95,7 +95,7 @@
   for (int i = 0; i < 2; i++)
     {
       CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 100, 100), 0);
-      ash_prompt_gate_sent (&gate);
+      ash_prompt_gate_record_sent (&gate);
     }
   /* Two a pass of 50 ms: the third goes 25 ms later. */
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 100, 100), 26);
@@ -104,8 +104,8 @@
   CU_ASSERT (wait_ms (&gate, &resumed, 126, 126) > 0);
   CU_ASSERT_EQUAL (wait_ms (&gate, &resumed, 126, 152), 0);
   /* It has waited long enough, whatever else goes. */
-  ash_prompt_gate_sent (&gate);
-  ash_prompt_gate_sent (&gate);
+  ash_prompt_gate_record_sent (&gate);
+  ash_prompt_gate_record_sent (&gate);
   CU_ASSERT (wait_ms (&gate, &resumed, -400, 152) > 0);
   CU_ASSERT_EQUAL (wait_ms (&gate, &resumed, -448, 152), 0);
 }
@@ -119,12 +119,12 @@
   CU_ASSERT_DOUBLE_EQUAL (ash_prompt_gate_per_pass (&engine, 120, 60, 30), 2.4, 1e-9);
   CU_ASSERT_DOUBLE_EQUAL (ash_prompt_gate_per_pass (&(struct ash_engine_facts){ 0 }, 120, 60, 30),
                           0, 0);
-  CU_ASSERT_FALSE (ash_prompt_gate_maps_follow (&engine, AIM_MS));
+  CU_ASSERT_FALSE (ash_prompt_gate_maps_adapt_in_time (&engine, AIM_MS));
   engine.expert_mb = 320;
   engine.link_mbps = 180000;
-  CU_ASSERT (ash_prompt_gate_maps_follow (&engine, AIM_MS));
+  CU_ASSERT (ash_prompt_gate_maps_adapt_in_time (&engine, AIM_MS));
   engine.link_mbps = 18000;
-  CU_ASSERT_FALSE (ash_prompt_gate_maps_follow (&engine, AIM_MS));
+  CU_ASSERT_FALSE (ash_prompt_gate_maps_adapt_in_time (&engine, AIM_MS));
 }
 
 /* ---- played ---- */
@@ -187,7 +187,7 @@
       terms.resumed = prompt->resumed;
       if (prompt->sent_ms >= 0 || (play->gated && wait_ms (gate, &terms, prompt->came_ms, ms) > 0))
         continue;
-      ash_prompt_gate_sent (gate);
+      ash_prompt_gate_record_sent (gate);
       prompt->sent_ms = ms;
     }
 }
