--- a/bench/router_world.c
+++ b/bench/router_world.c
@@ -217,7 +217,7 @@
   else
     {
       call->late |= pause_ms > ROUTER_WORLD_PAUSE_MS;
-      ash_direct_paused (router->endpoints[call->endpoint], time_of (world), pause_ms);
+      ash_direct_note_pause (router->endpoints[call->endpoint], time_of (world), pause_ms);
     }
   call->event_ms = world->now_ms;
   if (++call->made < call->events)
@@ -339,7 +339,7 @@
   note_overtaken (world, call);
   call->held_ms += (double) (world->now_ms + 1 - call->forward.came.ms);
   ash_forward_sent (&call->forward, endpoint);
-  ash_direct_sent (endpoint, time_of (world));
+  ash_direct_note_sent (endpoint, time_of (world));
   router->changed = true;
   call->state = CALL_SENT;
   call->endpoint = at;
@@ -480,7 +480,7 @@
       struct ash_direct_facts facts = { .service = "model", .slots = ENDPOINT_SLOTS };
 
       snprintf (facts.id, sizeof facts.id, "%u", e);
-      if (!ash_direct_listed (&router->set, &facts))
+      if (!ash_direct_update (&router->set, &facts))
         abort ();
       router->endpoints[e] = ash_direct_find (&router->set, facts.id);
     }
--- a/controllers/addresses.c
+++ b/controllers/addresses.c
@@ -39,7 +39,7 @@
 /* This box is likely the one that is cut off, or nobody is known to serve: all of
  * the published subset, the others first, which may serve where this one can't. */
 static void
-name_published (struct ash_addresses *addresses,
+list_published (struct ash_addresses *addresses,
                 const struct ash_entry_box *const ranked[ASH_ADDRESSES_MAX],
                 uint32_t count,
                 const char *self)
@@ -70,7 +70,7 @@
   uint32_t start = ash_random_below (random, count);
 
   addresses->count = 0;
-  for (uint32_t i = 0; !membership->alone && i < count; i++)
+  for (uint32_t i = 0; !membership->isolated && i < count; i++)
     {
       const struct ash_entry_box *entry = ranked[(start + i) % count];
 
@@ -78,7 +78,7 @@
         addresses->boxes[addresses->count++] = entry;
     }
   if (addresses->count == 0)
-    name_published (addresses, ranked, count, settings->box);
+    list_published (addresses, ranked, count, settings->box);
   addresses->keep_ms =
       settings->address_keep_ms / 2 +
       ash_random_below (random, settings->address_keep_ms - settings->address_keep_ms / 2 + 1);
--- a/controllers/agent.c
+++ b/controllers/agent.c
@@ -3,7 +3,7 @@
 #include "controllers/agent_admit.h"
 #include "controllers/agent_engine.h"
 #include "controllers/agent_run.h"
-#include "controllers/agent_tell.h"
+#include "controllers/agent_send.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -20,7 +20,7 @@
     .settings = settings,
     .sink = sink,
     .incarnation = incarnation,
-    .born = now,
+    .started_at = now,
     .stop = ASH_PLANNED_STOP_NONE,
   };
   ash_random_init (&agent->random, incarnation);
@@ -56,64 +56,64 @@
 
 /* ---- Submit ---- */
 
-/* A record for the asker, or NULL if nothing can be written any more. */
+/* A record for the requester, or NULL if nothing can be written any more. */
 static struct ash_record *
-write_record (struct ash_agent *agent, const struct ash_asker *asker)
+add_record (struct ash_agent *agent, const struct ash_requester *requester)
 {
   struct ash_record *record;
 
   /* Refusals must be written too, so they may use twice the room. */
   if (agent->ledger.count >= 2 * agent->settings->ledger_max)
     return NULL;
-  record = ash_ledger_add (&agent->ledger, asker->id);
+  record = ash_ledger_add (&agent->ledger, requester->id);
   if (!record)
     return NULL;
-  record->keyed = asker->keyed;
-  record->no_repeat = asker->no_repeat;
+  record->keyed = requester->keyed;
+  record->no_repeat = requester->no_repeat;
   return record;
 }
 
-/* A refusal of the record will hold for this asker's attempt too. */
+/* A refusal of the record will hold for this requester's attempt too. */
 static void
-cover_asker (struct ash_record *record, const struct ash_asker *asker)
+extend_refusal (struct ash_record *record, const struct ash_requester *requester)
 {
-  if (record->refused_upto < ash_asker_covers (asker))
-    record->refused_upto = ash_asker_covers (asker);
+  if (record->refused_upto < ash_requester_covered_attempts (requester))
+    record->refused_upto = ash_requester_covered_attempts (requester);
 }
 
-/* Whether "not run" may be told to the asker with a refusal for that reason. */
+/* Whether "not run" may be told to the requester with a refusal for that reason. */
 static bool
-can_vouch (const struct ash_agent *agent,
-           struct ash_time now,
-           const struct ash_asker *asker,
-           int reason)
+can_report_outcome (const struct ash_agent *agent,
+                    struct ash_time now,
+                    const struct ash_requester *requester,
+                    int reason)
 {
   /* Who is not the home can't know what the home has done with other attempts. */
   if (reason == ASH__REASON__NOT_HOME)
-    return asker->caller_attempt == 1;
-  return ash_agent_knows_all (agent, now, asker);
+    return requester->caller_attempt == 1;
+  return ash_agent_knows_all_attempts (agent, now, requester);
 }
 
 static void
-refuse_asker (struct ash_agent *agent,
-              struct ash_time now,
-              const struct ash_asker *asker,
-              struct ash_record *record,
-              int reason)
+refuse_request (struct ash_agent *agent,
+                struct ash_time now,
+                const struct ash_requester *requester,
+                struct ash_record *record,
+                int reason)
 {
-  bool known = can_vouch (agent, now, asker, reason);
+  bool known = can_report_outcome (agent, now, requester, reason);
 
   if (!record)
-    record = write_record (agent, asker);
+    record = add_record (agent, requester);
   if (!record)
     {
       /* A refusal that can't be written must not be told as "not run". */
       ash_log_event (&agent->log, ASH_EV_LEDGER_FULL, "count=%u", agent->ledger.count);
-      ash_agent_tell_refused (agent, asker, ASH__REASON__OVERLOAD, ASH__OUTCOME__UNKNOWN);
+      ash_agent_send_refused (agent, requester, ASH__REASON__OVERLOAD, ASH__OUTCOME__UNKNOWN);
       return;
     }
-  cover_asker (record, asker);
-  ash_record_watch (record, asker->peer, asker->attempt);
+  extend_refusal (record, requester);
+  ash_record_watch (record, requester->peer, requester->attempt);
   ash_agent_refuse (agent, now, record, reason,
                     known ? ASH__OUTCOME__NOT_RUN : ASH__OUTCOME__UNKNOWN);
 }
@@ -122,16 +122,16 @@
  * that is told. "Not run" was true for who was told first: this one may have
  * had an attempt in the life before. */
 static void
-refuse_again (struct ash_agent *agent,
-              struct ash_time now,
-              const struct ash_asker *asker,
-              struct ash_record *record)
+repeat_refusal (struct ash_agent *agent,
+                struct ash_time now,
+                const struct ash_requester *requester,
+                struct ash_record *record)
 {
-  int outcome =
-      can_vouch (agent, now, asker, record->reason) ? record->outcome : ASH__OUTCOME__UNKNOWN;
+  int outcome = can_report_outcome (agent, now, requester, record->reason) ? record->outcome
+                                                                           : ASH__OUTCOME__UNKNOWN;
 
-  cover_asker (record, asker);
-  ash_agent_tell_refused (agent, asker, ASH__REASON__REFUSED_BEFORE, outcome);
+  extend_refusal (record, requester);
+  ash_agent_send_refused (agent, requester, ASH__REASON__REFUSED_BEFORE, outcome);
 }
 
 /* The ledger holds the request: hand over what there is, and what follows. */
@@ -139,25 +139,26 @@
 attach (struct ash_agent *agent,
         struct ash_time now,
         struct ash_record *record,
-        const struct ash_asker *asker,
+        const struct ash_requester *requester,
         uint64_t offset)
 {
   if (offset < record->answer.base || offset > record->answer.base + record->answer.length)
     {
-      ash_agent_tell_end (agent, record, asker->peer, asker->attempt, false,
+      ash_agent_send_end (agent, record, requester->peer, requester->attempt, false,
                           ASH__REASON__ANSWER_GONE);
       return;
     }
   /* Should it have to be refused from the queue, this one is told as well. */
-  if (!ash_agent_knows_all (agent, now, asker))
+  if (!ash_agent_knows_all_attempts (agent, now, requester))
     record->outcome = ASH__OUTCOME__UNKNOWN;
   if (record->state != ASH_RECORD_FINISHED)
-    ash_record_watch (record, asker->peer, asker->attempt);
+    ash_record_watch (record, requester->peer, requester->attempt);
   if (record->answer.status)
-    ash_agent_tell_head (agent, record, asker->peer, asker->attempt);
-  ash_agent_tell_data (agent, record, asker->peer, asker->attempt, offset);
+    ash_agent_send_head (agent, record, requester->peer, requester->attempt);
+  ash_agent_send_data (agent, record, requester->peer, requester->attempt, offset);
   if (record->state == ASH_RECORD_FINISHED)
-    ash_agent_tell_end (agent, record, asker->peer, asker->attempt, record->whole, record->reason);
+    ash_agent_send_end (agent, record, requester->peer, requester->attempt, record->whole,
+                        record->reason);
 }
 
 static struct Ash__Submit *
@@ -177,7 +178,7 @@
 
 /* In a full queue the least urgent makes way. */
 static void
-make_way (struct ash_agent *agent, struct ash_time now, const struct Ash__Submit *submit)
+evict_least_urgent (struct ash_agent *agent, struct ash_time now, const struct Ash__Submit *submit)
 {
   struct ash_record *last = ash_agent_least_urgent (agent, submit);
 
@@ -188,37 +189,37 @@
 static void
 admit (struct ash_agent *agent,
        struct ash_time now,
-       const struct ash_asker *asker,
+       const struct ash_requester *requester,
        struct ash_record *record,
        const struct Ash__Submit *submit)
 {
-  int reason = ash_agent_admission (agent, now, asker, submit);
+  int reason = ash_agent_admission (agent, now, requester, submit);
 
   if (reason != ASH__REASON__REASON_NONE)
     {
-      refuse_asker (agent, now, asker, record, reason);
+      refuse_request (agent, now, requester, record, reason);
       return;
     }
   if (agent->ledger.queued_count >= agent->settings->queue_max)
-    make_way (agent, now, submit);
+    evict_least_urgent (agent, now, submit);
   if (!record)
-    record = write_record (agent, asker);
+    record = add_record (agent, requester);
   if (record)
     record->submit = copy_submit (submit);
   if (!record || !record->submit)
     {
-      refuse_asker (agent, now, asker, record, ASH__REASON__OVERLOAD);
+      refuse_request (agent, now, requester, record, ASH__REASON__OVERLOAD);
       return;
     }
   record->priority = submit->priority;
   record->arrived = now;
   record->deadline = ash_time_add (now, submit->budget_ms);
   /* Should it have to be refused from the queue, this is what can be said. */
-  record->outcome =
-      ash_agent_knows_all (agent, now, asker) ? ASH__OUTCOME__NOT_RUN : ASH__OUTCOME__UNKNOWN;
-  record->refused_upto = ash_asker_covers (asker);
-  ash_record_watch (record, asker->peer, asker->attempt);
-  ash_ledger_queue (&agent->ledger, record);
+  record->outcome = ash_agent_knows_all_attempts (agent, now, requester) ? ASH__OUTCOME__NOT_RUN
+                                                                         : ASH__OUTCOME__UNKNOWN;
+  record->refused_upto = ash_requester_covered_attempts (requester);
+  ash_record_watch (record, requester->peer, requester->attempt);
+  ash_ledger_enqueue (&agent->ledger, record);
   ash_agent_start_queued (agent, now);
 }
 
@@ -228,7 +229,7 @@
                const char *peer,
                const struct Ash__Submit *submit)
 {
-  struct ash_asker asker = {
+  struct ash_requester requester = {
     .peer = peer,
     .id = { submit->id_hi, submit->id_lo },
     .attempt = submit->attempt,
@@ -237,35 +238,36 @@
     .minted = submit->minted,
     .no_repeat = submit->no_repeat,
   };
-  struct ash_record *record = ash_ledger_find (&agent->ledger, asker.id);
+  struct ash_record *record = ash_ledger_find (&agent->ledger, requester.id);
 
   if (submit->incarnation != agent->incarnation)
     {
       /* Every copy names that earlier life, so none can run here: nothing needs
        * to be written. But the life it was meant for may have run it. */
-      ash_agent_tell_refused (agent, &asker, ASH__REASON__STALE_INCARNATION, ASH__OUTCOME__UNKNOWN);
+      ash_agent_send_refused (agent, &requester, ASH__REASON__STALE_INCARNATION,
+                              ASH__OUTCOME__UNKNOWN);
       return;
     }
   if (!record)
     {
-      admit (agent, now, &asker, NULL, submit);
+      admit (agent, now, &requester, NULL, submit);
       return;
     }
   if (record->state != ASH_RECORD_REFUSED)
     {
       /* The same frame again: its answer is on its way already. */
-      if (ash_record_watcher (record, peer, asker.attempt))
+      if (ash_record_watcher (record, peer, requester.attempt))
         return;
-      cover_asker (record, &asker);
-      attach (agent, now, record, &asker, 0);
+      extend_refusal (record, &requester);
+      attach (agent, now, record, &requester, 0);
     }
-  else if (record->keyed && !record->disowned && asker.caller_attempt > record->refused_upto)
+  else if (record->keyed && !record->disowned && requester.caller_attempt > record->refused_upto)
     {
-      ash_ledger_revive (&agent->ledger, record);
-      admit (agent, now, &asker, record, submit);
+      ash_ledger_reopen (&agent->ledger, record);
+      admit (agent, now, &requester, record, submit);
     }
   else
-    refuse_again (agent, now, &asker, record);
+    repeat_refusal (agent, now, &requester, record);
 }
 
 /* Whether the ledger would still hold the request, had it arrived: an entry
@@ -284,7 +286,7 @@
                const char *peer,
                const struct Ash__Resume *resume)
 {
-  struct ash_asker asker = {
+  struct ash_requester requester = {
     .peer = peer,
     .id = { resume->id_hi, resume->id_lo },
     .attempt = resume->attempt,
@@ -293,18 +295,19 @@
     .minted = resume->minted,
     .no_repeat = resume->no_repeat,
   };
-  struct ash_record *record = ash_ledger_find (&agent->ledger, asker.id);
+  struct ash_record *record = ash_ledger_find (&agent->ledger, requester.id);
 
   if (resume->incarnation != agent->incarnation)
-    ash_agent_tell_refused (agent, &asker, ASH__REASON__STALE_INCARNATION, ASH__OUTCOME__UNKNOWN);
+    ash_agent_send_refused (agent, &requester, ASH__REASON__STALE_INCARNATION,
+                            ASH__OUTCOME__UNKNOWN);
   else if (!record && !remembers (agent, resume))
-    ash_agent_tell_refused (agent, &asker, ASH__REASON__ANSWER_GONE, ASH__OUTCOME__UNKNOWN);
+    ash_agent_send_refused (agent, &requester, ASH__REASON__ANSWER_GONE, ASH__OUTCOME__UNKNOWN);
   else if (!record)
-    refuse_asker (agent, now, &asker, NULL, ASH__REASON__NOT_RECEIVED);
+    refuse_request (agent, now, &requester, NULL, ASH__REASON__NOT_RECEIVED);
   else if (record->state == ASH_RECORD_REFUSED)
-    refuse_again (agent, now, &asker, record);
+    repeat_refusal (agent, now, &requester, record);
   else
-    attach (agent, now, record, &asker, resume->offset);
+    attach (agent, now, record, &requester, resume->offset);
 }
 
 /* ---- other messages ---- */
@@ -317,7 +320,10 @@
 }
 
 static void
-lose_watcher (struct ash_agent *agent, struct ash_time now, struct ash_record *record, bool cancel)
+handle_unwatched (struct ash_agent *agent,
+                  struct ash_time now,
+                  struct ash_record *record,
+                  bool cancel)
 {
   if (record->watchers)
     return;
@@ -349,7 +355,7 @@
   if (!watcher)
     return;
   ash_record_unwatch (record, watcher);
-  lose_watcher (agent, now, record, true);
+  handle_unwatched (agent, now, record, true);
   ash_agent_start_queued (agent, now);
 }
 
@@ -360,7 +366,7 @@
 
   DL_FOREACH (list, record)
     if (ash_record_unwatch_box (record, peer))
-      lose_watcher (agent, now, record, false);
+      handle_unwatched (agent, now, record, false);
 }
 
 static void
@@ -377,13 +383,15 @@
                const char *peer,
                const struct Ash__Disown *disown)
 {
-  struct ash_asker asker = { .peer = peer, .id = { disown->id_hi, disown->id_lo }, .keyed = true };
-  struct ash_record *record = ash_ledger_find (&agent->ledger, asker.id);
+  struct ash_requester requester = { .peer = peer,
+                                     .id = { disown->id_hi, disown->id_lo },
+                                     .keyed = true };
+  struct ash_record *record = ash_ledger_find (&agent->ledger, requester.id);
   struct Ash__Disowned disowned = ASH__DISOWNED__INIT;
 
   if (!record)
     {
-      record = write_record (agent, &asker);
+      record = add_record (agent, &requester);
       if (record)
         ash_agent_refuse (agent, now, record, ASH__REASON__NOT_HOME, ASH__OUTCOME__UNKNOWN);
     }
--- a/controllers/agent.h
+++ b/controllers/agent.h
@@ -36,7 +36,7 @@
   struct ash_metrics *metrics; /**< may be NULL */
   struct ash_random random;
   uint64_t incarnation;
-  struct ash_time born;
+  struct ash_time started_at;
   struct ash_config config;
   struct ash_membership membership;
   struct ash_ledger ledger;
--- a/controllers/agent_admit.c
+++ b/controllers/agent_admit.c
@@ -14,7 +14,7 @@
 int64_t
 ash_agent_age_ms (const struct ash_agent *agent, struct ash_time now)
 {
-  return ash_time_diff (agent->born, now);
+  return ash_time_diff (agent->started_at, now);
 }
 
 /* Whether a caller's first attempt may have been sent before this life began:
@@ -30,11 +30,11 @@
 /* Whether this life can know of every earlier attempt of the request. Requests
  * without a key have only the one that is asked about. */
 bool
-ash_agent_knows_all (const struct ash_agent *agent,
-                     struct ash_time now,
-                     const struct ash_asker *asker)
+ash_agent_knows_all_attempts (const struct ash_agent *agent,
+                              struct ash_time now,
+                              const struct ash_requester *requester)
 {
-  if (!asker->keyed || asker->minted || asker->caller_attempt == 1)
+  if (!requester->keyed || requester->minted || requester->caller_attempt == 1)
     return true;
   return ash_agent_age_ms (agent, now) >= agent->settings->key_life_ms;
 }
@@ -43,9 +43,9 @@
  * not said which one this is, any other may be an earlier one that is still
  * under way: then it holds for all, and the key is used up. */
 uint32_t
-ash_asker_covers (const struct ash_asker *asker)
+ash_requester_covered_attempts (const struct ash_requester *requester)
 {
-  return asker->caller_attempt ? asker->caller_attempt : UINT32_MAX;
+  return requester->caller_attempt ? requester->caller_attempt : UINT32_MAX;
 }
 
 uint32_t
@@ -106,7 +106,7 @@
 }
 
 void
-ash_agent_note_run (struct ash_agent *agent, uint32_t priority, uint32_t took_us)
+ash_agent_add_run_time (struct ash_agent *agent, uint32_t priority, uint32_t took_us)
 {
   smooth (&agent->runs[run_index (priority)], took_us);
   smooth (&agent->all_runs, took_us);
@@ -121,7 +121,7 @@
 }
 
 int64_t
-ash_agent_work_us (const struct ash_agent *agent, const struct ash_record *record)
+ash_agent_expected_run_us (const struct ash_agent *agent, const struct ash_record *record)
 {
   uint32_t mean_us = run_time (agent, record->priority)->mean_us;
 
@@ -147,7 +147,7 @@
     return 0;
   DL_FOREACH (agent->ledger.queued, record)
     if (record->priority <= submit->priority)
-      work_us += ash_agent_work_us (agent, record);
+      work_us += ash_agent_expected_run_us (agent, record);
   return ash_agent_wait_ms (agent, work_us, ash_agent_slots (agent));
 }
 
@@ -163,24 +163,24 @@
 int
 ash_agent_admission (const struct ash_agent *agent,
                      struct ash_time now,
-                     const struct ash_asker *asker,
+                     const struct ash_requester *requester,
                      const struct Ash__Submit *submit)
 {
   const struct ash_endpoint *home;
 
   if (agent->leaving)
     return ASH__REASON__LEAVING;
-  if (asker->keyed && asker->no_repeat)
+  if (requester->keyed && requester->no_repeat)
     {
-      if (!ash_agent_knows_all (agent, now, asker))
+      if (!ash_agent_knows_all_attempts (agent, now, requester))
         return ASH__REASON__NEW_LIFE;
       /* A later attempt may have run in the life before. */
-      if (!asker->minted && ash_agent_guarded (agent, now))
+      if (!requester->minted && ash_agent_guarded (agent, now))
         return ASH__REASON__NEW_LIFE;
       home = agent->config.ready
-                 ? ash_document_home (&agent->config.document, submit->service, asker->id)
+                 ? ash_document_home (&agent->config.document, submit->service, requester->id)
                  : NULL;
-      if (home && !asker->minted && !submit->moved &&
+      if (home && !requester->minted && !submit->moved &&
           submit->revision <= agent->config.document.revision &&
           strcmp (home->name, agent->settings->box) != 0)
         return ASH__REASON__NOT_HOME;
--- a/controllers/agent_admit.h
+++ b/controllers/agent_admit.h
@@ -6,7 +6,7 @@
 #ifndef ASH_AGENT_ADMIT_H
 #define ASH_AGENT_ADMIT_H
 
-#include "controllers/agent_tell.h"
+#include "controllers/agent_send.h"
 
 /** @return how long this life has lasted, in milliseconds. */
 int64_t ash_agent_age_ms (const struct ash_agent *agent, struct ash_time now);
@@ -15,12 +15,12 @@
 bool ash_agent_guarded (const struct ash_agent *agent, struct ash_time now);
 
 /** @return whether this life can know of every earlier attempt of the request. */
-bool ash_agent_knows_all (const struct ash_agent *agent,
-                          struct ash_time now,
-                          const struct ash_asker *asker);
+bool ash_agent_knows_all_attempts (const struct ash_agent *agent,
+                                   struct ash_time now,
+                                   const struct ash_requester *requester);
 
-/** @return up to which of the caller's attempts a refusal told to the asker holds. */
-uint32_t ash_asker_covers (const struct ash_asker *asker);
+/** @return up to which of the caller's attempts a refusal told to the requester holds. */
+uint32_t ash_requester_covered_attempts (const struct ash_requester *requester);
 
 /** @return how many requests the engine works on at once. */
 uint32_t ash_agent_slots (const struct ash_agent *agent);
@@ -32,13 +32,13 @@
 bool ash_agent_has_slot (const struct ash_agent *agent);
 
 /** Takes in how long a run took: what is expected of the next ones of its priority. */
-void ash_agent_note_run (struct ash_agent *agent, uint32_t priority, uint32_t took_us);
+void ash_agent_add_run_time (struct ash_agent *agent, uint32_t priority, uint32_t took_us);
 
 /** @return how long a run of that priority is expected to take, in milliseconds. */
 int64_t ash_agent_run_ms (const struct ash_agent *agent, uint32_t priority);
 
 /** @return work of a queued request, for ash_agent_wait_ms(), in microseconds. */
-int64_t ash_agent_work_us (const struct ash_agent *agent, const struct ash_record *record);
+int64_t ash_agent_expected_run_us (const struct ash_agent *agent, const struct ash_record *record);
 
 /**
  * @param slots as ash_agent_slots() has it, which looks through the document.
@@ -53,7 +53,7 @@
 /** @return why a request that the ledger does not hold can't be taken, or REASON_NONE. */
 int ash_agent_admission (const struct ash_agent *agent,
                          struct ash_time now,
-                         const struct ash_asker *asker,
+                         const struct ash_requester *requester,
                          const struct Ash__Submit *submit);
 
 #endif
--- a/controllers/agent_engine.c
+++ b/controllers/agent_engine.c
@@ -2,7 +2,7 @@
 
 #include "controllers/agent_admit.h"
 #include "controllers/agent_run.h"
-#include "controllers/agent_tell.h"
+#include "controllers/agent_send.h"
 
 #include <string.h>
 #include <utlist.h>
@@ -23,7 +23,7 @@
   record->answer.status = head->status;
   record->answer.content_type = strdup (head->content_type);
   LL_FOREACH (record->watchers, watcher)
-    ash_agent_tell_head (agent, record, watcher->peer, watcher->attempt);
+    ash_agent_send_head (agent, record, watcher->peer, watcher->attempt);
 }
 
 void
@@ -46,7 +46,7 @@
       return;
     }
   LL_FOREACH (record->watchers, watcher)
-    ash_agent_tell_data (agent, record, watcher->peer, watcher->attempt, offset);
+    ash_agent_send_data (agent, record, watcher->peer, watcher->attempt, offset);
 }
 
 void
@@ -63,8 +63,8 @@
     ash_agent_refuse (agent, now, record, ASH__REASON__ENDPOINT_FAILED, record->outcome);
   else
     {
-      ash_agent_note_run (agent, record->priority,
-                          (uint32_t) ash_time_diff (record->started, now) * US_PER_MS);
+      ash_agent_add_run_time (agent, record->priority,
+                              (uint32_t) ash_time_diff (record->started, now) * US_PER_MS);
       ash_agent_finish_run (agent, now, record, end->whole,
                             end->whole ? ASH__REASON__REASON_NONE : ASH__REASON__ENDPOINT_FAILED);
     }
@@ -94,14 +94,14 @@
   DL_FOREACH_SAFE (agent->ledger.queued, record, next)
     {
       int64_t wait_ms = ash_agent_wait_ms (agent, work_us, slots);
-      int reason = ash_agent_hopeless (agent, now, record, wait_ms);
+      int reason = ash_agent_give_up_reason (agent, now, record, wait_ms);
 
       if (is_orphan (agent, now, record))
         reason = ASH__REASON__CANCELLED;
       if (reason != ASH__REASON__REASON_NONE)
         ash_agent_refuse (agent, now, record, reason, record->outcome);
       else
-        work_us += ash_agent_work_us (agent, record);
+        work_us += ash_agent_expected_run_us (agent, record);
     }
 }
 
@@ -123,7 +123,7 @@
         ash_agent_cancel_run (agent, now, record, ASH__REASON__CANCELLED);
       else if (!ash_time_before (now, late))
         ash_agent_cancel_run (agent, now, record, ASH__REASON__DEADLINE);
-      else if (!ash_time_before (now, agent->stop.answers_by))
+      else if (!ash_time_before (now, agent->stop.answer_deadline))
         ash_agent_cancel_run (agent, now, record, ASH__REASON__STOPPED);
     }
 }
@@ -132,7 +132,7 @@
  * begun to answer. Nothing to any of them for many steps: it stands still, and with
  * it its group. A plain service may well be silent. */
 static bool
-stands_still (const struct ash_agent *agent, struct ash_time now)
+is_stalled (const struct ash_agent *agent, struct ash_time now)
 {
   const struct ash_record *record;
 
@@ -160,7 +160,7 @@
 static void
 check_progress (struct ash_agent *agent, struct ash_time now)
 {
-  bool stalled = stands_still (agent, now);
+  bool stalled = is_stalled (agent, now);
 
   if (stalled != agent->stalled)
     ash_log_event (&agent->log, stalled ? ASH_EV_STALLED : ASH_EV_GOES_ON, "running=%u queued=%u",
--- a/controllers/agent_run.c
+++ b/controllers/agent_run.c
@@ -1,7 +1,7 @@
 #include "controllers/agent_run.h"
 
 #include "controllers/agent_admit.h"
-#include "controllers/agent_tell.h"
+#include "controllers/agent_send.h"
 
 #include <inttypes.h>
 
@@ -31,11 +31,11 @@
                  outcome);
   while ((watcher = record->watchers))
     {
-      struct ash_asker asker = { .peer = watcher->peer,
-                                 .id = record->id,
-                                 .attempt = watcher->attempt };
+      struct ash_requester requester = { .peer = watcher->peer,
+                                         .id = record->id,
+                                         .attempt = watcher->attempt };
 
-      ash_agent_tell_refused (agent, &asker, reason, outcome);
+      ash_agent_send_refused (agent, &requester, reason, outcome);
       ash_record_unwatch (record, watcher);
     }
 }
@@ -56,7 +56,7 @@
   ash_ledger_end (&agent->ledger, record, ASH_RECORD_FINISHED, expiry (agent, now, record));
   while ((watcher = record->watchers))
     {
-      ash_agent_tell_end (agent, record, watcher->peer, watcher->attempt, whole, reason);
+      ash_agent_send_end (agent, record, watcher->peer, watcher->attempt, whole, reason);
       ash_record_unwatch (record, watcher);
     }
 }
@@ -97,7 +97,7 @@
   start.no_repeat = submit->no_repeat;
   start.priority = submit->priority;
   ash_emit (&agent->sink, "", ASH__EVENT__KIND_ENGINE_START, &start);
-  ash_ledger_run (&agent->ledger, record);
+  ash_ledger_start (&agent->ledger, record);
   ash_id_format (record->id, id);
   ash_log_event (&agent->log, ASH_EV_RUN_STARTED, "id=%s wait_ms=%u", id, record->wait_ms);
 }
@@ -106,16 +106,16 @@
  * time: its deadline has passed, or will have when it could end, or the planned stop's
  * last answers will have gone out. */
 int
-ash_agent_hopeless (const struct ash_agent *agent,
-                    struct ash_time now,
-                    const struct ash_record *record,
-                    int64_t wait_ms)
+ash_agent_give_up_reason (const struct ash_agent *agent,
+                          struct ash_time now,
+                          const struct ash_record *record,
+                          int64_t wait_ms)
 {
   struct ash_time end = ash_time_add (now, wait_ms + ash_agent_run_ms (agent, record->priority));
 
   if (!ash_time_before (now, record->deadline))
     return ASH__REASON__DEADLINE;
-  if (!ash_time_before (end, agent->stop.answers_by))
+  if (!ash_time_before (end, agent->stop.answer_deadline))
     return ASH__REASON__LEAVING;
   return ash_time_before (record->deadline, end) ? ASH__REASON__OVERLOAD : ASH__REASON__REASON_NONE;
 }
@@ -126,7 +126,7 @@
   while (agent->ledger.queued && ash_agent_has_slot (agent))
     {
       struct ash_record *record = agent->ledger.queued;
-      int reason = ash_agent_hopeless (agent, now, record, 0);
+      int reason = ash_agent_give_up_reason (agent, now, record, 0);
 
       if (reason == ASH__REASON__REASON_NONE)
         start_run (agent, now, record);
--- a/controllers/agent_run.h
+++ b/controllers/agent_run.h
@@ -34,9 +34,9 @@
  * @return why a queued request is not to wait any longer, if it would start after
  * @p wait_ms, or REASON_NONE.
  */
-int ash_agent_hopeless (const struct ash_agent *agent,
-                        struct ash_time now,
-                        const struct ash_record *record,
-                        int64_t wait_ms);
+int ash_agent_give_up_reason (const struct ash_agent *agent,
+                              struct ash_time now,
+                              const struct ash_record *record,
+                              int64_t wait_ms);
 
 #endif
--- a/controllers/agent_tell.c
+++ b/controllers/agent_send.c
@@ -1,30 +1,30 @@
-#include "controllers/agent_tell.h"
+#include "controllers/agent_send.h"
 
 /* Largest piece of an answer in one message. */
 #define DATA_MAX_BYTES 65536
 
 void
-ash_agent_tell_refused (struct ash_agent *agent,
-                        const struct ash_asker *asker,
+ash_agent_send_refused (struct ash_agent *agent,
+                        const struct ash_requester *requester,
                         int reason,
                         int outcome)
 {
   struct Ash__Refused refused = ASH__REFUSED__INIT;
   uint32_t base_ms = agent->settings->retry_after_ms;
 
-  refused.id_hi = asker->id.hi;
-  refused.id_lo = asker->id.lo;
+  refused.id_hi = requester->id.hi;
+  refused.id_lo = requester->id.lo;
   refused.incarnation = agent->incarnation;
-  refused.attempt = asker->attempt;
+  refused.attempt = requester->attempt;
   refused.reason = (Ash__Reason) reason;
   refused.outcome = (Ash__Outcome) outcome;
   /* Spread, so that those refused together do not return together. */
   refused.retry_ms = base_ms + ash_random_below (&agent->random, base_ms);
-  ash_emit (&agent->sink, asker->peer, ASH__EVENT__KIND_REFUSED, &refused);
+  ash_emit (&agent->sink, requester->peer, ASH__EVENT__KIND_REFUSED, &refused);
 }
 
 void
-ash_agent_tell_head (struct ash_agent *agent,
+ash_agent_send_head (struct ash_agent *agent,
                      const struct ash_record *record,
                      const char *peer,
                      uint64_t attempt)
@@ -43,7 +43,7 @@
 
 /* Sends the kept bytes from that offset on. */
 void
-ash_agent_tell_data (struct ash_agent *agent,
+ash_agent_send_data (struct ash_agent *agent,
                      const struct ash_record *record,
                      const char *peer,
                      uint64_t attempt,
@@ -69,7 +69,7 @@
 }
 
 void
-ash_agent_tell_end (struct ash_agent *agent,
+ash_agent_send_end (struct ash_agent *agent,
                     const struct ash_record *record,
                     const char *peer,
                     uint64_t attempt,
--- a/controllers/agent_tell.h
+++ b/controllers/agent_send.h
@@ -3,13 +3,13 @@
  * What an agent tells entries: refusals, and answers piece by piece. Part of the
  * agent's core.
  */
-#ifndef ASH_AGENT_TELL_H
-#define ASH_AGENT_TELL_H
+#ifndef ASH_AGENT_SEND_H
+#define ASH_AGENT_SEND_H
 
 #include "controllers/agent.h"
 
 /** What Submit and Resume have in common: who asks for which request. */
-struct ash_asker
+struct ash_requester
 {
   const char *peer;
   struct ash_id id;
@@ -21,26 +21,26 @@
 };
 
 /** Tells a refusal, with a time to come back that is spread. */
-void ash_agent_tell_refused (struct ash_agent *agent,
-                             const struct ash_asker *asker,
+void ash_agent_send_refused (struct ash_agent *agent,
+                             const struct ash_requester *requester,
                              int reason,
                              int outcome);
 
 /** Tells the status of an answer, and that it begins. */
-void ash_agent_tell_head (struct ash_agent *agent,
+void ash_agent_send_head (struct ash_agent *agent,
                           const struct ash_record *record,
                           const char *peer,
                           uint64_t attempt);
 
 /** Tells the kept bytes of an answer from that offset on. */
-void ash_agent_tell_data (struct ash_agent *agent,
+void ash_agent_send_data (struct ash_agent *agent,
                           const struct ash_record *record,
                           const char *peer,
                           uint64_t attempt,
                           uint64_t offset);
 
 /** Tells that an answer has ended, whole or not. */
-void ash_agent_tell_end (struct ash_agent *agent,
+void ash_agent_send_end (struct ash_agent *agent,
                          const struct ash_record *record,
                          const char *peer,
                          uint64_t attempt,
--- a/controllers/ledger.c
+++ b/controllers/ledger.c
@@ -99,7 +99,7 @@
 }
 
 void
-ash_ledger_queue (struct ash_ledger *ledger, struct ash_record *record)
+ash_ledger_enqueue (struct ash_ledger *ledger, struct ash_record *record)
 {
   struct ash_record *at = ledger->queued;
 
@@ -114,7 +114,7 @@
 }
 
 void
-ash_ledger_run (struct ash_ledger *ledger, struct ash_record *record)
+ash_ledger_start (struct ash_ledger *ledger, struct ash_record *record)
 {
   DL_DELETE (ledger->queued, record);
   ledger->queued_count--;
@@ -166,7 +166,7 @@
 }
 
 void
-ash_ledger_revive (struct ash_ledger *ledger, struct ash_record *record)
+ash_ledger_reopen (struct ash_ledger *ledger, struct ash_record *record)
 {
   unlist_ended (ledger, record);
   record->state = ASH_RECORD_NEW;
--- a/controllers/ledger.h
+++ b/controllers/ledger.h
@@ -98,10 +98,10 @@
 struct ash_record *ash_ledger_add (struct ash_ledger *ledger, struct ash_id id);
 
 /** Puts a record into the queue, by priority and deadline. */
-void ash_ledger_queue (struct ash_ledger *ledger, struct ash_record *record);
+void ash_ledger_enqueue (struct ash_ledger *ledger, struct ash_record *record);
 
 /** Moves a queued record to the running ones. */
-void ash_ledger_run (struct ash_ledger *ledger, struct ash_record *record);
+void ash_ledger_start (struct ash_ledger *ledger, struct ash_record *record);
 
 /**
  * Writes down how a record ended, finished or refused, and until when that is
@@ -113,7 +113,7 @@
                      struct ash_time expires);
 
 /** Takes a refused record back for a later attempt: it is in no list then. */
-void ash_ledger_revive (struct ash_ledger *ledger, struct ash_record *record);
+void ash_ledger_reopen (struct ash_ledger *ledger, struct ash_record *record);
 
 /** Forgets what has expired, and answers above @p keep_bytes, oldest first. */
 void ash_ledger_expire (struct ash_ledger *ledger, struct ash_time now, uint64_t keep_bytes);
--- a/controllers/limits.c
+++ b/controllers/limits.c
@@ -70,8 +70,8 @@
   if (!limit)
     return NULL;
   strcpy (limit->name, name);
-  limit->left_micro = bucket->burst_micro;
-  limit->filled = now;
+  limit->tokens_micro = bucket->burst_micro;
+  limit->refilled = now;
   HASH_ADD_STR (*table, name, limit);
   return limit;
 }
@@ -82,14 +82,14 @@
 {
   int64_t missing;
 
-  limit->left_micro += ash_time_diff (limit->filled, now) * bucket->rate_micro_per_ms;
-  if (limit->left_micro > bucket->burst_micro)
-    limit->left_micro = bucket->burst_micro;
-  limit->filled = now;
-  missing = MICRO - limit->left_micro;
+  limit->tokens_micro += ash_time_diff (limit->refilled, now) * bucket->rate_micro_per_ms;
+  if (limit->tokens_micro > bucket->burst_micro)
+    limit->tokens_micro = bucket->burst_micro;
+  limit->refilled = now;
+  missing = MICRO - limit->tokens_micro;
   if (missing > 0)
     return (uint32_t) (missing / bucket->rate_micro_per_ms + 1);
-  limit->left_micro -= MICRO;
+  limit->tokens_micro -= MICRO;
   return 0;
 }
 
--- a/controllers/limits.h
+++ b/controllers/limits.h
@@ -17,8 +17,8 @@
 struct ash_limit
 {
   char name[ASH_NAME_BYTES];
-  int64_t left_micro;
-  struct ash_time filled;
+  int64_t tokens_micro;
+  struct ash_time refilled;
   UT_hash_handle hh;
 };
 
--- a/controllers/membership.c
+++ b/controllers/membership.c
@@ -61,7 +61,7 @@
     return false;
   is_new = box->incarnation != incarnation;
   box->linked = true;
-  box->heard = now;
+  box->heartbeat_at = now;
   box->suspect = false;
   box->role = role;
   box->revision = revision;
@@ -102,14 +102,14 @@
 bool
 ash_box_preferred (const struct ash_box *box)
 {
-  return ash_box_usable (box) && !box->suspect && !box->passed_until.ms;
+  return ash_box_usable (box) && !box->suspect && !box->ejected_until.ms;
 }
 
 /* Fewer boxes than this say nothing. */
-#define ALONE_BOXES_MIN 3
+#define ISOLATED_BOXES_MIN 3
 
 /* All declared boxes are looked up for it, at the size to come some thousands. */
-#define ALONE_PERIOD_MS 500
+#define ISOLATED_PERIOD_MS 500
 
 static uint32_t
 is_linked (const struct ash_membership *membership, const char *name)
@@ -120,9 +120,9 @@
 }
 
 bool
-ash_membership_alone (const struct ash_membership *membership,
-                      const struct ash_document *document,
-                      const char *self)
+ash_membership_isolated (const struct ash_membership *membership,
+                         const struct ash_document *document,
+                         const char *self)
 {
   uint32_t declared = 0;
   uint32_t linked = 0;
@@ -138,7 +138,7 @@
       declared++;
       linked += is_linked (membership, document->endpoints[i].name);
     }
-  return declared >= ALONE_BOXES_MIN && 2 * linked < declared;
+  return declared >= ISOLATED_BOXES_MIN && 2 * linked < declared;
 }
 
 void
@@ -149,14 +149,14 @@
 {
   for (struct ash_box *box = membership->boxes; box; box = box->hh.next)
     {
-      box->suspect = ash_time_diff (box->heard, now) >= settings->suspect_ms;
-      if (box->passed_until.ms && !ash_time_before (now, box->passed_until))
-        box->passed_until = (struct ash_time){ 0 };
+      box->suspect = ash_time_diff (box->heartbeat_at, now) >= settings->suspect_ms;
+      if (box->ejected_until.ms && !ash_time_before (now, box->ejected_until))
+        box->ejected_until = (struct ash_time){ 0 };
     }
-  if (ash_time_before (now, membership->alone_until))
+  if (ash_time_before (now, membership->isolated_recheck_at))
     return;
-  membership->alone_until = ash_time_add (now, ALONE_PERIOD_MS);
-  membership->alone = ash_membership_alone (membership, document, settings->box);
+  membership->isolated_recheck_at = ash_time_add (now, ISOLATED_PERIOD_MS);
+  membership->isolated = ash_membership_isolated (membership, document, settings->box);
 }
 
 bool
@@ -205,7 +205,9 @@
 }
 
 bool
-ash_membership_listed (struct ash_membership *membership, const char *name, bool leaving)
+ash_membership_set_listed_leaving (struct ash_membership *membership,
+                                   const char *name,
+                                   bool leaving)
 {
   struct ash_box *box = ash_membership_find (membership, name);
 
--- a/controllers/talk.c
+++ b/controllers/peer_period.c
@@ -1,12 +1,12 @@
-#include "controllers/talk.h"
+#include "controllers/peer_period.h"
 
 /* Heartbeats a second to all routers of other halls together: at the settings' 300 ms that many go
  * to 30 of them. Each takes some 200 bytes on a link between halls. */
-#define FAR_BEATS_S 100
+#define REMOTE_HEARTBEATS_PER_S 100
 
 /* Messages of loads a second to all of these. A router of another hall takes requests from here
  * only once the own hall has two more a rank, so it can do with older figures. */
-#define FAR_LOADS_S 400
+#define REMOTE_LOADS_PER_S 400
 
 #define MS_PER_S 1000
 
@@ -19,25 +19,27 @@
 }
 
 uint32_t
-ash_talk_far_beat_ms (uint32_t heartbeat_ms, uint32_t far_count)
+ash_peer_period_remote_heartbeat_ms (uint32_t heartbeat_ms, uint32_t remote_count)
 {
-  return at_least (heartbeat_ms, far_count, FAR_BEATS_S);
+  return at_least (heartbeat_ms, remote_count, REMOTE_HEARTBEATS_PER_S);
 }
 
 uint32_t
-ash_talk_far_load_ms (uint32_t load_period_ms, uint32_t far_count)
+ash_peer_period_remote_load_ms (uint32_t load_period_ms, uint32_t remote_count)
 {
-  return at_least (load_period_ms, far_count, FAR_LOADS_S);
+  return at_least (load_period_ms, remote_count, REMOTE_LOADS_PER_S);
 }
 
 uint32_t
-ash_talk_far_parts (uint32_t load_period_ms, uint32_t far_count)
+ash_peer_period_remote_parts (uint32_t load_period_ms, uint32_t remote_count)
 {
-  return load_period_ms ? ash_talk_far_load_ms (load_period_ms, far_count) / load_period_ms : 1;
+  return load_period_ms
+             ? ash_peer_period_remote_load_ms (load_period_ms, remote_count) / load_period_ms
+             : 1;
 }
 
 uint32_t
-ash_talk_silence_ms (uint32_t link_silence_ms, uint32_t heartbeat_ms, uint32_t period_ms)
+ash_peer_period_silence_ms (uint32_t link_silence_ms, uint32_t heartbeat_ms, uint32_t period_ms)
 {
   if (period_ms <= heartbeat_ms || !heartbeat_ms)
     return link_silence_ms;
--- a/controllers/planned_stop.c
+++ b/controllers/planned_stop.c
@@ -15,9 +15,9 @@
 {
   int64_t grace_ms = settings->grace_ms;
 
-  if (!grace_ms || ash_time_before (stop->answers_by, ASH_TIME_NEVER))
+  if (!grace_ms || ash_time_before (stop->answer_deadline, ASH_TIME_NEVER))
     return;
-  stop->answers_by = ash_time_add (now, grace_ms - MARGIN_MS);
+  stop->answer_deadline = ash_time_add (now, grace_ms - MARGIN_MS);
   stop->served_until =
       ash_time_add (now, (int64_t) settings->address_keep_ms + ASH_STOP_LINGER_MS + CONNECTED_MS);
 }
@@ -25,5 +25,5 @@
 struct ash_time
 ash_planned_stop_cap (const struct ash_planned_stop *stop, struct ash_time deadline)
 {
-  return ash_time_before (stop->answers_by, deadline) ? stop->answers_by : deadline;
+  return ash_time_before (stop->answer_deadline, deadline) ? stop->answer_deadline : deadline;
 }
--- a/controllers/planned_stop.h
+++ b/controllers/planned_stop.h
@@ -17,7 +17,7 @@
 struct ash_planned_stop
 {
   struct ash_time served_until; /**< callers that keep the address are served as ever until then */
-  struct ash_time answers_by;   /**< what has no answer then gets a final one */
+  struct ash_time answer_deadline; /**< what has no answer then gets a final one */
 };
 
 /** No stop. */
--- /dev/null
+++ b/controllers/pollers.c
@@ -0,0 +1,52 @@
+#include "controllers/pollers.h"
+
+#include <string.h>
+
+bool
+ash_pollers_before (struct ash_poller a, struct ash_poller b)
+{
+  if (a.link_mbps != b.link_mbps)
+    return a.link_mbps > b.link_mbps;
+  return strcmp (a.box, b.box) < 0;
+}
+
+/* How many of its hall come before it. Itself among the others does not count. */
+static uint32_t
+rank_in_hall (struct ash_poller poller, const struct ash_poller *others, size_t count)
+{
+  uint32_t before = 0;
+
+  for (size_t i = 0; i < count; i++)
+    before += ash_pollers_before (others[i], poller) && strcmp (others[i].hall, poller.hall) == 0;
+  return before;
+}
+
+bool
+ash_pollers_is_chosen (struct ash_poller own,
+                       const struct ash_poller *others,
+                       size_t count,
+                       uint32_t wanted)
+{
+  uint32_t own_place = rank_in_hall (own, others, count);
+  uint32_t before = 0;
+
+  /* Stops at the first few: of 400 routers all but those few are done soon. */
+  for (size_t i = 0; i < count && own_place < wanted && before < wanted; i++)
+    {
+      struct ash_poller other = others[i];
+      uint32_t place = rank_in_hall (other, others, count);
+
+      place += ash_pollers_before (own, other) && strcmp (own.hall, other.hall) == 0;
+      before += place < own_place || (place == own_place && ash_pollers_before (other, own));
+    }
+  return own_place < wanted && before < wanted;
+}
+
+bool
+ash_pollers_is_chosen_in_hall (struct ash_poller own,
+                               const struct ash_poller *others,
+                               size_t count,
+                               uint32_t wanted)
+{
+  return rank_in_hall (own, others, count) < wanted;
+}
--- a/controllers/quarantine.c
+++ b/controllers/quarantine.c
@@ -5,7 +5,7 @@
 
 /* How long a request is kept away after the last end under it. A caller that repeats it does so
  * within seconds or minutes; one that was kept away wrongly is not lost for the day. */
-#define KEEP_AWAY_MS (10 * 60 * 1000)
+#define QUARANTINE_MS (10 * 60 * 1000)
 
 /* Afterwards it may run again, and one more end keeps it away as before. Forgotten after so long
  * without one: by then the endpoints' software is likely another. */
@@ -14,13 +14,13 @@
 /* So many ends prove it where no part of the answer had come: requests that only happened to be
  * there have mostly begun to answer, and are cleared by their next run. The third end would stop a
  * group of ranks for seconds to prove what two have shown. */
-#define ENDS_SILENT 2
+#define EXITS_WITHOUT_ANSWER 2
 
 /* How long before a proof a connection may have ended for the same reason. Who is asked at once
  * answers within a tenth of a second; the list hears of a new life once it has started, some
  * seconds later. */
-#define REFUSES_MS 1000
-#define REBORN_MS 8000
+#define CONNECT_REFUSED_MS 1000
+#define RESTARTED_MS 8000
 
 /* A run is sent on in the millisecond in which the one before is seen to end, and peers' word of
  * an end is some milliseconds old. Runs that were under way side by side overlap by more. */
@@ -59,13 +59,13 @@
 }
 
 static bool
-is_proved (const struct ash_quarantine_suspect *suspect)
+is_confirmed (const struct ash_quarantine_suspect *suspect)
 {
   bool spoke = false;
 
   for (uint32_t i = 0; i < suspect->count; i++)
     spoke = spoke || suspect->runs[i].spoke;
-  return suspect->count >= (spoke ? ASH_QUARANTINE_RUNS : ENDS_SILENT);
+  return suspect->count >= (spoke ? ASH_QUARANTINE_RUNS : EXITS_WITHOUT_ANSWER);
 }
 
 /* Room for one more: of those that are not proved the one with the oldest evidence goes, else the
@@ -77,37 +77,39 @@
 
   if (HASH_COUNT (quarantine->suspects) < ASH_QUARANTINE_SUSPECTS_MAX)
     return;
-  while (suspect && is_proved (suspect))
+  while (suspect && is_confirmed (suspect))
     suspect = suspect->hh.next;
   drop (quarantine, suspect ? suspect : quarantine->suspects);
 }
 
 void
-ash_quarantine_cut (struct ash_quarantine *quarantine, const struct ash_quarantine_run *run)
+ash_quarantine_note_disconnect (struct ash_quarantine *quarantine,
+                                const struct ash_quarantine_run *run)
 {
-  quarantine->cuts[quarantine->cut_count++ % ASH_QUARANTINE_CUTS] = *run;
+  quarantine->disconnects[quarantine->disconnect_count++ % ASH_QUARANTINE_DISCONNECTS] = *run;
 }
 
 size_t
-ash_quarantine_ended (struct ash_quarantine *quarantine,
-                      uint64_t endpoint,
-                      enum ash_quarantine_proof proof,
-                      struct ash_time now,
-                      struct ash_quarantine_run *found)
+ash_quarantine_note_exit (struct ash_quarantine *quarantine,
+                          uint64_t endpoint,
+                          enum ash_quarantine_evidence proof,
+                          struct ash_time now,
+                          struct ash_quarantine_run *found)
 {
-  struct ash_time since =
-      ash_time_add (now, proof == ASH_QUARANTINE_REFUSES ? -REFUSES_MS : -REBORN_MS);
-  uint32_t kept =
-      quarantine->cut_count < ASH_QUARANTINE_CUTS ? quarantine->cut_count : ASH_QUARANTINE_CUTS;
+  struct ash_time since = ash_time_add (
+      now, proof == ASH_QUARANTINE_CONNECT_REFUSED ? -CONNECT_REFUSED_MS : -RESTARTED_MS);
+  uint32_t kept = quarantine->disconnect_count < ASH_QUARANTINE_DISCONNECTS
+                      ? quarantine->disconnect_count
+                      : ASH_QUARANTINE_DISCONNECTS;
   size_t count = 0;
 
-  for (uint32_t i = quarantine->cut_count - kept; i != quarantine->cut_count; i++)
+  for (uint32_t i = quarantine->disconnect_count - kept; i != quarantine->disconnect_count; i++)
     {
-      struct ash_quarantine_run *run = &quarantine->cuts[i % ASH_QUARANTINE_CUTS];
+      struct ash_quarantine_run *run = &quarantine->disconnects[i % ASH_QUARANTINE_DISCONNECTS];
 
       if (run->endpoint != endpoint || ash_time_before (run->ended, since))
         continue;
-      if (ash_quarantine_take (quarantine, run))
+      if (ash_quarantine_add_run (quarantine, run))
         found[count++] = *run;
       /* Told once. */
       run->endpoint = 0;
@@ -116,7 +118,7 @@
 }
 
 bool
-ash_quarantine_take (struct ash_quarantine *quarantine, const struct ash_quarantine_run *run)
+ash_quarantine_add_run (struct ash_quarantine *quarantine, const struct ash_quarantine_run *run)
 {
   struct ash_quarantine_suspect *suspect = find (quarantine, run->request);
 
@@ -142,7 +144,7 @@
 }
 
 uint32_t
-ash_quarantine_ends (const struct ash_quarantine *quarantine, struct ash_id request)
+ash_quarantine_exits (const struct ash_quarantine *quarantine, struct ash_id request)
 {
   const struct ash_quarantine_suspect *suspect = find (quarantine, request);
 
@@ -157,9 +159,9 @@
   const struct ash_quarantine_suspect *suspect = find (quarantine, request);
   int64_t left_ms;
 
-  if (!suspect || !is_proved (suspect))
+  if (!suspect || !is_confirmed (suspect))
     return 0;
-  left_ms = ash_time_diff (now, newest_of (suspect)->ended) + KEEP_AWAY_MS;
+  left_ms = ash_time_diff (now, newest_of (suspect)->ended) + QUARANTINE_MS;
   return left_ms > 0 ? left_ms : 0;
 }
 
--- a/controllers/quarantine.h
+++ b/controllers/quarantine.h
@@ -20,16 +20,16 @@
 #define ASH_QUARANTINE_RUNS 3
 
 /** Runs whose connection has ended, kept until it is known whether the endpoint has. */
-#define ASH_QUARANTINE_CUTS 128
+#define ASH_QUARANTINE_DISCONNECTS 128
 
 /** Requests that are suspected at most. */
 #define ASH_QUARANTINE_SUSPECTS_MAX 512
 
 /** What shows that an endpoint's process has ended. */
-enum ash_quarantine_proof
+enum ash_quarantine_evidence
 {
-  ASH_QUARANTINE_REFUSES, /**< nothing listens there, asked at once */
-  ASH_QUARANTINE_REBORN,  /**< the list tells of a later life under its id */
+  ASH_QUARANTINE_CONNECT_REFUSED, /**< nothing listens there, asked at once */
+  ASH_QUARANTINE_RESTARTED,       /**< the list tells of a later life under its id */
 };
 
 /** A run of a request under which its connection, or the endpoint itself, ended. */
@@ -55,31 +55,33 @@
 struct ash_quarantine
 {
   struct ash_quarantine_suspect *suspects; /**< the one with the newest evidence last */
-  struct ash_quarantine_run cuts[ASH_QUARANTINE_CUTS];
-  uint32_t cut_count; /**< since the start; the newest is the one before */
+  struct ash_quarantine_run disconnects[ASH_QUARANTINE_DISCONNECTS];
+  uint32_t disconnect_count; /**< since the start; the newest is the one before */
 };
 
 void ash_quarantine_finish (struct ash_quarantine *quarantine);
 
 /** A connection ended under a run; whether the endpoint did is not known yet. */
-void ash_quarantine_cut (struct ash_quarantine *quarantine, const struct ash_quarantine_run *run);
+void ash_quarantine_note_disconnect (struct ash_quarantine *quarantine,
+                                     const struct ash_quarantine_run *run);
 
 /**
  * An endpoint has ended; the runs whose connections there ended shortly before are evidence.
- * @param found those that are new evidence; room for ASH_QUARANTINE_CUTS.
+ * @param found those that are new evidence; room for ASH_QUARANTINE_DISCONNECTS.
  * @return how many.
  */
-size_t ash_quarantine_ended (struct ash_quarantine *quarantine,
-                             uint64_t endpoint,
-                             enum ash_quarantine_proof proof,
-                             struct ash_time now,
-                             struct ash_quarantine_run *found);
+size_t ash_quarantine_note_exit (struct ash_quarantine *quarantine,
+                                 uint64_t endpoint,
+                                 enum ash_quarantine_evidence proof,
+                                 struct ash_time now,
+                                 struct ash_quarantine_run *found);
 
 /** Takes a run as evidence. @return false if it tells nothing new, or memory is short. */
-bool ash_quarantine_take (struct ash_quarantine *quarantine, const struct ash_quarantine_run *run);
+bool ash_quarantine_add_run (struct ash_quarantine *quarantine,
+                             const struct ash_quarantine_run *run);
 
 /** @return how many endpoints' ends are known under this request, up to ASH_QUARANTINE_RUNS. */
-uint32_t ash_quarantine_ends (const struct ash_quarantine *quarantine, struct ash_id request);
+uint32_t ash_quarantine_exits (const struct ash_quarantine *quarantine, struct ash_id request);
 
 /** @return for how many ms more the request is kept away from endpoints; 0: it is not. */
 int64_t ash_quarantine_left_ms (const struct ash_quarantine *quarantine,
--- a/controllers/rate_limit.c
+++ b/controllers/rate_limit.c
@@ -3,53 +3,53 @@
 #include "common/random.h"
 
 /* A rate that differs by less than this part of it is no news. */
-#define SAME_PART 10
+#define CHANGE_MIN_DIVISOR 10
 
 /* An endpoint that names less gets so much all the same: else nobody would hear for long that it
  * names none any more. */
-#define LEAST_PER_S 0.25
+#define RATE_MIN_PER_S 0.25
 
 /* Routers that hold a part: few at a small rate, since each may send one request at once. For a
  * while some may see more routers than others, and both hold what is one part. */
-#define HOLDERS_LEAST 2.0
+#define HOLDERS_BASE 2.0
 #define HOLDERS_PER_S 1.5
 
 /* Requests that may go at once, over all that hold a part, beside the rate itself. */
-#define BURST_LEAST 3.0
+#define BURST_BASE 3.0
 #define BURST_PER_S 1.0
 
 #define MS_PER_S 1000.0
 #define MILLI 1000.0
 
 static bool
-is_news (uint32_t before, uint32_t after)
+is_changed (uint32_t before, uint32_t after)
 {
   uint32_t apart = before > after ? before - after : after - before;
 
-  return !before != !after || apart > before / SAME_PART;
+  return !before != !after || apart > before / CHANGE_MIN_DIVISOR;
 }
 
 bool
-ash_rate_limit_heard (struct ash_rate_limit *limit,
-                      uint32_t milli_per_s,
-                      struct ash_time said,
-                      struct ash_time asked)
+ash_rate_limit_update (struct ash_rate_limit *limit,
+                       uint32_t milli_per_s,
+                       struct ash_time said,
+                       struct ash_time asked)
 {
   uint32_t before = limit->milli_per_s;
 
   if (!before && !milli_per_s)
     return false;
-  if (!ash_time_before (limit->heard, said))
+  if (!ash_time_before (limit->updated, said))
     return false;
-  if (!milli_per_s && ash_time_before (asked, limit->heard))
+  if (!milli_per_s && ash_time_before (asked, limit->updated))
     return false;
   limit->milli_per_s = milli_per_s;
-  limit->heard = said;
+  limit->updated = said;
   if (before != milli_per_s)
     limit->members = 0;
   if (!before)
-    ash_rate_limit_waive (limit);
-  return is_news (before, milli_per_s);
+    ash_rate_limit_release (limit);
+  return is_changed (before, milli_per_s);
 }
 
 uint64_t
@@ -61,62 +61,62 @@
   return ash_random_next (&random);
 }
 
-/* What is saved by now. */
+/* What is tokens by now. */
 static double
-saved (const struct ash_rate_limit *limit, struct ash_time now)
+tokens (const struct ash_rate_limit *limit, struct ash_time now)
 {
-  double more = limit->part_per_s * (double) ash_time_diff (limit->filled, now) / MS_PER_S;
-  double sum = limit->saved + (more > 0 ? more : 0);
+  double more = limit->part_per_s * (double) ash_time_diff (limit->refilled, now) / MS_PER_S;
+  double sum = limit->tokens + (more > 0 ? more : 0);
 
   return sum < limit->burst ? sum : limit->burst;
 }
 
 void
-ash_rate_limit_deal (struct ash_rate_limit *limit,
-                     struct ash_time now,
-                     uint64_t members,
-                     uint32_t count,
-                     uint32_t before)
+ash_rate_limit_assign (struct ash_rate_limit *limit,
+                       struct ash_time now,
+                       uint64_t members,
+                       uint32_t count,
+                       uint32_t before)
 {
   double per_s = limit->milli_per_s / MILLI;
-  double holders = HOLDERS_LEAST + HOLDERS_PER_S * per_s;
+  double holders = HOLDERS_BASE + HOLDERS_PER_S * per_s;
 
   holders = holders < count ? (uint32_t) holders : count;
   if (before >= holders)
     {
-      ash_rate_limit_waive (limit);
+      ash_rate_limit_release (limit);
       limit->members = members;
       return;
     }
-  limit->saved = saved (limit, now);
-  limit->filled = now;
+  limit->tokens = tokens (limit, now);
+  limit->refilled = now;
   limit->members = members;
-  limit->part_per_s = (per_s < LEAST_PER_S ? LEAST_PER_S : per_s) / holders;
-  limit->burst = (BURST_LEAST + BURST_PER_S * per_s) / holders;
+  limit->part_per_s = (per_s < RATE_MIN_PER_S ? RATE_MIN_PER_S : per_s) / holders;
+  limit->burst = (BURST_BASE + BURST_PER_S * per_s) / holders;
   if (limit->burst < 1)
     limit->burst = 1;
 }
 
 void
-ash_rate_limit_waive (struct ash_rate_limit *limit)
+ash_rate_limit_release (struct ash_rate_limit *limit)
 {
   limit->members = 0;
   limit->part_per_s = 0;
   limit->burst = 0;
-  limit->saved = 0;
+  limit->tokens = 0;
 }
 
 int64_t
-ash_rate_limit_opens_ms (const struct ash_rate_limit *limit, struct ash_time now)
+ash_rate_limit_wait_ms (const struct ash_rate_limit *limit, struct ash_time now)
 {
-  double lacks;
+  double missing;
 
   if (!limit->milli_per_s)
     return 0;
-  lacks = 1 - saved (limit, now);
-  if (lacks <= 0)
+  missing = 1 - tokens (limit, now);
+  if (missing <= 0)
     return 0;
-  return limit->part_per_s > 0 ? (int64_t) (lacks / limit->part_per_s * MS_PER_S) + 1 : -1;
+  return limit->part_per_s > 0 ? (int64_t) (missing / limit->part_per_s * MS_PER_S) + 1 : -1;
 }
 
 void
@@ -124,6 +124,6 @@
 {
   if (!limit->milli_per_s)
     return;
-  limit->saved = saved (limit, now) - 1;
-  limit->filled = now;
+  limit->tokens = tokens (limit, now) - 1;
+  limit->refilled = now;
 }
--- a/controllers/rate_limit.h
+++ b/controllers/rate_limit.h
@@ -17,13 +17,13 @@
  */
 struct ash_rate_limit
 {
-  uint32_t milli_per_s;  /**< in thousandths; 0: none */
-  struct ash_time heard; /**< when the endpoint last named one, or no longer did */
+  uint32_t milli_per_s;    /**< in thousandths; 0: none */
+  struct ash_time updated; /**< when the endpoint last named one, or no longer did */
   uint64_t members; /**< a digest of the routers among which the part was dealt; 0: it was not */
   double part_per_s;
-  double burst;           /**< requests of the part that may go at once */
-  double saved;           /**< of these, as of the next */
-  struct ash_time filled; /**< when it was worked out */
+  double burst;             /**< requests of the part that may go at once */
+  double tokens;            /**< of these, as of the next */
+  struct ash_time refilled; /**< when it was worked out */
 };
 
 /**
@@ -35,10 +35,10 @@
  * @return whether that is new: a rate where there was none, none where there was one, or one that
  * differs by more than a tenth.
  */
-bool ash_rate_limit_heard (struct ash_rate_limit *limit,
-                           uint32_t milli_per_s,
-                           struct ash_time said,
-                           struct ash_time asked);
+bool ash_rate_limit_update (struct ash_rate_limit *limit,
+                            uint32_t milli_per_s,
+                            struct ash_time said,
+                            struct ash_time asked);
 
 /** @return where a router stands among those that may hold a part of an endpoint's rate: the lowest
  * are the first to hold one. Both are named by hashes. */
@@ -50,17 +50,17 @@
  * @param count how many they are.
  * @param before how many of them come before this one.
  */
-void ash_rate_limit_deal (struct ash_rate_limit *limit,
-                          struct ash_time now,
-                          uint64_t members,
-                          uint32_t count,
-                          uint32_t before);
+void ash_rate_limit_assign (struct ash_rate_limit *limit,
+                            struct ash_time now,
+                            uint64_t members,
+                            uint32_t count,
+                            uint32_t before);
 
 /** This router gets no part any more. */
-void ash_rate_limit_waive (struct ash_rate_limit *limit);
+void ash_rate_limit_release (struct ash_rate_limit *limit);
 
 /** @return in how many ms the endpoint may get a request; 0: now; below 0: it may not. */
-int64_t ash_rate_limit_opens_ms (const struct ash_rate_limit *limit, struct ash_time now);
+int64_t ash_rate_limit_wait_ms (const struct ash_rate_limit *limit, struct ash_time now);
 
 /** A request leaves for the endpoint. */
 void ash_rate_limit_spend (struct ash_rate_limit *limit, struct ash_time now);
--- a/controllers/readers.c
+++ b/controllers/readers.c
@@ -3,13 +3,13 @@
 #include <string.h>
 
 static uint64_t
-place_of (const struct ash_entry_box *entry)
+order_of (const struct ash_entry_box *entry)
 {
   return ash_hash_pair ((struct ash_id){ ash_hash_text (entry->hall), 0 }, entry->name);
 }
 
 static bool
-says_it_reads (const struct ash_box *box)
+reports_reading (const struct ash_box *box)
 {
   return box && box->reads_platform && ash_box_usable (box);
 }
@@ -31,8 +31,8 @@
     {
       const struct ash_entry_box *other = &document->entries[i];
 
-      if (strcmp (other->hall, own->hall) == 0 && place_of (other) > place_of (own))
-        before += says_it_reads (ash_membership_find (membership, other->name));
+      if (strcmp (other->hall, own->hall) == 0 && order_of (other) > order_of (own))
+        before += reports_reading (ash_membership_find (membership, other->name));
     }
   return before < per_hall;
 }
@@ -41,7 +41,7 @@
 ash_readers_any (const struct ash_membership *membership)
 {
   for (const struct ash_box *box = membership->boxes; box; box = box->hh.next)
-    if (says_it_reads (box))
+    if (reports_reading (box))
       return true;
   return false;
 }
--- a/controllers/resend_window.c
+++ b/controllers/resend_window.c
@@ -2,20 +2,20 @@
 
 /* An entry uses this part of what it might: clients count differently from here, and
  * an entry that was just replaced has forgotten what it spent. */
-#define USED_PART 0.6
+#define USED_FRACTION 0.6
 
 /* One step is in part outside the window; so the newest steps cover it whole. */
-#define WINDOW_STEPS (ASH_RESEND_STEPS - 2)
+#define WINDOW_BUCKETS (ASH_RESEND_BUCKETS - 2)
 
 static void
-move_on (struct ash_resend_window *window,
+advance (struct ash_resend_window *window,
          const struct ash_resend_bound *bound,
          struct ash_time now)
 {
-  int64_t step_ms = bound->window_ms / WINDOW_STEPS + 1;
+  int64_t step_ms = bound->window_ms / WINDOW_BUCKETS + 1;
   int64_t step = now.ms / step_ms;
 
-  if (step - window->step >= ASH_RESEND_STEPS)
+  if (step - window->step >= ASH_RESEND_BUCKETS)
     {
       *window = (struct ash_resend_window){ .step = step };
       return;
@@ -23,8 +23,8 @@
   while (window->step < step)
     {
       window->step++;
-      window->requests[window->step % ASH_RESEND_STEPS] = 0;
-      window->resends[window->step % ASH_RESEND_STEPS] = 0;
+      window->requests[window->step % ASH_RESEND_BUCKETS] = 0;
+      window->resends[window->step % ASH_RESEND_BUCKETS] = 0;
     }
 }
 
@@ -33,8 +33,8 @@
                            const struct ash_resend_bound *bound,
                            struct ash_time now)
 {
-  move_on (window, bound, now);
-  window->requests[window->step % ASH_RESEND_STEPS]++;
+  advance (window, bound, now);
+  window->requests[window->step % ASH_RESEND_BUCKETS]++;
 }
 
 bool
@@ -47,15 +47,15 @@
   uint32_t resends = 0;
   double allowed;
 
-  move_on (window, bound, now);
-  for (uint32_t i = 0; i < ASH_RESEND_STEPS; i++)
+  advance (window, bound, now);
+  for (uint32_t i = 0; i < ASH_RESEND_BUCKETS; i++)
     {
       requests += window->requests[i];
       resends += window->resends[i];
     }
-  allowed = USED_PART * (bound->ratio * requests + bound->slack / (entries ? entries : 1));
+  allowed = USED_FRACTION * (bound->ratio * requests + bound->slack / (entries ? entries : 1));
   if (resends + 1 > allowed)
     return false;
-  window->resends[window->step % ASH_RESEND_STEPS]++;
+  window->resends[window->step % ASH_RESEND_BUCKETS]++;
   return true;
 }
--- a/controllers/resend_window.h
+++ b/controllers/resend_window.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 
 /** Steps that a window is counted in. */
-#define ASH_RESEND_STEPS 12
+#define ASH_RESEND_BUCKETS 12
 
 /** What the bound is made of. */
 struct ash_resend_bound
@@ -27,8 +27,8 @@
 struct ash_resend_window
 {
   int64_t step; /**< number of the newest step */
-  uint32_t requests[ASH_RESEND_STEPS];
-  uint32_t resends[ASH_RESEND_STEPS];
+  uint32_t requests[ASH_RESEND_BUCKETS];
+  uint32_t resends[ASH_RESEND_BUCKETS];
 };
 
 /** A request came in. */
--- a/controllers/route_table.c
+++ b/controllers/route_table.c
@@ -230,9 +230,9 @@
 }
 
 uint32_t
-ash_route_table_draw (const struct ash_route_table *table,
-                      const struct ash_route *route,
-                      uint64_t draw)
+ash_route_table_pick_service (const struct ash_route_table *table,
+                              const struct ash_route *route,
+                              uint64_t draw)
 {
   const struct ash_route_part *parts = &table->parts[route->part_first];
   uint64_t total = 0;
--- a/controllers/route_table.h
+++ b/controllers/route_table.h
@@ -167,8 +167,8 @@
 uint32_t ash_route_table_service (const struct ash_route_table *table, const char *name);
 
 /** Takes one part of a route by weight. @param draw any number. @return a service's index. */
-uint32_t ash_route_table_draw (const struct ash_route_table *table,
-                               const struct ash_route *route,
-                               uint64_t draw);
+uint32_t ash_route_table_pick_service (const struct ash_route_table *table,
+                                       const struct ash_route *route,
+                                       uint64_t draw);
 
 #endif
--- a/controllers/departed.c
+++ b/controllers/tombstones.c
@@ -1,4 +1,4 @@
-#include "controllers/departed.h"
+#include "controllers/tombstones.h"
 
 #include <stddef.h>
 
@@ -6,23 +6,23 @@
  * later. One that is still there belongs to an endpoint that lives. */
 #define LAPSE_MS 6000
 
-static struct ash_departed_one *
-find (struct ash_departed *departed, uint64_t endpoint)
+static struct ash_tombstone *
+find (struct ash_tombstones *tombstones, uint64_t endpoint)
 {
-  for (uint32_t i = 0; i < ASH_DEPARTED_MAX; i++)
-    if (departed->items[i].endpoint == endpoint)
-      return &departed->items[i];
+  for (uint32_t i = 0; i < ASH_TOMBSTONES_MAX; i++)
+    if (tombstones->items[i].endpoint == endpoint)
+      return &tombstones->items[i];
   return NULL;
 }
 
 void
-ash_departed_note (struct ash_departed *departed, const struct ash_departed_one *one)
+ash_tombstones_add (struct ash_tombstones *tombstones, const struct ash_tombstone *one)
 {
-  struct ash_departed_one *found = find (departed, one->endpoint);
+  struct ash_tombstone *found = find (tombstones, one->endpoint);
   bool draining = found && found->draining && found->born_ms == one->born_ms;
 
   if (!found)
-    found = &departed->items[departed->next++ % ASH_DEPARTED_MAX];
+    found = &tombstones->items[tombstones->next++ % ASH_TOMBSTONES_MAX];
   *found = *one;
   /* One that said that it was leaving and is then missing has said it all the same. */
   found->draining = found->draining || draining;
@@ -31,24 +31,24 @@
 /* Born is another machine's time of day, which may jump: it tells two lives apart, not which came
  * first. */
 static bool
-is_other_life (const struct ash_departed_one *one, int64_t born_ms)
+is_other_incarnation (const struct ash_tombstone *one, int64_t born_ms)
 {
   return born_ms && one->born_ms && born_ms != one->born_ms;
 }
 
 bool
-ash_departed_doubts (struct ash_departed *departed,
-                     struct ash_time now,
-                     uint64_t endpoint,
-                     int64_t born_ms,
-                     uint64_t era)
+ash_tombstones_is_stale (struct ash_tombstones *tombstones,
+                         struct ash_time now,
+                         uint64_t endpoint,
+                         int64_t born_ms,
+                         uint64_t era)
 {
-  struct ash_departed_one *found = find (departed, endpoint);
+  struct ash_tombstone *found = find (tombstones, endpoint);
 
   if (!found)
     return false;
   /* Within one era an entry that comes back was written again. */
-  if (era <= found->era || is_other_life (found, born_ms))
+  if (era <= found->era || is_other_incarnation (found, born_ms))
     {
       found->endpoint = 0;
       return false;
@@ -62,11 +62,11 @@
 }
 
 uint64_t
-ash_departed_due (struct ash_departed *departed, struct ash_time now)
+ash_tombstones_pop_expired (struct ash_tombstones *tombstones, struct ash_time now)
 {
-  for (uint32_t i = 0; i < ASH_DEPARTED_MAX; i++)
+  for (uint32_t i = 0; i < ASH_TOMBSTONES_MAX; i++)
     {
-      struct ash_departed_one *one = &departed->items[i];
+      struct ash_tombstone *one = &tombstones->items[i];
       uint64_t endpoint = one->endpoint;
 
       if (!endpoint || one->draining || !one->listed.ms ||
--- a/daemon/api.c
+++ b/daemon/api.c
@@ -424,7 +424,7 @@
   else if (box->linked && box->suspect)
     state = "suspect";
   else if (box->linked)
-    state = box->passed_until.ms ? "stalled" : "live";
+    state = box->ejected_until.ms ? "stalled" : "live";
   return json_pack ("{s:s, s:s, s:s, s:I, s:i, s:i}", "box", box->name, "role",
                     box->role == ASH__ROLE__ENTRY ? "entry" : "endpoint", "state", state,
                     "revision", (json_int_t) box->revision, "in_flight", (int) box->in_flight,
--- a/daemon/catch_up.c
+++ b/daemon/catch_up.c
@@ -75,11 +75,11 @@
 follow (struct ash_catch_up *catch_up, enum ash_store_part part, struct ash_time now)
 {
   struct ash_router *router = catch_up->router;
-  struct ash_peer_news *news = &catch_up->news[part];
+  struct ash_peer_version *news = &catch_up->news[part];
   uint64_t own = own_revision (router, part);
   const struct ash_fleet_peer *peer;
 
-  if (!ash_peer_news_behind (news, now, own, patience_ms (router, part)) ||
+  if (!ash_peer_version_is_behind (news, now, own, patience_ms (router, part)) ||
       ash_time_diff (catch_up->asked[part], now) < ASK_PERIOD_MS)
     return;
   if (part == ASH_STORE_SERVERS)
@@ -115,20 +115,20 @@
                    const struct ash_fleet_peer *peer)
 {
   const struct ash_router *router = catch_up->router;
-  struct ash_peer_news *list = &catch_up->news[ASH_STORE_SERVERS];
+  struct ash_peer_version *list = &catch_up->news[ASH_STORE_SERVERS];
   uint64_t own_list = own_revision (router, ASH_STORE_SERVERS);
 
-  ash_peer_news_told (&catch_up->news[ASH_STORE_CONFIG], now, peer->version,
-                      own_revision (router, ASH_STORE_CONFIG));
+  ash_peer_version_reported (&catch_up->news[ASH_STORE_CONFIG], now, peer->version,
+                             own_revision (router, ASH_STORE_CONFIG));
   /* The revision of a list grows with whatever changes in the store, so only lists that differ
    * count. They do for some ms at each change that comes to a peer first. Of a peer that tells no
    * digest nobody knows whether its list differs: it is of use only without the store. */
   if (!peer->endpoints_digest && ash_store_answers (&router->store, ASH_STORE_SERVERS))
-    ash_peer_news_same (list, now, own_list, own_list);
+    ash_peer_version_equal (list, now, own_list, own_list);
   else if (peer->endpoints_digest != router->store.digest)
-    ash_peer_news_told (list, now, peer->endpoints_revision, own_list);
+    ash_peer_version_reported (list, now, peer->endpoints_revision, own_list);
   else
-    ash_peer_news_same (list, now, peer->endpoints_revision, own_list);
+    ash_peer_version_equal (list, now, peer->endpoints_revision, own_list);
   ash_catch_up_tick (catch_up, now);
 }
 
@@ -142,8 +142,8 @@
 bool
 ash_catch_up_behind (struct ash_catch_up *catch_up, struct ash_time now)
 {
-  return ash_peer_news_behind (&catch_up->news[ASH_STORE_CONFIG], now,
-                               own_revision (catch_up->router, ASH_STORE_CONFIG), 0);
+  return ash_peer_version_is_behind (&catch_up->news[ASH_STORE_CONFIG], now,
+                                     own_revision (catch_up->router, ASH_STORE_CONFIG), 0);
 }
 
 /* ---- changes of the configuration ---- */
--- a/daemon/catch_up.h
+++ b/daemon/catch_up.h
@@ -8,7 +8,7 @@
 #define ASH_CATCH_UP_H
 
 #include "controllers/config_delta.h"
-#include "controllers/peer_news.h"
+#include "controllers/peer_version.h"
 #include "proto/event.h"
 
 struct ash_fleet_peer;
@@ -21,7 +21,7 @@
 struct ash_catch_up
 {
   struct ash_router *router;
-  struct ash_peer_news news[ASH_CATCH_UP_PARTS];
+  struct ash_peer_version news[ASH_CATCH_UP_PARTS];
   struct ash_time asked[ASH_CATCH_UP_PARTS]; /**< when a peer was last asked */
 };
 
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -26,8 +26,8 @@
   struct ash_time next_link_check;
   struct ash_time stop_since;
   bool serving;
-  bool alone;  /* sees so few boxes that it suspects itself */
-  bool failed; /* it could not begin to serve */
+  bool isolated; /* sees so few boxes that it suspects itself */
+  bool failed;   /* it could not begin to serve */
 };
 
 /* ---- links ---- */
@@ -164,12 +164,12 @@
 static void
 note_alone (struct entry *entry)
 {
-  bool alone = entry->serving && entry->core.membership.alone;
+  bool isolated = entry->serving && entry->core.membership.isolated;
 
-  if (alone != entry->alone)
-    ash_log_event (&entry->daemon.log, alone ? ASH_EV_ALONE : ASH_EV_NOT_ALONE, "endpoints=%u",
+  if (isolated != entry->isolated)
+    ash_log_event (&entry->daemon.log, isolated ? ASH_EV_ALONE : ASH_EV_NOT_ALONE, "endpoints=%u",
                    entry->core.config.document.endpoint_count);
-  entry->alone = alone;
+  entry->isolated = isolated;
 }
 
 static uint32_t
@@ -284,7 +284,7 @@
 {
   struct entry *entry = data;
 
-  if (!ash_membership_listed (&entry->core.membership, name, leaving) || !leaving)
+  if (!ash_membership_set_listed_leaving (&entry->core.membership, name, leaving) || !leaving)
     return;
   ash_log_event (&entry->daemon.log, ASH_EV_BOX_LEAVING, "box=%s source=platform", name);
   ash_peers_send_heartbeats (&entry->daemon.peers);
--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -29,7 +29,7 @@
     .entries = ash_fleet_size (&router->fleet),
     .hall = router->settings.hall,
     .own = router->incarnation,
-    .far_parts = ash_fleet_far_parts (&router->fleet),
+    .remote_parts = ash_fleet_far_parts (&router->fleet),
     .wait_ms = router->settings.wait_ms,
     .gate = exchange->forward.pause_aim_ms ? &service->gate : NULL,
     .quarantined_ms = ash_exchange_quarantined_ms (exchange, ash_clock_now ()),
@@ -102,7 +102,7 @@
       ash_exchange_step (exchange);
       return;
     }
-  ash_direct_sent (endpoint, exchange->sent);
+  ash_direct_note_sent (endpoint, exchange->sent);
   exchange->endpoint = endpoint;
   ash_fleet_loads_changed (&router->fleet);
   set_timer (exchange, ASH_TIME_NEVER);
@@ -157,7 +157,7 @@
 
   if (answer->not_run)
     {
-      ash_exchange_saw (exchange, answer->status == ASH_STATUS_OTHER_SERVER ? ASH_DIRECT_MISSING
+      ash_exchange_saw (exchange, answer->status == ASH_STATUS_OTHER_SERVER ? ASH_DIRECT_UNREACHABLE
                                                                             : ASH_DIRECT_FULL);
       ash_exchange_release (exchange);
       ash_forward_not_run (&exchange->forward, true);
@@ -192,7 +192,8 @@
     }
   if (end == ASH_CALL_TRUNCATED)
     ash_exchange_note_cut (exchange);
-  ash_exchange_saw (exchange, end == ASH_CALL_NOT_SENT ? ASH_DIRECT_MISSING : ASH_DIRECT_CUT);
+  ash_exchange_saw (exchange,
+                    end == ASH_CALL_NOT_SENT ? ASH_DIRECT_UNREACHABLE : ASH_DIRECT_BROKEN);
   ash_exchange_release (exchange);
   if (end == ASH_CALL_NOT_SENT)
     ash_forward_not_run (&exchange->forward, false);
@@ -234,7 +235,7 @@
           set_timer (exchange, ASH_TIME_NEVER);
           return;
         }
-      ash_exchange_saw (exchange, connecting ? ASH_DIRECT_MISSING : ASH_DIRECT_SILENT);
+      ash_exchange_saw (exchange, connecting ? ASH_DIRECT_UNREACHABLE : ASH_DIRECT_TIMED_OUT);
       if (!connecting)
         ash_exchange_doubt_connections (exchange, now);
       ash_http_call_cancel (&exchange->call);
--- a/daemon/exchange.h
+++ b/daemon/exchange.h
@@ -79,7 +79,7 @@
 /* ---- exchange_watch.c: the endpoint that has it ---- */
 
 /** Takes evidence on the endpoint, and logs if that is passed over from now on. */
-void ash_exchange_saw (struct ash_exchange *exchange, enum ash_direct_evidence evidence);
+void ash_exchange_saw (struct ash_exchange *exchange, enum ash_direct_result evidence);
 
 /**
  * @param until when the exchange is to be looked at again at the latest.
--- a/daemon/exchange_answer.c
+++ b/daemon/exchange_answer.c
@@ -89,7 +89,7 @@
   if (pause_ms < 1)
     return;
   note_pass (exchange, pause_ms);
-  ash_direct_paused (exchange->endpoint, exchange->heard, pause_ms);
+  ash_direct_note_pause (exchange->endpoint, exchange->heard, pause_ms);
   ash_map_manager_add_pause (&exchange->router->groups, exchange->endpoint->hash, pause_ms);
 }
 
--- a/daemon/exchange_cut.c
+++ b/daemon/exchange_cut.c
@@ -61,7 +61,7 @@
                     &run);
   /* What ended an endpoint before may be ending the next one now: it is not sent on before that is
    * known. Others are not held up. */
-  if (ash_quarantine_ends (&suspects->quarantine, run.request))
+  if (ash_quarantine_exits (&suspects->quarantine, run.request))
     exchange->asked = run.endpoint;
 }
 
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -24,18 +24,18 @@
 #define DOUBT_PART 2
 
 void
-ash_exchange_saw (struct ash_exchange *exchange, enum ash_direct_evidence evidence)
+ash_exchange_saw (struct ash_exchange *exchange, enum ash_direct_result evidence)
 {
   struct ash_direct_endpoint *endpoint = exchange->endpoint;
   struct ash_time now = ash_clock_now ();
-  bool passed = ash_time_before (now, endpoint->passed_until);
+  bool passed = ash_time_before (now, endpoint->ejected_until);
 
-  ash_direct_saw (endpoint, now, evidence);
-  if (!passed && evidence != ASH_DIRECT_FULL && ash_time_before (now, endpoint->passed_until))
+  ash_direct_note_result (endpoint, now, evidence);
+  if (!passed && evidence != ASH_DIRECT_FULL && ash_time_before (now, endpoint->ejected_until))
     ash_log_event (&exchange->router->log, ASH_EV_ENDPOINT_PASSED,
                    "id=%s endpoint=%s evidence=%d failures=%u for_ms=%lld",
                    ash_exchange_id (exchange), endpoint->facts.id, (int) evidence,
-                   endpoint->failures, (long long) ash_time_diff (now, endpoint->passed_until));
+                   endpoint->failures, (long long) ash_time_diff (now, endpoint->ejected_until));
 }
 
 static struct ash_time
@@ -118,7 +118,7 @@
   int64_t silent_ms = ash_time_diff (exchange->heard, now);
 
   if (silent_ms >= silence_ms (exchange))
-    ash_exchange_saw (exchange, ASH_DIRECT_SILENT);
+    ash_exchange_saw (exchange, ASH_DIRECT_TIMED_OUT);
   if (silent_ms >= doubt_ms (exchange))
     ash_exchange_doubt_connections (exchange, now);
 }
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -1,7 +1,7 @@
 #include "daemon/fleet.h"
 
 #include "common/id.h"
-#include "controllers/talk.h"
+#include "controllers/peer_period.h"
 #include "daemon/fleet_loads.h"
 #include "daemon/fleet_roles.h"
 #include "daemon/fleet_terms.h"
@@ -246,7 +246,7 @@
 
   if (!peer || ash_fleet_audience_of (fleet, peer) == ASH_FLEET_NEAR)
     return heartbeat_ms;
-  return ash_talk_far_beat_ms (heartbeat_ms, fleet->far_linked);
+  return ash_peer_period_remote_heartbeat_ms (heartbeat_ms, fleet->far_linked);
 }
 
 /* ---- life ---- */
@@ -380,7 +380,7 @@
 uint32_t
 ash_fleet_far_parts (const struct ash_fleet *fleet)
 {
-  return ash_talk_far_parts (fleet->router->settings.load_period_ms, fleet->far_linked);
+  return ash_peer_period_remote_parts (fleet->router->settings.load_period_ms, fleet->far_linked);
 }
 
 uint32_t
--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -18,7 +18,7 @@
 /** Loads of endpoints that a peer tells at most. */
 #define ASH_FLEET_LOADS_MAX 1024
 
-/** Slow endpoints that are told at most. */
+/** Slow endpoints that are reported at most. */
 #define ASH_FLEET_SLOW_MAX 64
 
 /** Another router. */
@@ -30,8 +30,8 @@
   char address[ASH_NAME_BYTES]; /**< where its links are accepted */
   char hall[ASH_NAME_BYTES];
   bool linked;
-  bool is_new;           /**< the link has just come up: it has not been told of the others yet */
-  bool untold;           /**< it is to be told of all of this router's work, and of all terms */
+  bool is_new; /**< the link has just come up: it has not been reported of the others yet */
+  bool untold; /**< it is to be reported of all of this router's work, and of all terms */
   struct ash_time seen;  /**< when it was last linked */
   struct ash_time heard; /**< its last word */
   bool changes_map;      /**< it said so then */
@@ -42,16 +42,16 @@
   bool reads_store;          /**< the store answers it */
   uint32_t link_mbps;        /**< what its box can send; 0: not known */
   uint32_t load_count;
-  uint64_t *load_endpoints; /**< hashes, as last told */
+  uint64_t *load_endpoints; /**< hashes, as last reported */
   uint64_t *load_in_flight;
   UT_hash_handle hh;
 };
 
-/** Peers that are told of loads at the same time. */
+/** Peers that are reported of loads at the same time. */
 struct ash_fleet_audience
 {
   bool loads_changed;
-  struct ash_time told;
+  struct ash_time reported;
   uint32_t tells; /**< messages of changed loads since one of all */
 };
 
@@ -65,14 +65,14 @@
   struct ash_fleet_audience audiences[ASH_DIRECT_AUDIENCES];
   uint32_t far_linked; /**< peers of other halls that there is a link to */
   bool first_of_hall;  /**< one of the few that try the store again soon when it is away */
-  bool answered;       /**< by the store, as the own hall was last told */
-  bool ready;          /**< as all were last told */
+  bool answered;       /**< by the store, as the own hall was last reported */
+  bool ready;          /**< as all were last reported */
   bool asks_often;     /**< this router is one that asks the store often */
   bool reads_store;    /**< it asks the store at all; else it follows those of its hall that do */
   bool opened;
 };
 
-/** Work at an endpoint has changed: peers are told when their time comes. */
+/** Work at an endpoint has changed: peers are reported when their time comes. */
 void ash_fleet_loads_changed (struct ash_fleet *fleet);
 
 /** Opens the links. @return false with errno set. */
@@ -83,13 +83,14 @@
 /** This process was paused: what the links hold is out of date. */
 void ash_fleet_woke (struct ash_fleet *fleet);
 
-/** The router is about to stop: the others are told at once. */
+/** The router is about to stop: the others are reported at once. */
 void ash_fleet_leave (struct ash_fleet *fleet);
 
 /** Time goes on: those that were not seen for long are forgotten. */
 void ash_fleet_tick (struct ash_fleet *fleet, struct ash_time now);
 
-/** @return parts that endpoints of other halls are dealt into: see ash_talk_far_parts(). */
+/** @return parts that endpoints of other halls are dealt into: see ash_peer_period_remote_parts().
+ */
 uint32_t ash_fleet_far_parts (const struct ash_fleet *fleet);
 
 /** @return how many others there is a link to. */
@@ -97,11 +98,13 @@
 
 /**
  * Whether this router changes the maps of groups: the first of those that see each other, in the
- * order of ash_askers_before(). One that sees less than half of them is more likely cut off itself.
+ * order of ash_pollers_before(). One that sees less than half of them is more likely cut off
+ * itself.
  */
 bool ash_fleet_leads (const struct ash_fleet *fleet);
 
-/** A change of a map begins, goes on or is over: those that would lead next are told at once. */
+/** A change of a map begins, goes on or is over: those that would lead next are reported at once.
+ */
 void ash_fleet_tell_successors (struct ash_fleet *fleet);
 
 /**
@@ -120,7 +123,7 @@
  * store answers these. */
 bool ash_fleet_first_of_hall (const struct ash_fleet *fleet);
 
-/** The configuration in force is new: the own hall is told at once. */
+/** The configuration in force is new: the own hall is reported at once. */
 void ash_fleet_tell_news (struct ash_fleet *fleet);
 
 /** Sends a message to all linked routers of the own hall. */
--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -1,6 +1,6 @@
 #include "daemon/fleet_loads.h"
 
-#include "controllers/talk.h"
+#include "controllers/peer_period.h"
 #include "daemon/fleet_terms.h"
 #include "daemon/router.h"
 
@@ -10,8 +10,8 @@
 #define MS_PER_S 1000.0
 #define MILLI 1000.0
 
-/* What peers are told of changes only is told whole this often, in messages: what one missed of an
- * endpoint that it did not know yet is right a second later. */
+/* What peers are reported of changes only is reported whole this often, in messages: what one
+ * missed of an endpoint that it did not know yet is right a second later. */
 #define TELL_ALL_EVERY 20
 
 /* Takes back what the peer said last. */
@@ -48,7 +48,7 @@
           ash_direct_find_hash (&fleet->router->endpoints, loads->slow[i]);
 
       if (endpoint)
-        ash_direct_slow (endpoint, now, loads->slow_milli[i] / MILLI);
+        ash_direct_set_pace (endpoint, now, loads->slow_milli[i] / MILLI);
     }
 }
 
@@ -114,7 +114,7 @@
     set_load (fleet, peer, loads->endpoints[i], loads->in_flight[i]);
 }
 
-/* Only what was told here first: what peers tell is not told on, or it would never end. */
+/* Only what was reported here first: what peers tell is not reported on, or it would never end. */
 static size_t
 list_slow (const struct ash_fleet *fleet,
            uint64_t slow[ASH_FLEET_SLOW_MAX],
@@ -139,7 +139,7 @@
 }
 
 /* Fills in this router's own work: at each endpoint, or where it has changed since the audience was
- * last told. */
+ * last reported. */
 static void
 list_loads (const struct ash_fleet *fleet, int audience, struct Ash__EndpointLoads *loads)
 {
@@ -149,7 +149,7 @@
     {
       uint32_t in_flight = endpoint->in_flight;
 
-      if (loads->changes ? in_flight == endpoint->told[audience] : !in_flight)
+      if (loads->changes ? in_flight == endpoint->reported[audience] : !in_flight)
         continue;
       loads->endpoints[loads->n_endpoints] = endpoint->hash;
       loads->in_flight[loads->n_endpoints] = in_flight;
@@ -167,8 +167,8 @@
   return is_near ? ASH_FLEET_NEAR : ASH_FLEET_FAR;
 }
 
-/* One that has just come knows nothing of this router's work. Nobody else is told, or each router
- * that comes would have all tell all. */
+/* One that has just come knows nothing of this router's work. Nobody else is reported, or each
+ * router that comes would have all tell all. */
 static void
 tell_untold (struct ash_fleet *fleet)
 {
@@ -197,7 +197,7 @@
   struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints;
 
   for (; endpoint; endpoint = endpoint->hh.next)
-    endpoint->told[audience] = endpoint->in_flight;
+    endpoint->reported[audience] = endpoint->in_flight;
   for (struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && ash_fleet_audience_of (fleet, peer) == audience)
       ash_peers_send (&fleet->links, peer->box, &event);
@@ -211,10 +211,10 @@
   uint64_t slow[ASH_FLEET_SLOW_MAX];
   uint32_t slow_milli[ASH_FLEET_SLOW_MAX];
   struct Ash__EndpointLoads loads = ASH__ENDPOINT_LOADS__INIT;
-  struct ash_fleet_audience *told = &fleet->audiences[audience];
+  struct ash_fleet_audience *reported = &fleet->audiences[audience];
 
-  loads.changes = told->tells > 0;
-  told->tells = (told->tells + 1) % TELL_ALL_EVERY;
+  loads.changes = reported->tells > 0;
+  reported->tells = (reported->tells + 1) % TELL_ALL_EVERY;
   loads.endpoints = endpoints;
   loads.in_flight = in_flight;
   list_loads (fleet, audience, &loads);
@@ -230,7 +230,7 @@
 {
   struct ash_fleet *fleet = timer->data;
   uint32_t period_ms = fleet->router->settings.load_period_ms;
-  uint32_t far_ms = ash_talk_far_load_ms (period_ms, fleet->far_linked);
+  uint32_t far_ms = ash_peer_period_remote_load_ms (period_ms, fleet->far_linked);
   struct ash_time now = ash_clock_now ();
 
   (void) loop;
@@ -242,10 +242,11 @@
       uint32_t due_ms = i == ASH_FLEET_FAR ? far_ms : period_ms;
 
       /* Half a period early is nearer than half a period late. */
-      if (!audience->loads_changed || ash_time_diff (audience->told, now) + period_ms / 2 < due_ms)
+      if (!audience->loads_changed ||
+          ash_time_diff (audience->reported, now) + period_ms / 2 < due_ms)
         continue;
       audience->loads_changed = false;
-      audience->told = now;
+      audience->reported = now;
       tell_loads (fleet, i);
     }
 }
--- a/daemon/fleet_loads.h
+++ b/daemon/fleet_loads.h
@@ -8,7 +8,7 @@
 
 #include "daemon/fleet.h"
 
-/** Peers that are told at the same times: see ASH_DIRECT_AUDIENCES. */
+/** Peers that are reported at the same times: see ASH_DIRECT_AUDIENCES. */
 enum ash_fleet_audience_kind
 {
   ASH_FLEET_NEAR,
--- a/daemon/fleet_roles.c
+++ b/daemon/fleet_roles.c
@@ -1,6 +1,6 @@
 #include "daemon/fleet_roles.h"
 
-#include "controllers/askers.h"
+#include "controllers/pollers.h"
 #include "daemon/router.h"
 
 #include <stdlib.h>
@@ -20,25 +20,25 @@
  * box is busy with one thing. */
 #define STUCK_MS 300
 
-static struct ash_asker
+static struct ash_poller
 own_asker (const struct ash_fleet *fleet)
 {
   const struct ash_router_settings *settings = &fleet->router->settings;
 
-  return (struct ash_asker){ settings->box, settings->hall, (uint32_t) settings->link_mbps };
+  return (struct ash_poller){ settings->box, settings->hall, (uint32_t) settings->link_mbps };
 }
 
-static struct ash_asker
+static struct ash_poller
 asker_of (const struct ash_fleet_peer *peer)
 {
-  return (struct ash_asker){ peer->box, peer->hall, peer->link_mbps };
+  return (struct ash_poller){ peer->box, peer->hall, peer->link_mbps };
 }
 
 void
 ash_fleet_choose_askers (struct ash_fleet *fleet)
 {
-  struct ash_asker own = own_asker (fleet);
-  struct ash_asker *others = calloc (HASH_COUNT (fleet->peers) + 1, sizeof *others);
+  struct ash_poller own = own_asker (fleet);
+  struct ash_poller *others = calloc (HASH_COUNT (fleet->peers) + 1, sizeof *others);
   bool read_before = fleet->reads_store;
   size_t count = 0;
 
@@ -50,13 +50,13 @@
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked)
       others[count++] = asker_of (peer);
-  fleet->first_of_hall = ash_askers_in_hall (own, others, count, HALL_READERS);
+  fleet->first_of_hall = ash_pollers_is_chosen_in_hall (own, others, count, HALL_READERS);
   count = 0;
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && peer->reads_store)
       others[count++] = asker_of (peer);
-  fleet->asks_often = ash_askers_has (own, others, count, OFTEN_ROUTERS);
-  fleet->reads_store = ash_askers_in_hall (own, others, count, HALL_READERS);
+  fleet->asks_often = ash_pollers_is_chosen (own, others, count, OFTEN_ROUTERS);
+  fleet->reads_store = ash_pollers_is_chosen_in_hall (own, others, count, HALL_READERS);
   free (others);
   if (fleet->reads_store != read_before)
     ash_log_event (&fleet->router->log, ASH_EV_STORE_READER, "reads=%d able=%zu linked=%u",
@@ -111,7 +111,7 @@
 bool
 ash_fleet_leads (const struct ash_fleet *fleet)
 {
-  struct ash_asker own = own_asker (fleet);
+  struct ash_poller own = own_asker (fleet);
   struct ash_time now = ash_clock_now ();
   uint32_t known = known_count (fleet);
   uint32_t seen = ash_fleet_linked (fleet) + 1;
@@ -121,7 +121,7 @@
     return false;
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     {
-      bool before = ash_askers_before (asker_of (peer), own);
+      bool before = ash_pollers_before (asker_of (peer), own);
 
       if (before && may_lead (peer, now))
         return false;
@@ -136,7 +136,7 @@
   uint32_t before = 0;
 
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
-    before += ash_askers_before (asker_of (peer), own_asker (fleet));
+    before += ash_pollers_before (asker_of (peer), own_asker (fleet));
   return before;
 }
 
@@ -148,8 +148,9 @@
   const struct ash_fleet_peer *best = NULL;
 
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
-    if (may_lead (peer, now) && (!after || ash_askers_before (asker_of (after), asker_of (peer))) &&
-        (!best || ash_askers_before (asker_of (peer), asker_of (best))))
+    if (may_lead (peer, now) &&
+        (!after || ash_pollers_before (asker_of (after), asker_of (peer))) &&
+        (!best || ash_pollers_before (asker_of (peer), asker_of (best))))
       best = peer;
   return best;
 }
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -17,11 +17,11 @@
 message_of (const struct ash_direct_endpoint *endpoint, struct ash_time now)
 {
   struct Ash__EndpointTerms message = ASH__ENDPOINT_TERMS__INIT;
-  int64_t age_ms = ash_time_diff (endpoint->limit.heard, now);
+  int64_t age_ms = ash_time_diff (endpoint->limit.updated, now);
 
   message.endpoint = endpoint->hash;
   message.born_ms = endpoint->facts.born_ms;
-  message.leaving = endpoint->said_leaving;
+  message.leaving = endpoint->announced_leaving;
   message.limit_milli = endpoint->limit.milli_per_s;
   message.age_ms = age_ms < UINT32_MAX ? (uint32_t) age_ms : UINT32_MAX;
   return message;
@@ -60,7 +60,7 @@
   for (struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints;
        endpoint && count < TERMS_MAX; endpoint = endpoint->hh.next)
     /* That it names no rate any more, too: the peer may know an older word. */
-    if (endpoint->limit.heard.ms || endpoint->said_leaving)
+    if (endpoint->limit.updated.ms || endpoint->announced_leaving)
       messages[count++] = message_of (endpoint, now);
   tell (fleet, peer, messages, count);
 }
@@ -78,7 +78,7 @@
 {
   uint32_t before_milli = endpoint->limit.milli_per_s;
 
-  if (!ash_rate_limit_heard (&endpoint->limit, limit_milli, said, asked))
+  if (!ash_rate_limit_update (&endpoint->limit, limit_milli, said, asked))
     return false;
   ash_log_event (&fleet->router->log, ASH_EV_ENDPOINT_LIMITED,
                  "endpoint=%s limit_milli=%u before_milli=%u source=%s", endpoint->facts.id,
@@ -93,9 +93,9 @@
               bool leaving,
               const char *source)
 {
-  if (!leaving || endpoint->said_leaving)
+  if (!leaving || endpoint->announced_leaving)
     return false;
-  endpoint->said_leaving = true;
+  endpoint->announced_leaving = true;
   ash_log_event (&fleet->router->log, ASH_EV_ENDPOINT_LEAVING,
                  "endpoint=%s source=%s service=%s address=%s in_flight=%u", endpoint->facts.id,
                  source, endpoint->facts.service, endpoint->facts.address, endpoint->in_flight);
@@ -113,8 +113,8 @@
     return;
   ash_log_event (&fleet->router->log, ASH_EV_ENDPOINT_RESTS,
                  "endpoint=%s for_ms=%u before_ms=%lld load=%u", endpoint->facts.id, rest_ms,
-                 (long long) ash_direct_rests_ms (endpoint, now), endpoint->in_flight);
-  ash_direct_rests (endpoint, now, rest_ms);
+                 (long long) ash_direct_backoff_ms (endpoint, now), endpoint->in_flight);
+  ash_direct_back_off (endpoint, now, rest_ms);
 }
 
 void
@@ -210,7 +210,7 @@
         count++;
         before += comes_first (endpoint, peer, settings->hall, own_order);
       }
-  ash_rate_limit_deal (&endpoint->limit, now, members, count, before);
+  ash_rate_limit_assign (&endpoint->limit, now, members, count, before);
 }
 
 void
@@ -226,7 +226,7 @@
       members = members ? members : members_digest (fleet, now);
       /* The others deal among themselves from the moment on at which they are told. */
       if (fleet->router->stopping)
-        ash_rate_limit_waive (&endpoint->limit);
+        ash_rate_limit_release (&endpoint->limit);
       else if (endpoint->limit.members != members)
         deal (fleet, endpoint, now, members);
     }
--- a/daemon/map_manager.c
+++ b/daemon/map_manager.c
@@ -434,7 +434,7 @@
     {
       struct ash_rank_endpoint *box;
 
-      if (endpoint->presence == ASH_DIRECT_GONE ||
+      if (endpoint->presence == ASH_DIRECT_REMOVED ||
           strcmp (endpoint->facts.service, service->name) != 0)
         continue;
       HASH_FIND (hh, groups->boxes, &endpoint->hash, sizeof endpoint->hash, box);
--- a/daemon/platform.c
+++ b/daemon/platform.c
@@ -252,7 +252,7 @@
 void
 ash_platform_told (struct ash_platform *platform, struct ash_time now, uint64_t revision)
 {
-  ash_peer_news_told (&platform->news, now, revision, platform->known_revision);
+  ash_peer_version_reported (&platform->news, now, revision, platform->known_revision);
 }
 
 void
@@ -260,7 +260,7 @@
 {
   /* Whether the watch waits is asked first: who does not read has nothing to doubt. */
   if (platform->config.waits &&
-      ash_peer_news_behind (&platform->news, now, platform->known_revision, BEHIND_MS))
+      ash_peer_version_is_behind (&platform->news, now, platform->known_revision, BEHIND_MS))
     doubt_watch (platform, now, "peers have a newer configuration");
 }
 
--- a/daemon/platform.h
+++ b/daemon/platform.h
@@ -6,7 +6,7 @@
 #ifndef ASH_PLATFORM_H
 #define ASH_PLATFORM_H
 
-#include "controllers/peer_news.h"
+#include "controllers/peer_version.h"
 #include "daemon/daemon.h"
 
 /** Who gets what the platform says. */
@@ -46,10 +46,10 @@
   struct ash_random random;
   struct ash_platform_read config;
   struct ash_platform_read list;
-  uint64_t seen_revision;    /**< of the last document read */
-  uint64_t known_revision;   /**< its own questions were answered as to revisions up to this */
-  struct ash_peer_news news; /**< revisions that peers have in force */
-  bool reads;                /**< the last read of the configuration went well, and goes on */
+  uint64_t seen_revision;       /**< of the last document read */
+  uint64_t known_revision;      /**< its own questions were answered as to revisions up to this */
+  struct ash_peer_version news; /**< revisions that peers have in force */
+  bool reads;                   /**< the last read of the configuration went well, and goes on */
 };
 
 /** Starts reading. */
--- a/daemon/rank_client.c
+++ b/daemon/rank_client.c
@@ -150,7 +150,7 @@
   if (!endpoint)
     return false;
   before = ash_direct_pace (endpoint, now);
-  ash_direct_slow (endpoint, now, pace);
+  ash_direct_set_pace (endpoint, now, pace);
   box->pace = ash_direct_pace (endpoint, now);
   if (box->pace > 1 || before > 1)
     ash_fleet_loads_changed (&router->fleet);
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -120,7 +120,8 @@
   const struct ash_route *route = exchange->route;
   struct ash_router *router = exchange->router;
   struct ash_forward *forward = &exchange->forward;
-  uint32_t part = ash_route_table_draw (exchange->table, route, ash_random_next (&router->random));
+  uint32_t part =
+      ash_route_table_pick_service (exchange->table, route, ash_random_next (&router->random));
   const struct ash_route_service *service = &exchange->table->services[part];
   uint32_t caller_ms =
       exchange->facts.deadline_ms ? exchange->facts.deadline_ms : DEADLINE_DEFAULT_MS;
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -479,7 +479,7 @@
   ash_random_init (&router->random, router->incarnation);
   ash_direct_init (&router->endpoints, ash_random_next (&router->random));
   router->endpoints.leaving = on_leaving;
-  router->endpoints.reborn = on_reborn;
+  router->endpoints.restarted = on_reborn;
   router->endpoints.data = router;
   ash_metrics_init (&router->metrics);
   router->frontend.fd = router->readiness.fd = router->directory.fd = router->figures.fd = -1;
--- a/daemon/router_pages.c
+++ b/daemon/router_pages.c
@@ -129,7 +129,7 @@
       ash_metrics_set (metrics, "ash_endpoint_elsewhere", labels, endpoint->elsewhere);
       ash_metrics_set (metrics, "ash_endpoint_failures", labels, endpoint->failures);
       ash_metrics_set (metrics, "ash_endpoint_rests_ms", labels,
-                       (uint64_t) ash_direct_rests_ms (endpoint, now));
+                       (uint64_t) ash_direct_backoff_ms (endpoint, now));
       ash_metrics_set (metrics, "ash_endpoint_limit_milli", labels, endpoint->limit.milli_per_s);
       ash_metrics_set (metrics, "ash_endpoint_pace_milli", labels,
                        (uint64_t) (1000 * ash_direct_pace (endpoint, now)));
--- a/daemon/store.c
+++ b/daemon/store.c
@@ -1,6 +1,6 @@
 #include "daemon/store.h"
 
-#include "controllers/place.h"
+#include "controllers/store_position.h"
 #include "daemon/router.h"
 #include "daemon/store_list.h"
 
@@ -85,7 +85,7 @@
         ash_router_offer_config (router, (const char *) item->value, item->value_bytes, "store");
       break;
     case ASH_STORE_SERVERS:
-      ash_store_list_item (reader, item, ash_place_of (router->store.era, item->revision));
+      ash_store_list_item (reader, item, ash_store_position (router->store.era, item->revision));
       break;
     }
 }
@@ -300,7 +300,7 @@
       fail (reader, reader->status == 200 ? "unreadable answer" : "refused");
       return;
     }
-  place = ash_place_of (router->store.era, answer.revision);
+  place = ash_store_position (router->store.era, answer.revision);
   if (listing && answer.more)
     {
       memcpy (reader->page, answer.next_page, sizeof reader->page);
@@ -417,7 +417,7 @@
   int64_t due_ms = answer_due_ms (reader);
 
   /* A place of a former era is none in this one. */
-  if (ash_place_era (reader->place) < router->store.era)
+  if (ash_store_position_era (reader->place) < router->store.era)
     {
       reader->place = 0;
       *reader->page = '\0';
@@ -445,7 +445,7 @@
       reader->wait_ms = wait_ms;
       reader->due = ash_time_add (reader->due, wait_ms);
       ash_platform_store_watch (&request, settings->store_address, reader->part,
-                                ash_place_revision (reader->place), wait_ms);
+                                ash_store_position_revision (reader->place), wait_ms);
     }
   else
     {
--- a/daemon/store.h
+++ b/daemon/store.h
@@ -8,7 +8,7 @@
 #define ASH_STORE_H
 
 #include "common/clock.h"
-#include "controllers/departed.h"
+#include "controllers/tombstones.h"
 #include "net/http_call.h"
 #include "platform/store.h"
 #include "proto/event.h"
@@ -90,8 +90,8 @@
   struct ash_store_reader readers[ASH_STORE_PARTS];
   struct ash_store_entry *entries;
   uint64_t digest; /**< of all entries: the same for the same ones, in whatever order */
-  uint64_t era;    /**< of what is known here: see controllers/place.h */
-  struct ash_departed departed;
+  uint64_t era;    /**< of what is known here: see controllers/store_position.h */
+  struct ash_tombstones tombstones;
   struct ash_store_changes changes;
   uint64_t calls;                 /**< questions asked */
   struct ash_time doubtful_until; /**< what is missing may have lapsed, as far as peers tell */
--- a/daemon/store_list.c
+++ b/daemon/store_list.c
@@ -1,7 +1,7 @@
 #include "daemon/store_list.h"
 
 #include "common/id.h"
-#include "controllers/place.h"
+#include "controllers/store_position.h"
 #include "daemon/router.h"
 
 #include <inttypes.h>
@@ -117,12 +117,12 @@
   struct ash_direct_endpoint *endpoint = ash_direct_find (&router->endpoints, id);
 
   if (endpoint)
-    ash_departed_note (&store->departed,
-                       &(struct ash_departed_one){ .endpoint = endpoint->hash,
-                                                   .born_ms = endpoint->facts.born_ms,
-                                                   .era = store->era,
-                                                   .draining = endpoint->said_leaving });
-  if (endpoint && ash_direct_removed (&router->endpoints, id, trusted, until))
+    ash_tombstones_add (&store->tombstones,
+                        &(struct ash_tombstone){ .endpoint = endpoint->hash,
+                                                 .born_ms = endpoint->facts.born_ms,
+                                                 .era = store->era,
+                                                 .draining = endpoint->announced_leaving });
+  if (endpoint && ash_direct_remove (&router->endpoints, id, trusted, until))
     {
       store->readers[ASH_STORE_SERVERS].changed = true;
       log_endpoint (router, ASH_EV_ENDPOINT_MISSING, &endpoint->facts, source);
@@ -146,7 +146,7 @@
   ash_log_event (&router->log, ASH_EV_ENTRY_UNUSABLE,
                  "endpoint=%.63s wrong=\"%s\" bytes=%zu used_before=%d source=%s", item->name,
                  wrong, item->value_bytes, endpoint && ash_direct_usable (endpoint), source);
-  if (endpoint && ash_direct_removed (&router->endpoints, item->name, true, (struct ash_time){ 0 }))
+  if (endpoint && ash_direct_remove (&router->endpoints, item->name, true, (struct ash_time){ 0 }))
     store->readers[ASH_STORE_SERVERS].changed = true;
   if (entry)
     drop_entry (store, entry);
@@ -160,12 +160,12 @@
   uint64_t endpoint = ash_hash_text (facts->id);
 
   if (facts->draining)
-    ash_departed_note (&store->departed, &(struct ash_departed_one){ .endpoint = endpoint,
+    ash_tombstones_add (&store->tombstones, &(struct ash_tombstone){ .endpoint = endpoint,
                                                                      .born_ms = facts->born_ms,
                                                                      .era = store->era,
                                                                      .draining = true });
-  else if (ash_departed_doubts (&store->departed, ash_clock_now (), endpoint, facts->born_ms,
-                                store->era))
+  else if (ash_tombstones_is_stale (&store->tombstones, ash_clock_now (), endpoint, facts->born_ms,
+                                    store->era))
     facts->draining = true;
 }
 
@@ -189,7 +189,7 @@
     }
   keep_entry (store, item, place, &facts);
   note_departure (store, &facts);
-  if (!ash_direct_listed (&router->endpoints, &facts))
+  if (!ash_direct_update (&router->endpoints, &facts))
     return;
   store->readers[ASH_STORE_SERVERS].changed = true;
   router->room = true;
@@ -321,7 +321,7 @@
 {
   uint64_t endpoint;
 
-  while ((endpoint = ash_departed_due (&store->departed, now)))
+  while ((endpoint = ash_tombstones_pop_expired (&store->tombstones, now)))
     {
       const struct ash_direct_endpoint *known =
           ash_direct_find_hash (&store->router->endpoints, endpoint);
@@ -427,8 +427,8 @@
     return true;
   if (list->since > endpoints->revision)
     return false;
-  if (ash_place_era (list->revision) > store->era)
-    ash_store_begin_era (store, ash_place_era (list->revision), source);
+  if (ash_store_position_era (list->revision) > store->era)
+    ash_store_begin_era (store, ash_store_position_era (list->revision), source);
   endpoints->revision = list->revision;
   if (list->doubtful_ms)
     take_doubt (store, list->doubtful_ms);
--- a/daemon/store_list.h
+++ b/daemon/store_list.h
@@ -19,7 +19,8 @@
 
 void ash_store_list_finish (struct ash_store *store);
 
-/** Takes an item of an answer of the store. @param place of it, see controllers/place.h. */
+/** Takes an item of an answer of the store. @param place of it, see controllers/store_position.h.
+ */
 void ash_store_list_item (struct ash_store_reader *reader,
                           const struct ash_store_item *item,
                           uint64_t place);
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -52,7 +52,7 @@
       struct Ash__SuspectRun messages[],
       size_t count)
 {
-  struct Ash__SuspectRun *list[ASH_QUARANTINE_CUTS];
+  struct Ash__SuspectRun *list[ASH_QUARANTINE_DISCONNECTS];
   struct Ash__SuspectRuns runs = ASH__SUSPECT_RUNS__INIT;
   struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_SUSPECT_RUNS, &runs);
 
@@ -110,27 +110,27 @@
   ash_id_format (run->request, digest);
   ash_log_event (&suspects->router->log, ASH_EV_QUARANTINED,
                  "digest=%s ends=%u spoke=%d for_ms=%lld source=%s", digest,
-                 ash_quarantine_ends (&suspects->quarantine, run->request), run->spoke,
+                 ash_quarantine_exits (&suspects->quarantine, run->request), run->spoke,
                  (long long) left_ms, source);
   suspects->handler->quarantined (suspects->router, run->request);
 }
 
 static void
-take_end (struct ash_suspects *suspects, uint64_t endpoint, enum ash_quarantine_proof proof)
+take_end (struct ash_suspects *suspects, uint64_t endpoint, enum ash_quarantine_evidence proof)
 {
-  struct ash_quarantine_run found[ASH_QUARANTINE_CUTS];
-  struct Ash__SuspectRun messages[ASH_QUARANTINE_CUTS];
+  struct ash_quarantine_run found[ASH_QUARANTINE_DISCONNECTS];
+  struct Ash__SuspectRun messages[ASH_QUARANTINE_DISCONNECTS];
   struct ash_time now = ash_clock_now ();
   const struct ash_direct_endpoint *known =
       ash_direct_find_hash (&suspects->router->endpoints, endpoint);
-  size_t count = ash_quarantine_ended (&suspects->quarantine, endpoint, proof, now, found);
+  size_t count = ash_quarantine_note_exit (&suspects->quarantine, endpoint, proof, now, found);
 
   if (!count)
     return;
   suspects->ended++;
   ash_log_event (&suspects->router->log, ASH_EV_ENDPOINT_ENDED, "endpoint=%s requests=%zu proof=%s",
                  known ? known->facts.id : "-", count,
-                 proof == ASH_QUARANTINE_REFUSES ? "refuses" : "reborn");
+                 proof == ASH_QUARANTINE_CONNECT_REFUSED ? "refuses" : "reborn");
   for (size_t i = 0; i < count; i++)
     messages[i] = message_of (&found[i], now);
   tell (suspects, NULL, messages, count);
@@ -141,7 +141,7 @@
 void
 ash_suspects_reborn (struct ash_suspects *suspects, uint64_t endpoint)
 {
-  take_end (suspects, endpoint, ASH_QUARANTINE_REBORN);
+  take_end (suspects, endpoint, ASH_QUARANTINE_RESTARTED);
 }
 
 /* @return whether it was suspected. */
@@ -191,7 +191,7 @@
       run.sent = ash_time_add (run.ended, -(int64_t) told->lasted_ms);
       if (told->cleared)
         clear (suspects, run.request, peer);
-      else if (ash_quarantine_take (&suspects->quarantine, &run))
+      else if (ash_quarantine_add_run (&suspects->quarantine, &run))
         note_quarantined (suspects, &run, now, peer);
     }
 }
@@ -216,7 +216,7 @@
 
   free_probe (probe);
   if (refused)
-    take_end (suspects, endpoint, ASH_QUARANTINE_REFUSES);
+    take_end (suspects, endpoint, ASH_QUARANTINE_CONNECT_REFUSED);
   suspects->handler->asked (suspects->router, endpoint);
 }
 
@@ -280,7 +280,7 @@
 {
   const struct ash_end_probe *probe;
 
-  ash_quarantine_cut (&suspects->quarantine, run);
+  ash_quarantine_note_disconnect (&suspects->quarantine, run);
   DL_FOREACH (suspects->probes, probe)
     if (probe->endpoint == run->endpoint)
       return;
--- a/filters/deadline.c
+++ b/filters/deadline.c
@@ -14,10 +14,10 @@
 static bool
 may_outlast (const struct ash_planned_stop *stop, struct ash_time now, struct ash_time deadline)
 {
-  if (!ash_time_before (stop->answers_by, deadline))
+  if (!ash_time_before (stop->answer_deadline, deadline))
     return false;
   return !ash_time_before (now, stop->served_until) ||
-         ash_time_diff (now, stop->answers_by) < LEAST_MS;
+         ash_time_diff (now, stop->answer_deadline) < LEAST_MS;
 }
 
 static enum ash_verdict
--- a/filters/forward.c
+++ b/filters/forward.c
@@ -47,14 +47,14 @@
   return reason == ASH_FORWARD_TIMEOUT ? 504 : 502;
 }
 
-static struct ash_direct_wish
+static struct ash_direct_criteria
 wish_of (const struct ash_forward *forward, const struct ash_forward_world *world)
 {
-  return (struct ash_direct_wish){
+  return (struct ash_direct_criteria){
     .service = forward->service,
     .hall = world->hall,
     .own = world->own,
-    .far_parts = world->far_parts,
+    .remote_parts = world->remote_parts,
     .cap = forward->cap,
     .pause_aim_ms = forward->pause_aim_ms,
     .tried = forward->tried,
@@ -69,7 +69,7 @@
                 enum ash_forward_reason reason)
 {
   struct ash_random *random = &world->endpoints->random;
-  struct ash_direct_wish wish = wish_of (forward, world);
+  struct ash_direct_criteria criteria = wish_of (forward, world);
   int64_t left_ms = ash_time_diff (now, forward->deadline);
   int64_t most_ms = left_ms / RETURN_MOST_PART;
   int64_t least_ms;
@@ -84,7 +84,7 @@
     most_ms = RETURN_MOST_MS;
   least_ms = most_ms * RETURN_MOST_PART / RETURN_LEAST_PART;
   /* Before an endpoint takes requests again by its own word, a return is in vain. */
-  opens_ms = ash_direct_opens_ms (world->endpoints, now, &wish);
+  opens_ms = ash_direct_wait_ms (world->endpoints, now, &criteria);
   if (opens_ms > least_ms && most_ms > least_ms)
     least_ms = opens_ms < most_ms ? opens_ms : most_ms - 1;
   return (uint32_t) (1 + least_ms) + ash_random_below (random, (uint32_t) (most_ms - least_ms));
@@ -147,7 +147,7 @@
                   const struct ash_forward_world *world,
                   struct ash_time now)
 {
-  struct ash_direct_wish wish = wish_of (forward, world);
+  struct ash_direct_criteria criteria = wish_of (forward, world);
   struct ash_time kept = kept_until (forward, world, now);
   struct ash_direct_endpoint *endpoint;
 
@@ -162,13 +162,13 @@
                    forward->unsure ? ASH_FORWARD_FAILED : ASH_FORWARD_TURNED_AWAY);
   if (ash_time_before (now, kept))
     return (struct ash_forward_verdict){ .action = ASH_FORWARD_WAIT, .until = kept };
-  switch (ash_direct_choose (world->endpoints, now, &wish, &endpoint))
+  switch (ash_direct_choose (world->endpoints, now, &criteria, &endpoint))
     {
     case ASH_DIRECT_NONE:
       return wait_or_refuse (forward, world, now, ASH_FORWARD_NO_ENDPOINT);
     case ASH_DIRECT_ALL_FULL:
       return wait_or_refuse (forward, world, now, ASH_FORWARD_NO_ROOM);
-    case ASH_DIRECT_HELD_BACK:
+    case ASH_DIRECT_THROTTLED:
       return wait_or_refuse (forward, world, now, ASH_FORWARD_HELD_BACK);
     case ASH_DIRECT_CHOSEN:
       break;
--- a/filters/forward.h
+++ b/filters/forward.h
@@ -77,11 +77,11 @@
   struct ash_direct_set *endpoints;
   struct ash_resend_window *window;
   struct ash_resend_bound bound;
-  uint32_t entries;   /**< that share the bound */
-  const char *hall;   /**< of this process */
-  uint64_t own;       /**< tells this process from the others */
-  uint32_t far_parts; /**< of the endpoints of other halls, it takes one part in so many */
-  uint32_t wait_ms;   /**< how long a request may wait for room */
+  uint32_t entries;      /**< that share the bound */
+  const char *hall;      /**< of this process */
+  uint64_t own;          /**< tells this process from the others */
+  uint32_t remote_parts; /**< of the endpoints of other halls, it takes one part in so many */
+  uint32_t wait_ms;      /**< how long a request may wait for room */
   struct ash_prompt_gate *gate; /**< of the service; NULL: it reads no prompts */
   int64_t quarantined_ms; /**< how long the request is kept away from endpoints; 0: it is not */
 };
--- a/filters/links.c
+++ b/filters/links.c
@@ -56,7 +56,7 @@
          ash_box_preferred (ash_membership_find (&entry->membership, other.box));
 }
 
-/* Its engine stands still, or nothing is heard of it. */
+/* Its engine stands still, or nothing is heartbeat_at of it. */
 static void
 leave_box (struct ash_entry *entry, struct ash_time now, const char *peer, int reason)
 {
@@ -86,10 +86,10 @@
   box = ash_membership_find (&entry->membership, peer);
   if (!box)
     return;
-  box->heard = now;
+  box->heartbeat_at = now;
   if (!heartbeat->stalled)
     return;
-  box->passed_until = ash_time_add (now, entry->settings->stall_hold_ms);
+  box->ejected_until = ash_time_add (now, entry->settings->stall_hold_ms);
   leave_box (entry, now, peer, ASH__REASON__STALLED);
 }
 
@@ -147,7 +147,7 @@
 
   if (!ash_time_before (now, request->deadline))
     end_in_time (entry, now, request, ASH__REASON__DEADLINE);
-  else if (!ash_time_before (now, entry->stop.answers_by))
+  else if (!ash_time_before (now, entry->stop.answer_deadline))
     end_in_time (entry, now, request, ASH__REASON__STOPPED);
   /* What may not be repeated stays with its endpoint until the deadline: the
    * link may come back, and with it the answer. */
--- a/net/peer.c
+++ b/net/peer.c
@@ -2,7 +2,7 @@
 
 #include "common/clock.h"
 #include "common/id.h"
-#include "controllers/talk.h"
+#include "controllers/peer_period.h"
 #include "net/bind.h"
 #include "net/handshake.h"
 #include "net/frame_delay.h"
@@ -368,7 +368,8 @@
   const struct ash_peer_settings *settings = &link->peers->settings;
 
   return ash_time_diff (link->last_frame, now) >
-         ash_talk_silence_ms (settings->link_silence_ms, settings->heartbeat_ms, link->period_ms);
+         ash_peer_period_silence_ms (settings->link_silence_ms, settings->heartbeat_ms,
+                                     link->period_ms);
 }
 
 /* Completes a non-blocking connect(). @return false if it failed; the link is closed then. */
--- a/test/schedule.c
+++ b/test/schedule.c
@@ -338,7 +338,7 @@
       fail (world, "more runs than the schedule can make");
       return;
     }
-  if (!ash_time_before (world->now, world->agents[agent].session.agent.stop.answers_by))
+  if (!ash_time_before (world->now, world->agents[agent].session.agent.stop.answer_deadline))
     fail (world, "a run begins after a planned stop's last answers");
   world->run_count++;
   *run = (struct run){
--- a/test/unit.c
+++ b/test/unit.c
@@ -269,7 +269,7 @@
   CU_ASSERT_FALSE (ash_box_usable (box));
   /* The platform's list, and a new life that the list does not know yet. */
   ash_membership_link_up (&membership, at (2), "m1", ASH__ROLE__ENDPOINT, 13, 0);
-  CU_ASSERT (ash_membership_listed (&membership, "m1", true));
+  CU_ASSERT (ash_membership_set_listed_leaving (&membership, "m1", true));
   CU_ASSERT_FALSE (ash_box_usable (box));
   ash_membership_link_up (&membership, at (3), "m1", ASH__ROLE__ENDPOINT, 14, 0);
   CU_ASSERT (ash_box_usable (box));
--- a/test/unit_config.c
+++ b/test/unit_config.c
@@ -265,17 +265,17 @@
   strcpy (settings.box, "a");
   start_four (&config, &membership);
   hear (&membership, reads);
-  CU_ASSERT_FALSE (ash_membership_alone (&membership, &config.document, "a"));
+  CU_ASSERT_FALSE (ash_membership_isolated (&membership, &config.document, "a"));
   ash_membership_link_down (&membership, "b");
   ash_membership_tick (&membership, (struct ash_time){ 1000 }, &config.document, &settings);
-  CU_ASSERT_FALSE (membership.alone);
+  CU_ASSERT_FALSE (membership.isolated);
   ash_addresses_find (&addresses, &config.document, &membership, &settings, false,
                       &config.document.accounts[0], &random);
   CU_ASSERT_EQUAL (addresses.count, 3);
   ash_membership_link_down (&membership, "c");
-  CU_ASSERT (ash_membership_alone (&membership, &config.document, "a"));
+  CU_ASSERT (ash_membership_isolated (&membership, &config.document, "a"));
   ash_membership_tick (&membership, (struct ash_time){ 2000 }, &config.document, &settings);
-  CU_ASSERT (membership.alone);
+  CU_ASSERT (membership.isolated);
   ash_addresses_find (&addresses, &config.document, &membership, &settings, false,
                       &config.document.accounts[0], &random);
   CU_ASSERT_EQUAL (addresses.count, 4);
--- a/test/unit_era.c
+++ b/test/unit_era.c
@@ -3,8 +3,8 @@
  * Unit tests of a store that comes back from an older copy: the order of what it says, its era as
  * it is told, and endpoints that it lists again though they left.
  */
-#include "controllers/departed.h"
-#include "controllers/place.h"
+#include "controllers/tombstones.h"
+#include "controllers/store_position.h"
 #include "platform/store.h"
 #include "test/unit.h"
 
@@ -17,13 +17,15 @@
 static void
 test_places (void)
 {
-  CU_ASSERT (ash_place_of (3, 1) > ash_place_of (2, ASH_PLACE_REVISIONS - 1));
-  CU_ASSERT (ash_place_of (2, 8) > ash_place_of (2, 7));
-  CU_ASSERT_EQUAL (ash_place_era (ash_place_of (ASH_PLACE_ERA_MAX, 5)), ASH_PLACE_ERA_MAX);
-  CU_ASSERT_EQUAL (ash_place_revision (ash_place_of (ASH_PLACE_ERA_MAX, 5)), 5);
+  CU_ASSERT (ash_store_position (3, 1) > ash_store_position (2, ASH_STORE_POSITION_REVISIONS - 1));
+  CU_ASSERT (ash_store_position (2, 8) > ash_store_position (2, 7));
+  CU_ASSERT_EQUAL (ash_store_position_era (ash_store_position (ASH_STORE_POSITION_ERA_MAX, 5)),
+                   ASH_STORE_POSITION_ERA_MAX);
+  CU_ASSERT_EQUAL (ash_store_position_revision (ash_store_position (ASH_STORE_POSITION_ERA_MAX, 5)),
+                   5);
   /* A store that tells no era, and no place at all. */
-  CU_ASSERT_EQUAL (ash_place_of (0, 282), 282);
-  CU_ASSERT_EQUAL (ash_place_of (3, 0), 0);
+  CU_ASSERT_EQUAL (ash_store_position (0, 282), 282);
+  CU_ASSERT_EQUAL (ash_store_position (3, 0), 0);
 }
 
 static enum ash_store_era
@@ -60,56 +62,56 @@
 #define ENDPOINT 77
 
 static void
-note (struct ash_departed *departed, int64_t born_ms, uint64_t era, bool draining)
+note (struct ash_tombstones *tombstones, int64_t born_ms, uint64_t era, bool draining)
 {
-  ash_departed_note (departed,
-                     &(struct ash_departed_one){ ENDPOINT, born_ms, era, .draining = draining });
+  ash_tombstones_add (tombstones,
+                      &(struct ash_tombstone){ ENDPOINT, born_ms, era, .draining = draining });
 }
 
 /* One that was missing: doubted in a later era until its entry must have lapsed. */
 static void
 test_departed_missing (void)
 {
-  struct ash_departed departed = { 0 };
+  struct ash_tombstones tombstones = { 0 };
 
-  CU_ASSERT_FALSE (ash_departed_doubts (&departed, at (1), ENDPOINT, 5, 3));
-  note (&departed, 5, 3, false);
-  CU_ASSERT (ash_departed_doubts (&departed, at (100), ENDPOINT, 5, 4));
-  CU_ASSERT (ash_departed_doubts (&departed, at (6099), ENDPOINT, 5, 4));
-  CU_ASSERT_EQUAL (ash_departed_due (&departed, at (6099)), 0);
-  CU_ASSERT_EQUAL (ash_departed_due (&departed, at (6100)), ENDPOINT);
-  CU_ASSERT_EQUAL (ash_departed_due (&departed, at (6100)), 0);
-  CU_ASSERT_FALSE (ash_departed_doubts (&departed, at (6100), ENDPOINT, 5, 4));
+  CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (1), ENDPOINT, 5, 3));
+  note (&tombstones, 5, 3, false);
+  CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (100), ENDPOINT, 5, 4));
+  CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (6099), ENDPOINT, 5, 4));
+  CU_ASSERT_EQUAL (ash_tombstones_pop_expired (&tombstones, at (6099)), 0);
+  CU_ASSERT_EQUAL (ash_tombstones_pop_expired (&tombstones, at (6100)), ENDPOINT);
+  CU_ASSERT_EQUAL (ash_tombstones_pop_expired (&tombstones, at (6100)), 0);
+  CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (6100), ENDPOINT, 5, 4));
   /* In the era in which it went it can only have written its entry again; so has another life,
    * whichever its machine's clock says came first. */
-  note (&departed, 5, 4, false);
-  CU_ASSERT_FALSE (ash_departed_doubts (&departed, at (7000), ENDPOINT, 5, 4));
-  note (&departed, 5, 4, false);
-  CU_ASSERT_FALSE (ash_departed_doubts (&departed, at (7000), ENDPOINT, 6, 5));
-  note (&departed, 5, 4, true);
-  CU_ASSERT_FALSE (ash_departed_doubts (&departed, at (7000), ENDPOINT, 4, 5));
+  note (&tombstones, 5, 4, false);
+  CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (7000), ENDPOINT, 5, 4));
+  note (&tombstones, 5, 4, false);
+  CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (7000), ENDPOINT, 6, 5));
+  note (&tombstones, 5, 4, true);
+  CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (7000), ENDPOINT, 4, 5));
 }
 
 /* One that said it was leaving does so for its life, however long an older copy says otherwise. */
 static void
 test_departed_draining (void)
 {
-  struct ash_departed departed = { 0 };
+  struct ash_tombstones tombstones = { 0 };
 
-  note (&departed, 5, 3, true);
-  CU_ASSERT (ash_departed_doubts (&departed, at (100), ENDPOINT, 5, 4));
-  CU_ASSERT (ash_departed_doubts (&departed, at (100000), ENDPOINT, 5, 6));
-  CU_ASSERT_EQUAL (ash_departed_due (&departed, at (100000)), 0);
+  note (&tombstones, 5, 3, true);
+  CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (100), ENDPOINT, 5, 4));
+  CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (100000), ENDPOINT, 5, 6));
+  CU_ASSERT_EQUAL (ash_tombstones_pop_expired (&tombstones, at (100000)), 0);
   /* Then it is missing too. */
-  note (&departed, 5, 6, false);
-  CU_ASSERT (ash_departed_doubts (&departed, at (200000), ENDPOINT, 5, 7));
-  CU_ASSERT (ash_departed_doubts (&departed, at (300000), ENDPOINT, 5, 7));
-  CU_ASSERT_FALSE (ash_departed_doubts (&departed, at (300000), ENDPOINT, 9, 7));
+  note (&tombstones, 5, 6, false);
+  CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (200000), ENDPOINT, 5, 7));
+  CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (300000), ENDPOINT, 5, 7));
+  CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (300000), ENDPOINT, 9, 7));
   /* The oldest make room. */
-  note (&departed, 5, 3, true);
-  for (uint64_t i = 0; i < ASH_DEPARTED_MAX; i++)
-    ash_departed_note (&departed, &(struct ash_departed_one){ 1000 + i, 1, 3, .draining = true });
-  CU_ASSERT_FALSE (ash_departed_doubts (&departed, at (1), ENDPOINT, 5, 4));
+  note (&tombstones, 5, 3, true);
+  for (uint64_t i = 0; i < ASH_TOMBSTONES_MAX; i++)
+    ash_tombstones_add (&tombstones, &(struct ash_tombstone){ 1000 + i, 1, 3, .draining = true });
+  CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (1), ENDPOINT, 5, 4));
 }
 
 void
--- a/test/unit_quarantine.c
+++ b/test/unit_quarantine.c
@@ -26,7 +26,7 @@
 {
   struct ash_quarantine_run run = run_of (asked, 7, sent_ms, ended_ms);
 
-  return ash_quarantine_take (quarantine, &run);
+  return ash_quarantine_add_run (quarantine, &run);
 }
 
 /* Two ends, one run after the other, under a request that gave no answer either time. */
@@ -39,7 +39,7 @@
   CU_ASSERT (take (&quarantine, 0, 100));
   CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, asked, at (100)), 0);
   CU_ASSERT (take (&quarantine, 100, 200));
-  CU_ASSERT_EQUAL (ash_quarantine_ends (&quarantine, asked), 2);
+  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, asked), 2);
   CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, asked, at (200)), 10 * MINUTE_MS);
   CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, other, at (200)), 0);
   ash_quarantine_finish (&quarantine);
@@ -53,7 +53,7 @@
   struct ash_quarantine_run run = run_of (asked, 7, 0, 100);
 
   run.spoke = true;
-  CU_ASSERT (ash_quarantine_take (&quarantine, &run));
+  CU_ASSERT (ash_quarantine_add_run (&quarantine, &run));
   CU_ASSERT (take (&quarantine, 100, 200));
   CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, asked, at (200)), 0);
   CU_ASSERT (take (&quarantine, 300, 400));
@@ -72,7 +72,7 @@
   for (int i = 0; i < 8; i++)
     CU_ASSERT_FALSE (take (&quarantine, 10 * i, 1000 + i));
   CU_ASSERT_FALSE (take (&quarantine, 0, 1000));
-  CU_ASSERT_EQUAL (ash_quarantine_ends (&quarantine, asked), 1);
+  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, asked), 1);
   ash_quarantine_finish (&quarantine);
 }
 
@@ -84,7 +84,7 @@
   CU_ASSERT_FALSE (ash_quarantine_clear (&quarantine, asked));
   take (&quarantine, 0, 100);
   CU_ASSERT (ash_quarantine_clear (&quarantine, asked));
-  CU_ASSERT_EQUAL (ash_quarantine_ends (&quarantine, asked), 0);
+  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, asked), 0);
   take (&quarantine, 200, 300);
   CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, asked, at (300)), 0);
   ash_quarantine_finish (&quarantine);
@@ -106,7 +106,7 @@
   take (&quarantine, later_ms, later_ms + 50);
   CU_ASSERT (ash_quarantine_left_ms (&quarantine, asked, at (later_ms + 50)) > 0);
   ash_quarantine_tick (&quarantine, at (later_ms + 50 + 60 * MINUTE_MS));
-  CU_ASSERT_EQUAL (ash_quarantine_ends (&quarantine, asked), 0);
+  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, asked), 0);
   ash_quarantine_finish (&quarantine);
 }
 
@@ -116,22 +116,23 @@
 test_cuts (void)
 {
   struct ash_quarantine quarantine = { 0 };
-  struct ash_quarantine_run found[ASH_QUARANTINE_CUTS];
+  struct ash_quarantine_run found[ASH_QUARANTINE_DISCONNECTS];
   struct ash_quarantine_run here = run_of (asked, 7, 0, 1000);
   struct ash_quarantine_run elsewhere = run_of ((struct ash_id){ 5, 5 }, 8, 0, 1000);
 
-  ash_quarantine_cut (&quarantine, &here);
-  ash_quarantine_cut (&quarantine, &elsewhere);
-  CU_ASSERT_EQUAL (ash_quarantine_ends (&quarantine, asked), 0);
+  ash_quarantine_note_disconnect (&quarantine, &here);
+  ash_quarantine_note_disconnect (&quarantine, &elsewhere);
+  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, asked), 0);
   /* Asked only later: something else has ended it. */
-  CU_ASSERT_EQUAL (ash_quarantine_ended (&quarantine, 8, ASH_QUARANTINE_REFUSES, at (3000), found),
-                   0);
-  CU_ASSERT_EQUAL (ash_quarantine_ended (&quarantine, 7, ASH_QUARANTINE_REBORN, at (4000), found),
-                   1);
+  CU_ASSERT_EQUAL (
+      ash_quarantine_note_exit (&quarantine, 8, ASH_QUARANTINE_CONNECT_REFUSED, at (3000), found),
+      0);
+  CU_ASSERT_EQUAL (
+      ash_quarantine_note_exit (&quarantine, 7, ASH_QUARANTINE_RESTARTED, at (4000), found), 1);
   CU_ASSERT (ash_id_equal (found[0].request, asked));
-  CU_ASSERT_EQUAL (ash_quarantine_ended (&quarantine, 7, ASH_QUARANTINE_REBORN, at (4000), found),
-                   0);
-  CU_ASSERT_EQUAL (ash_quarantine_ends (&quarantine, asked), 1);
+  CU_ASSERT_EQUAL (
+      ash_quarantine_note_exit (&quarantine, 7, ASH_QUARANTINE_RESTARTED, at (4000), found), 0);
+  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, asked), 1);
   ash_quarantine_finish (&quarantine);
 }
 
@@ -140,7 +141,7 @@
 test_bounds (void)
 {
   struct ash_quarantine quarantine = { 0 };
-  struct ash_quarantine_run found[ASH_QUARANTINE_CUTS];
+  struct ash_quarantine_run found[ASH_QUARANTINE_DISCONNECTS];
 
   take (&quarantine, 0, 100);
   take (&quarantine, 100, 200);
@@ -148,18 +149,19 @@
     {
       struct ash_quarantine_run run = run_of ((struct ash_id){ 9, i }, 7, 300, 400);
 
-      CU_ASSERT (ash_quarantine_take (&quarantine, &run));
+      CU_ASSERT (ash_quarantine_add_run (&quarantine, &run));
     }
   CU_ASSERT_EQUAL (HASH_COUNT (quarantine.suspects), ASH_QUARANTINE_SUSPECTS_MAX);
   CU_ASSERT (ash_quarantine_left_ms (&quarantine, asked, at (400)) > 0);
-  for (uint32_t i = 0; i < 2 * ASH_QUARANTINE_CUTS; i++)
+  for (uint32_t i = 0; i < 2 * ASH_QUARANTINE_DISCONNECTS; i++)
     {
       struct ash_quarantine_run run = run_of ((struct ash_id){ 10, i }, 8, 300, 400);
 
-      ash_quarantine_cut (&quarantine, &run);
+      ash_quarantine_note_disconnect (&quarantine, &run);
     }
-  CU_ASSERT_EQUAL (ash_quarantine_ended (&quarantine, 8, ASH_QUARANTINE_REFUSES, at (400), found),
-                   ASH_QUARANTINE_CUTS);
+  CU_ASSERT_EQUAL (
+      ash_quarantine_note_exit (&quarantine, 8, ASH_QUARANTINE_CONNECT_REFUSED, at (400), found),
+      ASH_QUARANTINE_DISCONNECTS);
   ash_quarantine_finish (&quarantine);
 }
 
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -4,9 +4,9 @@
  * resends, its settings, what peers tell, and the log.
  */
 #include "common/log.h"
-#include "controllers/askers.h"
-#include "controllers/peer_news.h"
-#include "controllers/talk.h"
+#include "controllers/pollers.h"
+#include "controllers/peer_version.h"
+#include "controllers/peer_period.h"
 #include "filters/forward.h"
 #include "options/router_settings.h"
 #include "platform/config.h"
@@ -77,7 +77,7 @@
   CU_ASSERT (table.routes[0].stream && table.routes[0].resumable);
   CU_ASSERT_EQUAL (table.routes[0].repeat, ASH_REPEAT_SAFE);
   for (uint64_t draw = 0; draw < 1000; draw++)
-    drawn[ash_route_table_draw (&table, &table.routes[0], draw)]++;
+    drawn[ash_route_table_pick_service (&table, &table.routes[0], draw)]++;
   CU_ASSERT (drawn[0] == 900 && drawn[1] == 100);
   ash_route_table_finish (&table);
 }
@@ -113,17 +113,20 @@
   snprintf (facts.id, sizeof facts.id, "%s", id);
   snprintf (facts.address, sizeof facts.address, "at-%s:1", id);
   facts.draining = draining;
-  ash_direct_listed (set, &facts);
+  ash_direct_update (set, &facts);
   return ash_direct_find (set, id);
 }
 
 static const char *
 choose (struct ash_direct_set *set, struct ash_time now, uint32_t cap, uint32_t pause_aim_ms)
 {
-  struct ash_direct_wish wish = { .service = "s", .cap = cap, .pause_aim_ms = pause_aim_ms };
+  struct ash_direct_criteria criteria = { .service = "s",
+                                          .cap = cap,
+                                          .pause_aim_ms = pause_aim_ms };
   struct ash_direct_endpoint *chosen;
 
-  return ash_direct_choose (set, now, &wish, &chosen) == ASH_DIRECT_CHOSEN ? chosen->facts.id : "-";
+  return ash_direct_choose (set, now, &criteria, &chosen) == ASH_DIRECT_CHOSEN ? chosen->facts.id
+                                                                               : "-";
 }
 
 static void
@@ -141,17 +144,17 @@
   b->elsewhere = 1;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (0), 9, 0), "b");
   /* One that failed is passed over for a while, and is taken if there is no other. */
-  ash_direct_saw (b, at (1000), ASH_DIRECT_CUT);
+  ash_direct_note_result (b, at (1000), ASH_DIRECT_BROKEN);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (1001), 9, 0), "a");
   CU_ASSERT_STRING_EQUAL (choose (&set, at (1001), 2, 0), "b");
   CU_ASSERT_STRING_EQUAL (choose (&set, at (1300), 9, 0), "b");
   /* Longer with each failure in a row, and not after an answer. */
-  ash_direct_saw (b, at (2000), ASH_DIRECT_SILENT);
+  ash_direct_note_result (b, at (2000), ASH_DIRECT_TIMED_OUT);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (2400), 9, 0), "a");
-  ash_direct_saw (b, at (2500), ASH_DIRECT_ANSWERED);
+  ash_direct_note_result (b, at (2500), ASH_DIRECT_ANSWERED);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (2600), 9, 0), "b");
   /* An answer that says it failed may be the request's own fault. */
-  ash_direct_saw (b, at (3000), ASH_DIRECT_FAILED);
+  ash_direct_note_result (b, at (3000), ASH_DIRECT_FAILED);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (3001), 9, 0), "b");
   b->facts.draining = true;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (4000), 9, 0), "a");
@@ -175,8 +178,8 @@
   /* Where streams pause twice as long, a request costs twice as much. */
   for (int i = 0; i < 40; i++)
     {
-      ash_direct_paused (a, at (100), 120);
-      ash_direct_paused (b, at (100), 60);
+      ash_direct_note_pause (a, at (100), 120);
+      ash_direct_note_pause (b, at (100), 60);
     }
   CU_ASSERT_STRING_EQUAL (choose (&set, at (100), 8, 120), "b");
   /* And it may have fewer: half of the cap at least. */
@@ -194,7 +197,9 @@
 static void
 test_own_hall (void)
 {
-  struct ash_direct_wish wish = { .service = "s", .hall = "x", .cap = 9, .pause_aim_ms = 120 };
+  struct ash_direct_criteria criteria = {
+    .service = "s", .hall = "x", .cap = 9, .pause_aim_ms = 120
+  };
   struct ash_direct_endpoint *chosen;
   struct ash_direct_endpoint *near;
   struct ash_direct_endpoint *far;
@@ -207,11 +212,11 @@
   snprintf (far->facts.hall, sizeof far->facts.hall, "y");
   near->in_flight = 4;
   far->in_flight = 3;
-  ash_direct_choose (&set, at (100), &wish, &chosen);
+  ash_direct_choose (&set, at (100), &criteria, &chosen);
   CU_ASSERT_PTR_EQUAL (chosen, near);
   /* Ranks that all wait for the fullest stay even: three requests less are reason enough. */
   far->in_flight = 1;
-  ash_direct_choose (&set, at (100), &wish, &chosen);
+  ash_direct_choose (&set, at (100), &criteria, &chosen);
   CU_ASSERT_PTR_EQUAL (chosen, far);
   ash_direct_finish (&set);
 }
@@ -228,7 +233,7 @@
   a = list (&set, "a", false);
   b = list (&set, "b", false);
   b->in_flight = 1;
-  ash_direct_slow (a, at (100), 3);
+  ash_direct_set_pace (a, at (100), 3);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (200), 8, 120), "b");
   /* It gets a third of what the others have, and may have a third of the cap. */
   b->in_flight = 7;
@@ -239,8 +244,8 @@
   CU_ASSERT_STRING_EQUAL (choose (&set, at (200), 8, 120), "-");
   /* It says that it is as usual again, or nothing is heard for long. */
   CU_ASSERT_STRING_EQUAL (choose (&set, at (1700), 8, 120), "a");
-  ash_direct_slow (a, at (1800), 3);
-  ash_direct_slow (a, at (1900), 1.1);
+  ash_direct_set_pace (a, at (1800), 3);
+  ash_direct_set_pace (a, at (1900), 1.1);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (1900), 8, 120), "a");
   ash_direct_finish (&set);
 }
@@ -252,7 +257,7 @@
 
   snprintf (facts.id, sizeof facts.id, "%s", id);
   snprintf (facts.address, sizeof facts.address, "%s", address);
-  ash_direct_listed (set, &facts);
+  ash_direct_update (set, &facts);
 }
 
 /* A router that had just started refused a request while both endpoints stood: their former ids
@@ -270,14 +275,14 @@
   /* The new one is listed before the former one is missing, or after. */
   list_at (&set, "a2", "10.0.0.1:80");
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "a1")));
-  ash_direct_removed (&set, "a1", false, at (9000));
+  ash_direct_remove (&set, "a1", false, at (9000));
   CU_ASSERT_FALSE (ash_direct_usable (ash_direct_find (&set, "a1")));
-  ash_direct_removed (&set, "b1", false, at (9000));
+  ash_direct_remove (&set, "b1", false, at (9000));
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "b1")));
   list_at (&set, "b2", "10.0.0.2:80");
   CU_ASSERT_FALSE (ash_direct_usable (ash_direct_find (&set, "b1")));
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "b2")));
-  ash_direct_removed (&set, "c1", false, at (9000));
+  ash_direct_remove (&set, "c1", false, at (9000));
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "c1")));
   ash_direct_finish (&set);
 }
@@ -291,18 +296,18 @@
   list (&set, "a", false);
   list (&set, "b", false);
   /* The list could not be trusted: used on for a while, and again if it comes back. */
-  CU_ASSERT (ash_direct_removed (&set, "a", false, at (500)));
+  CU_ASSERT (ash_direct_remove (&set, "a", false, at (500)));
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "a")));
   ash_direct_tick (&set, at (400));
   list (&set, "a", false);
   ash_direct_tick (&set, at (600));
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "a")));
-  CU_ASSERT (ash_direct_removed (&set, "a", false, at (900)));
+  CU_ASSERT (ash_direct_remove (&set, "a", false, at (900)));
   ash_direct_tick (&set, at (901));
   CU_ASSERT_PTR_NULL (ash_direct_find (&set, "a"));
   /* Trusted: gone at once, and kept until its work has ended. */
   ash_direct_find (&set, "b")->in_flight = 1;
-  CU_ASSERT (ash_direct_removed (&set, "b", true, at (0)));
+  CU_ASSERT (ash_direct_remove (&set, "b", true, at (0)));
   ash_direct_tick (&set, at (1000));
   CU_ASSERT_FALSE (ash_direct_usable (ash_direct_find (&set, "b")));
   ash_direct_find (&set, "b")->in_flight = 0;
@@ -310,8 +315,8 @@
   CU_ASSERT_PTR_NULL (ash_direct_find (&set, "b"));
   /* One that said it was leaving has left, whatever is trusted. */
   list (&set, "c", true);
-  CU_ASSERT (ash_direct_removed (&set, "c", false, at (9000)));
-  CU_ASSERT_EQUAL (ash_direct_find (&set, "c")->presence, ASH_DIRECT_GONE);
+  CU_ASSERT (ash_direct_remove (&set, "c", false, at (9000)));
+  CU_ASSERT_EQUAL (ash_direct_find (&set, "c")->presence, ASH_DIRECT_REMOVED);
   ash_direct_finish (&set);
 }
 
@@ -567,18 +572,18 @@
 static void
 test_talk (void)
 {
-  CU_ASSERT_EQUAL (ash_talk_far_beat_ms (300, 0), 300);
-  CU_ASSERT_EQUAL (ash_talk_far_beat_ms (300, 30), 300);
-  CU_ASSERT_EQUAL (ash_talk_far_beat_ms (300, 119), 1190);
-  CU_ASSERT_EQUAL (ash_talk_far_load_ms (50, 20), 50);
-  CU_ASSERT (1000 * 119 / ash_talk_far_load_ms (50, 119) <= 410);
-  CU_ASSERT (1000 * 1000 / ash_talk_far_load_ms (50, 1000) <= 410);
-  CU_ASSERT_EQUAL (ash_talk_far_parts (50, 20), 1);
-  CU_ASSERT_EQUAL (ash_talk_far_parts (50, 119), 5);
+  CU_ASSERT_EQUAL (ash_peer_period_remote_heartbeat_ms (300, 0), 300);
+  CU_ASSERT_EQUAL (ash_peer_period_remote_heartbeat_ms (300, 30), 300);
+  CU_ASSERT_EQUAL (ash_peer_period_remote_heartbeat_ms (300, 119), 1190);
+  CU_ASSERT_EQUAL (ash_peer_period_remote_load_ms (50, 20), 50);
+  CU_ASSERT (1000 * 119 / ash_peer_period_remote_load_ms (50, 119) <= 410);
+  CU_ASSERT (1000 * 1000 / ash_peer_period_remote_load_ms (50, 1000) <= 410);
+  CU_ASSERT_EQUAL (ash_peer_period_remote_parts (50, 20), 1);
+  CU_ASSERT_EQUAL (ash_peer_period_remote_parts (50, 119), 5);
   /* A link is not given up between two heartbeats that its peer has told of. */
-  CU_ASSERT_EQUAL (ash_talk_silence_ms (1000, 300, 0), 1000);
-  CU_ASSERT_EQUAL (ash_talk_silence_ms (1000, 300, 300), 1000);
-  CU_ASSERT (ash_talk_silence_ms (1000, 300, 1190) > 3 * 1190);
+  CU_ASSERT_EQUAL (ash_peer_period_silence_ms (1000, 300, 0), 1000);
+  CU_ASSERT_EQUAL (ash_peer_period_silence_ms (1000, 300, 300), 1000);
+  CU_ASSERT (ash_peer_period_silence_ms (1000, 300, 1190) > 3 * 1190);
 }
 
 /* ---- endpoints of other halls in a large fleet ---- */
@@ -590,7 +595,7 @@
 /* All routers see the same free places of another hall and hear of each other late: what they send
  * meanwhile. @return requests at the endpoint that got most. */
 static uint32_t
-spill (struct ash_direct_set *set, uint32_t far_parts, uint32_t *sent)
+spill (struct ash_direct_set *set, uint32_t remote_parts, uint32_t *sent)
 {
   uint32_t got[SPILL_ENDPOINTS] = { 0 };
   struct ash_direct_endpoint *chosen;
@@ -599,13 +604,13 @@
   *sent = 0;
   for (uint64_t router = 1; router <= SPILL_ROUTERS; router++)
     {
-      struct ash_direct_wish wish = { .service = "s",
-                                      .hall = "own",
-                                      .own = router * UINT64_C (0x2545f4914f6cdd1d),
-                                      .far_parts = far_parts,
-                                      .cap = SPILL_CAP };
+      struct ash_direct_criteria criteria = { .service = "s",
+                                              .hall = "own",
+                                              .own = router * UINT64_C (0x2545f4914f6cdd1d),
+                                              .remote_parts = remote_parts,
+                                              .cap = SPILL_CAP };
 
-      if (ash_direct_choose (set, at (0), &wish, &chosen) != ASH_DIRECT_CHOSEN)
+      if (ash_direct_choose (set, at (0), &criteria, &chosen) != ASH_DIRECT_CHOSEN)
         continue;
       ++*sent;
       got[chosen->facts.slots]++;
@@ -632,7 +637,7 @@
 
       snprintf (facts.id, sizeof facts.id, "e%u", i);
       facts.slots = i;
-      ash_direct_listed (&set, &facts);
+      ash_direct_update (&set, &facts);
       endpoint = ash_direct_find (&set, facts.id);
       endpoint->elsewhere = i < 3 ? SPILL_CAP - 1 : SPILL_CAP;
     }
@@ -683,36 +688,36 @@
   };
   struct ash_direct_set set;
   struct ash_direct_endpoint *a;
-  uint32_t reborn = 0;
+  uint32_t restarted = 0;
 
   ash_direct_init (&set, 1);
-  set.reborn = count_reborn;
-  set.data = &reborn;
-  ash_direct_listed (&set, &facts);
+  set.restarted = count_reborn;
+  set.data = &restarted;
+  ash_direct_update (&set, &facts);
   a = ash_direct_find (&set, "a");
   for (int i = 0; i < 8; i++)
-    ash_direct_saw (a, at (1000), ASH_DIRECT_SILENT);
-  ash_direct_slow (a, at (1000), 3);
-  ash_direct_paused (a, at (1000), 400);
+    ash_direct_note_result (a, at (1000), ASH_DIRECT_TIMED_OUT);
+  ash_direct_set_pace (a, at (1000), 3);
+  ash_direct_note_pause (a, at (1000), 400);
   /* The same life says something new of itself. */
   facts.draining = true;
-  CU_ASSERT (ash_direct_listed (&set, &facts));
-  CU_ASSERT_EQUAL (reborn, 0);
+  CU_ASSERT (ash_direct_update (&set, &facts));
+  CU_ASSERT_EQUAL (restarted, 0);
   CU_ASSERT_EQUAL (a->failures, 8);
   facts.draining = false;
   facts.born_ms = 5000;
-  CU_ASSERT (ash_direct_listed (&set, &facts));
-  CU_ASSERT_EQUAL (reborn, 1);
+  CU_ASSERT (ash_direct_update (&set, &facts));
+  CU_ASSERT_EQUAL (restarted, 1);
   CU_ASSERT_EQUAL (a->failures, 0);
-  CU_ASSERT_FALSE (ash_time_before (at (1001), a->passed_until));
+  CU_ASSERT_FALSE (ash_time_before (at (1001), a->ejected_until));
   CU_ASSERT_EQUAL (ash_direct_pace (a, at (1001)), 1);
-  CU_ASSERT_FALSE (ash_direct_listed (&set, &facts));
+  CU_ASSERT_FALSE (ash_direct_update (&set, &facts));
   /* It does not say when it started, but is at another address. */
   facts.born_ms = 0;
-  CU_ASSERT_FALSE (ash_direct_listed (&set, &facts));
+  CU_ASSERT_FALSE (ash_direct_update (&set, &facts));
   snprintf (facts.address, sizeof facts.address, "127.0.0.1:2");
-  CU_ASSERT (ash_direct_listed (&set, &facts));
-  CU_ASSERT_EQUAL (reborn, 2);
+  CU_ASSERT (ash_direct_update (&set, &facts));
+  CU_ASSERT_EQUAL (restarted, 2);
   ash_direct_finish (&set);
 }
 
@@ -721,23 +726,23 @@
 static void
 test_peer_news (void)
 {
-  struct ash_peer_news news = { 0 };
+  struct ash_peer_version news = { 0 };
 
-  ash_peer_news_told (&news, (struct ash_time){ 100 }, 4, 4);
-  CU_ASSERT_FALSE (ash_peer_news_behind (&news, (struct ash_time){ 900 }, 4, 0));
+  ash_peer_version_reported (&news, (struct ash_time){ 100 }, 4, 4);
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, (struct ash_time){ 900 }, 4, 0));
   /* Behind from when a newer one is told, not from when the last one came. */
-  ash_peer_news_told (&news, (struct ash_time){ 1000 }, 6, 4);
-  CU_ASSERT (ash_peer_news_behind (&news, (struct ash_time){ 1250 }, 4, 250));
-  CU_ASSERT_FALSE (ash_peer_news_behind (&news, (struct ash_time){ 1250 }, 4, 251));
+  ash_peer_version_reported (&news, (struct ash_time){ 1000 }, 6, 4);
+  CU_ASSERT (ash_peer_version_is_behind (&news, (struct ash_time){ 1250 }, 4, 250));
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, (struct ash_time){ 1250 }, 4, 251));
   /* Newer ones yet, and old ones, do not begin the wait anew. */
-  ash_peer_news_told (&news, (struct ash_time){ 1300 }, 9, 4);
-  ash_peer_news_told (&news, (struct ash_time){ 1350 }, 5, 4);
-  CU_ASSERT (ash_peer_news_behind (&news, (struct ash_time){ 1400 }, 4, 400));
+  ash_peer_version_reported (&news, (struct ash_time){ 1300 }, 9, 4);
+  ash_peer_version_reported (&news, (struct ash_time){ 1350 }, 5, 4);
+  CU_ASSERT (ash_peer_version_is_behind (&news, (struct ash_time){ 1400 }, 4, 400));
   /* What comes in between does: the source speaks. */
-  CU_ASSERT_FALSE (ash_peer_news_behind (&news, (struct ash_time){ 1500 }, 6, 1));
-  CU_ASSERT (ash_peer_news_behind (&news, (struct ash_time){ 1600 }, 6, 100));
-  CU_ASSERT_FALSE (ash_peer_news_behind (&news, (struct ash_time){ 1600 }, 6, 101));
-  CU_ASSERT_FALSE (ash_peer_news_behind (&news, (struct ash_time){ 1700 }, 9, 0));
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, (struct ash_time){ 1500 }, 6, 1));
+  CU_ASSERT (ash_peer_version_is_behind (&news, (struct ash_time){ 1600 }, 6, 100));
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, (struct ash_time){ 1600 }, 6, 101));
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, (struct ash_time){ 1700 }, 9, 0));
 }
 
 /* What a review saw: a router that lacked nothing asked a peer for a whole list, and the store
@@ -747,23 +752,23 @@
 static void
 test_peer_news_settled (void)
 {
-  struct ash_peer_news news = { 0 };
+  struct ash_peer_version news = { 0 };
 
-  ash_peer_news_told (&news, at (1000), 9, 4);
-  ash_peer_news_same (&news, at (1100), 9, 4);
-  CU_ASSERT_FALSE (ash_peer_news_behind (&news, at (1900), 4, 0));
+  ash_peer_version_reported (&news, at (1000), 9, 4);
+  ash_peer_version_equal (&news, at (1100), 9, 4);
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, at (1900), 4, 0));
   /* One that differs and is older than that lacks something itself. */
-  ash_peer_news_told (&news, at (1900), 8, 4);
-  CU_ASSERT_FALSE (ash_peer_news_behind (&news, at (1950), 4, 0));
+  ash_peer_version_reported (&news, at (1900), 8, 4);
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, at (1950), 4, 0));
   /* Who has an older one says nothing of the newest. */
-  ash_peer_news_told (&news, at (2000), 12, 4);
-  ash_peer_news_same (&news, at (2100), 11, 4);
-  CU_ASSERT (ash_peer_news_behind (&news, at (2700), 4, 700));
+  ash_peer_version_reported (&news, at (2000), 12, 4);
+  ash_peer_version_equal (&news, at (2100), 11, 4);
+  CU_ASSERT (ash_peer_version_is_behind (&news, at (2700), 4, 700));
   /* A change after that begins a new wait. */
-  ash_peer_news_same (&news, at (2800), 13, 4);
-  ash_peer_news_told (&news, at (3000), 14, 4);
-  CU_ASSERT (ash_peer_news_behind (&news, at (3100), 4, 100));
-  CU_ASSERT_FALSE (ash_peer_news_behind (&news, at (3100), 4, 101));
+  ash_peer_version_equal (&news, at (2800), 13, 4);
+  ash_peer_version_reported (&news, at (3000), 14, 4);
+  CU_ASSERT (ash_peer_version_is_behind (&news, at (3100), 4, 100));
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, at (3100), 4, 101));
 }
 
 /* ---- who asks the store often ---- */
@@ -793,7 +798,7 @@
 static bool
 asks_often (const struct fleet_of *fleet, uint32_t own)
 {
-  struct ash_asker others[ASKERS_MAX];
+  struct ash_poller others[ASKERS_MAX];
   uint32_t count = 0;
 
   /* In another order for each: links come up as they like. */
@@ -801,10 +806,10 @@
     {
       uint32_t other = (own + i) % fleet->count;
 
-      others[count++] = (struct ash_asker){ fleet->boxes[other], fleet->halls[other], 0 };
+      others[count++] = (struct ash_poller){ fleet->boxes[other], fleet->halls[other], 0 };
     }
-  return ash_askers_has ((struct ash_asker){ fleet->boxes[own], fleet->halls[own], 0 }, others,
-                         count, ASKERS_WANTED);
+  return ash_pollers_is_chosen ((struct ash_poller){ fleet->boxes[own], fleet->halls[own], 0 },
+                                others, count, ASKERS_WANTED);
 }
 
 /* Those that say that they ask often, as one bit each of the first 64. */
@@ -886,19 +891,19 @@
 static void
 test_fast_links_first (void)
 {
-  const struct ash_asker small = { "edge-a-1", "a", 40 };
-  const struct ash_asker large = { "edge-a-2", "a", 200 };
-  const struct ash_asker other = { "edge-b-1", "b", 200 };
-  const struct ash_asker unknown = { "edge-a-0", "a", 0 };
-  const struct ash_asker others[] = { small, other, unknown };
-
-  CU_ASSERT (ash_askers_before (large, small) && !ash_askers_before (small, large));
-  CU_ASSERT (ash_askers_before (large, other) && !ash_askers_before (other, large));
-  CU_ASSERT (ash_askers_before (small, unknown));
-  CU_ASSERT (ash_askers_in_hall (large, others, 3, 1));
-  CU_ASSERT_FALSE (ash_askers_in_hall (small, &large, 1, 1));
-  CU_ASSERT (ash_askers_in_hall (small, &large, 1, 2));
-  CU_ASSERT (ash_askers_in_hall (small, &other, 1, 1));
+  const struct ash_poller small = { "edge-a-1", "a", 40 };
+  const struct ash_poller large = { "edge-a-2", "a", 200 };
+  const struct ash_poller other = { "edge-b-1", "b", 200 };
+  const struct ash_poller unknown = { "edge-a-0", "a", 0 };
+  const struct ash_poller others[] = { small, other, unknown };
+
+  CU_ASSERT (ash_pollers_before (large, small) && !ash_pollers_before (small, large));
+  CU_ASSERT (ash_pollers_before (large, other) && !ash_pollers_before (other, large));
+  CU_ASSERT (ash_pollers_before (small, unknown));
+  CU_ASSERT (ash_pollers_is_chosen_in_hall (large, others, 3, 1));
+  CU_ASSERT_FALSE (ash_pollers_is_chosen_in_hall (small, &large, 1, 1));
+  CU_ASSERT (ash_pollers_is_chosen_in_hall (small, &large, 1, 2));
+  CU_ASSERT (ash_pollers_is_chosen_in_hall (small, &other, 1, 1));
 }
 
 /* ---- the log ---- */
--- a/test/unit_rows.c
+++ b/test/unit_rows.c
@@ -123,7 +123,7 @@
 {
   const struct ash_route *route = route_of (table, number);
 
-  return route ? table->services[ash_route_table_draw (table, route, 0)].name : "";
+  return route ? table->services[ash_route_table_pick_service (table, route, 0)].name : "";
 }
 
 #define SERVICES_AB "[{\"Name\":\"a\"},{\"Name\":\"b\"}]"
--- a/test/unit_terms.c
+++ b/test/unit_terms.c
@@ -18,7 +18,7 @@
 
 /* What is borne of a rate in any such window: half of it more, and five requests. */
 #define WINDOW_MS 4000
-#define WINDOW_STEPS (WINDOW_MS / STEP_MS)
+#define WINDOW_BUCKETS (WINDOW_MS / STEP_MS)
 #define BORNE_FACTOR 1.5
 #define BORNE_SLACK 5
 
@@ -60,7 +60,7 @@
         count++;
         before += ash_rate_limit_order (1, name_of (i)) < ash_rate_limit_order (1, name_of (own));
       }
-  ash_rate_limit_deal (&fleet->limits[own], now, 1, count, before);
+  ash_rate_limit_assign (&fleet->limits[own], now, 1, count, before);
 }
 
 static void
@@ -80,7 +80,7 @@
     {
       uint32_t router = (first + i) % fleet->count;
 
-      if (fleet->away[router] || ash_rate_limit_opens_ms (&fleet->limits[router], now))
+      if (fleet->away[router] || ash_rate_limit_wait_ms (&fleet->limits[router], now))
         continue;
       ash_rate_limit_spend (&fleet->limits[router], now);
       fleet->sent[n]++;
@@ -100,12 +100,12 @@
 static uint32_t
 worst_window (const struct fleet *fleet)
 {
-  uint32_t sum = sum_of (fleet, 0, WINDOW_STEPS);
+  uint32_t sum = sum_of (fleet, 0, WINDOW_BUCKETS);
   uint32_t worst = sum;
 
-  for (uint32_t n = WINDOW_STEPS; n < STEPS; n++)
+  for (uint32_t n = WINDOW_BUCKETS; n < STEPS; n++)
     {
-      sum += fleet->sent[n] - fleet->sent[n - WINDOW_STEPS];
+      sum += fleet->sent[n] - fleet->sent[n - WINDOW_BUCKETS];
       worst = sum > worst ? sum : worst;
     }
   return worst;
@@ -125,7 +125,7 @@
   ash_random_init (&random, seed);
   fleet->count = routers;
   for (uint32_t i = 0; i < routers; i++)
-    ash_rate_limit_heard (&fleet->limits[i], milli_per_s, at (1), at (0));
+    ash_rate_limit_update (&fleet->limits[i], milli_per_s, at (1), at (0));
   deal_all (fleet, at (1), alike);
   for (uint32_t n = 0; n < STEPS; n++)
     {
@@ -163,24 +163,24 @@
   struct ash_rate_limit limit = { 0 };
 
   /* Most endpoints name none. */
-  CU_ASSERT_FALSE (ash_rate_limit_heard (&limit, 0, at (10), at (5)));
-  CU_ASSERT_EQUAL (ash_rate_limit_opens_ms (&limit, at (10)), 0);
-  CU_ASSERT (ash_rate_limit_heard (&limit, 2000, at (20), at (15)));
+  CU_ASSERT_FALSE (ash_rate_limit_update (&limit, 0, at (10), at (5)));
+  CU_ASSERT_EQUAL (ash_rate_limit_wait_ms (&limit, at (10)), 0);
+  CU_ASSERT (ash_rate_limit_update (&limit, 2000, at (20), at (15)));
   /* Nothing is sent before the rate is dealt out. */
-  CU_ASSERT (ash_rate_limit_opens_ms (&limit, at (20000)) < 0);
-  CU_ASSERT_FALSE (ash_rate_limit_heard (&limit, 2100, at (30), at (25)));
+  CU_ASSERT (ash_rate_limit_wait_ms (&limit, at (20000)) < 0);
+  CU_ASSERT_FALSE (ash_rate_limit_update (&limit, 2100, at (30), at (25)));
   CU_ASSERT_EQUAL (limit.milli_per_s, 2100);
-  CU_ASSERT (ash_rate_limit_heard (&limit, 3000, at (40), at (35)));
+  CU_ASSERT (ash_rate_limit_update (&limit, 3000, at (40), at (35)));
   /* An older word, by way of a peer. */
-  CU_ASSERT_FALSE (ash_rate_limit_heard (&limit, 9000, at (35), at (35)));
+  CU_ASSERT_FALSE (ash_rate_limit_update (&limit, 9000, at (35), at (35)));
   CU_ASSERT_EQUAL (limit.milli_per_s, 3000);
   /* The answer to a request that was sent before the rate was named. */
-  CU_ASSERT_FALSE (ash_rate_limit_heard (&limit, 0, at (60), at (39)));
+  CU_ASSERT_FALSE (ash_rate_limit_update (&limit, 0, at (60), at (39)));
   CU_ASSERT_EQUAL (limit.milli_per_s, 3000);
-  CU_ASSERT (ash_rate_limit_heard (&limit, 0, at (70), at (50)));
-  CU_ASSERT_EQUAL (ash_rate_limit_opens_ms (&limit, at (70)), 0);
+  CU_ASSERT (ash_rate_limit_update (&limit, 0, at (70), at (50)));
+  CU_ASSERT_EQUAL (ash_rate_limit_wait_ms (&limit, at (70)), 0);
   /* A peer that has not heard that yet. */
-  CU_ASSERT_FALSE (ash_rate_limit_heard (&limit, 3000, at (60), at (60)));
+  CU_ASSERT_FALSE (ash_rate_limit_update (&limit, 3000, at (60), at (60)));
   CU_ASSERT_EQUAL (limit.milli_per_s, 0);
 }
 
@@ -195,7 +195,7 @@
 
   snprintf (facts.id, sizeof facts.id, "%s", id);
   snprintf (facts.address, sizeof facts.address, "1.2.3.4:%c", id[0]);
-  ash_direct_listed (set, &facts);
+  ash_direct_update (set, &facts);
   return ash_direct_find (set, id);
 }
 
@@ -223,7 +223,7 @@
   struct ash_forward_verdict verdict = ash_forward_next (&forward, &world, at (now_ms));
 
   if (verdict.action == ASH_FORWARD_SEND)
-    ash_direct_sent (verdict.endpoint, at (now_ms));
+    ash_direct_note_sent (verdict.endpoint, at (now_ms));
   return verdict;
 }
 
@@ -241,8 +241,8 @@
     {
       struct ash_direct_endpoint *endpoint = add_endpoint (&set, i ? "b" : "a");
 
-      ash_rate_limit_heard (&endpoint->limit, 500, at (1), at (0));
-      ash_rate_limit_deal (&endpoint->limit, at (1), 1, 1, 0);
+      ash_rate_limit_update (&endpoint->limit, 500, at (1), at (0));
+      ash_rate_limit_assign (&endpoint->limit, at (1), 1, 1, 0);
     }
   for (int64_t now_ms = 1; now_ms <= 2000; now_ms++)
     sent += ask (&set, &window, now_ms).action == ASH_FORWARD_SEND;
@@ -255,7 +255,7 @@
   CU_ASSERT (verdict.answer.status == 503 && verdict.answer.reason == ASH_FORWARD_HELD_BACK);
   CU_ASSERT (verdict.answer.retry_after_ms >= 1990 && verdict.answer.retry_after_ms <= 8000 / 3);
   /* A new life has named none. */
-  CU_ASSERT (ash_direct_listed (
+  CU_ASSERT (ash_direct_update (
       &set, &(struct ash_direct_facts){
                 .id = "a", .service = "s", .hall = "h", .address = "1.2.3.4:9", .slots = 8 }));
   CU_ASSERT (ask (&set, &window, 2011).action == ASH_FORWARD_SEND);
@@ -271,9 +271,9 @@
   struct ash_forward_verdict verdict;
 
   ash_direct_init (&set, 1);
-  ash_direct_rests (add_endpoint (&set, "a"), at (0), 3000);
+  ash_direct_back_off (add_endpoint (&set, "a"), at (0), 3000);
   /* A shorter rest does not end a longer one. */
-  ash_direct_rests (ash_direct_find (&set, "a"), at (10), 100);
+  ash_direct_back_off (ash_direct_find (&set, "a"), at (10), 100);
   add_endpoint (&set, "b");
   for (int i = 0; i < 8; i++)
     {
@@ -297,8 +297,8 @@
   struct ash_forward_verdict verdict;
 
   ash_direct_init (&set, 1);
-  ash_direct_rests (add_endpoint (&set, "a"), at (0), 2500);
-  ash_direct_rests (add_endpoint (&set, "b"), at (0), 9000);
+  ash_direct_back_off (add_endpoint (&set, "a"), at (0), 2500);
+  ash_direct_back_off (add_endpoint (&set, "b"), at (0), 9000);
   for (int i = 0; i < 50; i++)
     {
       verdict = ask (&set, &window, 100);
@@ -314,7 +314,9 @@
 static void
 test_part_rests (void)
 {
-  struct ash_direct_wish wish = { .service = "s", .hall = "x", .own = 1, .far_parts = 4, .cap = 8 };
+  struct ash_direct_criteria criteria = {
+    .service = "s", .hall = "x", .own = 1, .remote_parts = 4, .cap = 8
+  };
   struct ash_direct_endpoint *chosen;
   struct ash_direct_set set;
   uint32_t rested = 0;
@@ -324,14 +326,15 @@
     add_endpoint (&set, (const char[]){ (char) ('a' + i), '\0' });
   for (int i = 0; i < ENDPOINTS; i++)
     {
-      CU_ASSERT_EQUAL_FATAL (ash_direct_choose (&set, at (0), &wish, &chosen), ASH_DIRECT_CHOSEN);
-      CU_ASSERT_EQUAL (ash_direct_rests_ms (chosen, at (0)), 0);
-      ash_direct_rests (chosen, at (0), 1000);
+      CU_ASSERT_EQUAL_FATAL (ash_direct_choose (&set, at (0), &criteria, &chosen),
+                             ASH_DIRECT_CHOSEN);
+      CU_ASSERT_EQUAL (ash_direct_backoff_ms (chosen, at (0)), 0);
+      ash_direct_back_off (chosen, at (0), 1000);
       rested++;
     }
   CU_ASSERT_EQUAL (rested, ENDPOINTS);
-  CU_ASSERT_EQUAL (ash_direct_choose (&set, at (0), &wish, &chosen), ASH_DIRECT_HELD_BACK);
-  CU_ASSERT_EQUAL (ash_direct_opens_ms (&set, at (0), &wish), 1000);
+  CU_ASSERT_EQUAL (ash_direct_choose (&set, at (0), &criteria, &chosen), ASH_DIRECT_THROTTLED);
+  CU_ASSERT_EQUAL (ash_direct_wait_ms (&set, at (0), &criteria), 1000);
   ash_direct_finish (&set);
 }
 
@@ -363,7 +366,7 @@
       if (*run)
         {
           (*run)->in_flight--;
-          ash_direct_saw (*run, now, ASH_DIRECT_ANSWERED);
+          ash_direct_note_result (*run, now, ASH_DIRECT_ANSWERED);
           *run = NULL;
         }
       verdict = ask (&set, &window, now.ms);
@@ -373,7 +376,7 @@
       if (is_turning && ash_random_below (&random, 10))
         {
           verdict.endpoint->in_flight--;
-          ash_direct_saw (verdict.endpoint, now, ASH_DIRECT_FULL);
+          ash_direct_note_result (verdict.endpoint, now, ASH_DIRECT_FULL);
         }
       else
         *run = verdict.endpoint;
@@ -395,18 +398,18 @@
 
   ash_direct_init (&set, 1);
   endpoint = add_endpoint (&set, "a");
-  endpoint->said_leaving = true;
+  endpoint->announced_leaving = true;
   facts = endpoint->facts;
-  ash_direct_listed (&set, &facts);
+  ash_direct_update (&set, &facts);
   CU_ASSERT (ask (&set, &window, 1).action == ASH_FORWARD_ANSWER);
   CU_ASSERT_EQUAL (ash_direct_count (&set, "s"), 0);
   /* A list that can't be trusted has lost it: it has left. */
-  CU_ASSERT (ash_direct_removed (&set, "a", false, at (5000)));
-  CU_ASSERT_EQUAL (endpoint->presence, ASH_DIRECT_GONE);
+  CU_ASSERT (ash_direct_remove (&set, "a", false, at (5000)));
+  CU_ASSERT_EQUAL (endpoint->presence, ASH_DIRECT_REMOVED);
   /* A later life. */
   facts.born_ms = 7;
   strcpy (facts.address, "1.2.3.4:9");
-  ash_direct_listed (&set, &facts);
+  ash_direct_update (&set, &facts);
   CU_ASSERT (ask (&set, &window, 2).action == ASH_FORWARD_SEND);
   ash_direct_finish (&set);
 }
