--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -41,7 +41,7 @@
 set_timer (struct ash_exchange *exchange, struct ash_time until)
 {
   struct ash_time now = ash_clock_now ();
-  int64_t ms = ash_time_diff (now, ash_exchange_watch_until (exchange, now, until));
+  int64_t ms = ash_time_diff (now, ash_exchange_next_check (exchange, now, until));
 
   ev_timer_stop (exchange->router->loop, &exchange->timer);
   ev_timer_set (&exchange->timer, (double) (ms > 0 ? ms : 0) / MS_PER_S + 0.0005, 0);
@@ -126,8 +126,8 @@
       set_timer (exchange, verdict.until);
       break;
     case ASH_FORWARD_ANSWER:
-      ash_exchange_end_self (exchange, verdict.answer.status, verdict.answer.reason,
-                             verdict.answer.retry_after_ms);
+      ash_exchange_end_with_status (exchange, verdict.answer.status, verdict.answer.reason,
+                                    verdict.answer.retry_after_ms);
       break;
     }
 }
@@ -146,7 +146,7 @@
   if (verdict.action == ASH_FORWARD_SEND)
     send_to (exchange, verdict.endpoint);
   else
-    ash_exchange_end_held (exchange);
+    ash_exchange_end_with_answer (exchange);
 }
 
 static void
@@ -157,15 +157,16 @@
 
   if (answer->not_run)
     {
-      ash_exchange_saw (exchange, answer->status == ASH_STATUS_OTHER_SERVER ? ASH_DIRECT_UNREACHABLE
-                                                                            : ASH_DIRECT_FULL);
-      ash_exchange_release (exchange);
+      ash_exchange_record_evidence (exchange, answer->status == ASH_STATUS_MISDIRECTED
+                                                  ? ASH_DIRECT_UNREACHABLE
+                                                  : ASH_DIRECT_FULL);
+      ash_exchange_release_slot (exchange);
       ash_forward_not_run (&exchange->forward, true);
       ash_exchange_step (exchange);
       return;
     }
-  ash_exchange_saw (exchange, failed ? ASH_DIRECT_FAILED : ASH_DIRECT_ANSWERED);
-  ash_exchange_release (exchange);
+  ash_exchange_record_evidence (exchange, failed ? ASH_DIRECT_FAILED : ASH_DIRECT_ANSWERED);
+  ash_exchange_release_slot (exchange);
   if (answer->events)
     ash_exchange_end_stream (exchange);
   else if (exchange->forward.answer_started && !answer->passing)
@@ -174,7 +175,7 @@
   else if (failed)
     take_failure (exchange);
   else
-    ash_exchange_end_held (exchange);
+    ash_exchange_end_with_answer (exchange);
 }
 
 static void
@@ -191,16 +192,16 @@
       return;
     }
   if (end == ASH_CALL_TRUNCATED)
-    ash_exchange_note_cut (exchange);
-  ash_exchange_saw (exchange,
-                    end == ASH_CALL_NOT_SENT ? ASH_DIRECT_UNREACHABLE : ASH_DIRECT_BROKEN);
-  ash_exchange_release (exchange);
+    ash_exchange_record_disconnect (exchange);
+  ash_exchange_record_evidence (exchange, end == ASH_CALL_NOT_SENT ? ASH_DIRECT_UNREACHABLE
+                                                                   : ASH_DIRECT_BROKEN);
+  ash_exchange_release_slot (exchange);
   if (end == ASH_CALL_NOT_SENT)
     ash_forward_not_run (&exchange->forward, false);
   /* What was passed on of an answer that is no stream can't be taken up elsewhere. */
   if (answer->passing)
     {
-      ash_exchange_end_self (exchange, 502, ASH_FORWARD_FAILED, 0);
+      ash_exchange_end_with_status (exchange, 502, ASH_FORWARD_FAILED, 0);
       return;
     }
   exchange->forward.wait_until = ash_time_add (ash_clock_now (), RESUME_WAIT_MS);
@@ -230,16 +231,17 @@
     {
       bool connecting = ash_http_call_connecting (&exchange->call);
 
-      if (!connecting && !ash_exchange_is_silent (exchange, now))
+      if (!connecting && !ash_exchange_check_silence (exchange, now))
         {
           set_timer (exchange, ASH_TIME_NEVER);
           return;
         }
-      ash_exchange_saw (exchange, connecting ? ASH_DIRECT_UNREACHABLE : ASH_DIRECT_TIMED_OUT);
+      ash_exchange_record_evidence (exchange,
+                                    connecting ? ASH_DIRECT_UNREACHABLE : ASH_DIRECT_TIMED_OUT);
       if (!connecting)
-        ash_exchange_doubt_connections (exchange, now);
+        ash_exchange_close_idle_connections (exchange, now);
       ash_http_call_cancel (&exchange->call);
-      ash_exchange_release (exchange);
+      ash_exchange_release_slot (exchange);
       if (connecting)
         ash_forward_not_run (&exchange->forward, false);
       exchange->forward.wait_until = ash_time_add (now, RESUME_WAIT_MS);
@@ -247,12 +249,12 @@
   else if (exchange->endpoint && ash_http_call_connecting (&exchange->call))
     ash_forward_not_run (&exchange->forward, false);
   else if (exchange->endpoint)
-    ash_exchange_note_deadline (exchange, now);
+    ash_exchange_record_timeout (exchange, now);
   ash_exchange_step (exchange);
 }
 
 void
-ash_exchange_woke (struct ash_router *router)
+ash_exchange_check_all (struct ash_router *router)
 {
   struct ash_exchange *exchange;
 
@@ -261,7 +263,7 @@
 }
 
 void
-ash_exchange_room (struct ash_router *router)
+ash_exchange_step_waiting (struct ash_router *router)
 {
   struct ash_exchange *exchange;
   struct ash_exchange *next;
--- a/daemon/exchange.h
+++ b/daemon/exchange.h
@@ -16,8 +16,8 @@
 #include "platform/message.h"
 
 #define ASH_STATUS_OK 200
-#define ASH_STATUS_MULTIPLE 300
-#define ASH_STATUS_OTHER_SERVER 421 /* another one has that address by now */
+#define ASH_STATUS_MULTIPLE_CHOICES 300
+#define ASH_STATUS_MISDIRECTED 421 /* another one has that address by now */
 #define ASH_STATUS_SERVER_ERROR 500
 
 /** What the present answer of an endpoint has shown so far. */
@@ -79,26 +79,26 @@
 /* ---- exchange_watch.c: the endpoint that has it ---- */
 
 /** Takes evidence on the endpoint, and logs if that is passed over from now on. */
-void ash_exchange_saw (struct ash_exchange *exchange, enum ash_direct_result evidence);
+void ash_exchange_record_evidence (struct ash_exchange *exchange, enum ash_direct_result evidence);
 
 /**
  * @param until when the exchange is to be looked at again at the latest.
  * @return when it is to be looked at if nothing comes: the deadline, the end of a silence that may
  * be borne, or until.
  */
-struct ash_time ash_exchange_watch_until (const struct ash_exchange *exchange,
-                                          struct ash_time now,
-                                          struct ash_time until);
+struct ash_time ash_exchange_next_check (const struct ash_exchange *exchange,
+                                         struct ash_time now,
+                                         struct ash_time until);
 
 /** @return whether the request is to go elsewhere since nothing comes. Doubts all endpoints' idle
  * connections if its own bytes are not acknowledged. */
-bool ash_exchange_is_silent (struct ash_exchange *exchange, struct ash_time now);
+bool ash_exchange_check_silence (struct ash_exchange *exchange, struct ash_time now);
 
 /** Nothing came for long: doubts the endpoint's other kept connections. */
-void ash_exchange_doubt_connections (struct ash_exchange *exchange, struct ash_time now);
+void ash_exchange_close_idle_connections (struct ash_exchange *exchange, struct ash_time now);
 
 /** The request's time is up before anything came: takes what that says of the endpoint. */
-void ash_exchange_note_deadline (struct ash_exchange *exchange, struct ash_time now);
+void ash_exchange_record_timeout (struct ash_exchange *exchange, struct ash_time now);
 
 /* ---- exchange_cut.c: connections that end under it ---- */
 
@@ -106,10 +106,10 @@
 struct ash_id ash_exchange_digest (struct ash_exchange *exchange);
 
 /** The connection to its endpoint has ended before the answer did. */
-void ash_exchange_note_cut (struct ash_exchange *exchange);
+void ash_exchange_record_disconnect (struct ash_exchange *exchange);
 
 /** It got a whole answer: whatever ended endpoints, it was not this request. */
-void ash_exchange_note_answered (struct ash_exchange *exchange);
+void ash_exchange_record_success (struct ash_exchange *exchange);
 
 /** @return how long its request is kept away from endpoints; 0: it is not. */
 int64_t ash_exchange_quarantined_ms (struct ash_exchange *exchange, struct ash_time now);
@@ -120,10 +120,10 @@
 void ash_exchange_set_waiting (struct ash_exchange *exchange, bool waiting);
 
 /** Gives the endpoint's place back, if it has one. */
-void ash_exchange_release (struct ash_exchange *exchange);
+void ash_exchange_release_slot (struct ash_exchange *exchange);
 
 /** A caller's id as a log may hold it: nothing that could pass for further fields. */
-const char *ash_request_plain_id (const struct ash_request_fields *facts);
+const char *ash_request_log_id (const struct ash_request_fields *facts);
 
 /** The same of an exchange's request. */
 const char *ash_exchange_id (const struct ash_exchange *exchange);
@@ -135,19 +135,19 @@
  * Ends the exchange with the router's own answer, or breaks off one that has begun.
  * @param retry_after_ms 0: the answer says nothing of a further try.
  */
-void ash_exchange_end_self (struct ash_exchange *exchange,
-                            uint16_t status,
-                            enum ash_forward_reason reason,
-                            uint32_t retry_after_ms);
+void ash_exchange_end_with_status (struct ash_exchange *exchange,
+                                   uint16_t status,
+                                   enum ash_forward_reason reason,
+                                   uint32_t retry_after_ms);
 
 /** Ends the exchange with the endpoint's own answer, as it made it. */
-void ash_exchange_end_held (struct ash_exchange *exchange);
+void ash_exchange_end_with_answer (struct ash_exchange *exchange);
 
 /** Ends the exchange after its stream's last event. */
 void ash_exchange_end_stream (struct ash_exchange *exchange);
 
 /** Ends the exchange of a caller that is gone. */
-void ash_exchange_end_gone (struct ash_exchange *exchange);
+void ash_exchange_end_disconnected (struct ash_exchange *exchange);
 
 /* ---- exchange_answer.c: the endpoint's answer ---- */
 
--- a/daemon/exchange_answer.c
+++ b/daemon/exchange_answer.c
@@ -50,12 +50,12 @@
   answer->status = head->status;
   answer->not_run = facts.not_run;
   answer->length = head->length == UINT64_MAX ? 0 : head->length;
-  answer->bad =
-      facts.encoded || (!facts.attempt_id && exchange->facts.attempt_id) ||
-      (head->status >= ASH_STATUS_OK && head->status < ASH_STATUS_MULTIPLE && !facts.is_signed);
-  if (!answer->bad && head->status != ASH_STATUS_OTHER_SERVER)
-    ash_fleet_heard_terms (&exchange->router->fleet, exchange->endpoint, &facts.terms,
-                           exchange->sent);
+  answer->bad = facts.encoded || (!facts.attempt_id && exchange->facts.attempt_id) ||
+                (head->status >= ASH_STATUS_OK && head->status < ASH_STATUS_MULTIPLE_CHOICES &&
+                 !facts.is_signed);
+  if (!answer->bad && head->status != ASH_STATUS_MISDIRECTED)
+    ash_fleet_update_terms (&exchange->router->fleet, exchange->endpoint, &facts.terms,
+                            exchange->sent);
   answer->events = exchange->route->stream && head->status == ASH_STATUS_OK && !answer->bad;
   /* A stream that goes on keeps the head of its first endpoint. */
   if (!exchange->forward.answer_started && !ash_platform_answer_write (&answer->fields, head))
--- a/daemon/exchange_cut.c
+++ b/daemon/exchange_cut.c
@@ -45,7 +45,7 @@
 }
 
 void
-ash_exchange_note_cut (struct ash_exchange *exchange)
+ash_exchange_record_disconnect (struct ash_exchange *exchange)
 {
   struct ash_suspects *suspects = &exchange->router->suspects;
   struct ash_quarantine_run run = {
@@ -57,8 +57,8 @@
   };
 
   log_cut (exchange, &run);
-  ash_suspects_cut (suspects, &ash_router_pool (exchange->router, exchange->endpoint)->address,
-                    &run);
+  ash_suspects_record_disconnect (
+      suspects, &ash_router_pool (exchange->router, exchange->endpoint)->address, &run);
   /* What ended an endpoint before may be ending the next one now: it is not sent on before that is
    * known. Others are not held up. */
   if (ash_quarantine_exits (&suspects->quarantine, run.request))
@@ -66,12 +66,12 @@
 }
 
 void
-ash_exchange_note_answered (struct ash_exchange *exchange)
+ash_exchange_record_success (struct ash_exchange *exchange)
 {
   struct ash_suspects *suspects = &exchange->router->suspects;
 
   if (suspects->quarantine.suspects)
-    ash_suspects_answered (suspects, ash_exchange_digest (exchange));
+    ash_suspects_record_success (suspects, ash_exchange_digest (exchange));
 }
 
 int64_t
@@ -111,7 +111,7 @@
         bool connecting = ash_http_call_connecting (&exchange->call);
 
         ash_http_call_cancel (&exchange->call);
-        ash_exchange_release (exchange);
+        ash_exchange_release_slot (exchange);
         if (connecting)
           ash_forward_not_run (&exchange->forward, false);
         ash_exchange_step (exchange);
--- a/daemon/exchange_end.c
+++ b/daemon/exchange_end.c
@@ -21,7 +21,7 @@
 }
 
 void
-ash_exchange_release (struct ash_exchange *exchange)
+ash_exchange_release_slot (struct ash_exchange *exchange)
 {
   if (!exchange->endpoint)
     return;
@@ -38,7 +38,7 @@
 
   ash_exchange_set_waiting (exchange, false);
   ash_http_call_cancel (&exchange->call);
-  ash_exchange_release (exchange);
+  ash_exchange_release_slot (exchange);
   ev_timer_stop (router->loop, &exchange->timer);
   ash_exchange_answer_clear (&exchange->answer);
   ash_event_stream_finish (&exchange->events);
@@ -48,7 +48,7 @@
 }
 
 const char *
-ash_request_plain_id (const struct ash_request_fields *facts)
+ash_request_log_id (const struct ash_request_fields *facts)
 {
   static const char plain[] = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ._:-";
   const char *id = facts->attempt_id;
@@ -61,7 +61,7 @@
 const char *
 ash_exchange_id (const struct ash_exchange *exchange)
 {
-  return ash_request_plain_id (&exchange->facts);
+  return ash_request_log_id (&exchange->facts);
 }
 
 int64_t
@@ -86,10 +86,10 @@
 }
 
 void
-ash_exchange_end_self (struct ash_exchange *exchange,
-                       uint16_t status,
-                       enum ash_forward_reason reason,
-                       uint32_t retry_after_ms)
+ash_exchange_end_with_status (struct ash_exchange *exchange,
+                              uint16_t status,
+                              enum ash_forward_reason reason,
+                              uint32_t retry_after_ms)
 {
   struct ash_http_conn *conn = exchange->conn;
   const struct ash_forward *forward = &exchange->forward;
@@ -123,7 +123,7 @@
 }
 
 void
-ash_exchange_end_held (struct ash_exchange *exchange)
+ash_exchange_end_with_answer (struct ash_exchange *exchange)
 {
   struct ash_http_conn *conn = exchange->conn;
   struct ash_exchange_answer *answer = &exchange->answer;
@@ -132,9 +132,10 @@
                  "id=%s route=%s status=%u sent=%u age_ms=%lld", ash_exchange_id (exchange),
                  exchange->route->name, answer->status, exchange->forward.sent,
                  (long long) ash_exchange_age_ms (exchange));
-  if (answer->status < ASH_STATUS_MULTIPLE)
-    ash_exchange_note_answered (exchange);
-  count_end (exchange, answer->status < ASH_STATUS_MULTIPLE ? "served" : "failed_there", true);
+  if (answer->status < ASH_STATUS_MULTIPLE_CHOICES)
+    ash_exchange_record_success (exchange);
+  count_end (exchange, answer->status < ASH_STATUS_MULTIPLE_CHOICES ? "served" : "failed_there",
+             true);
   conn->request = NULL;
   if (answer->passing)
     ash_http_conn_end (conn, true);
@@ -158,7 +159,7 @@
                  ash_exchange_id (exchange), exchange->route->name, exchange->answer.status,
                  exchange->forward.sent, (long long) ash_exchange_age_ms (exchange),
                  (long long) exchange->last_event);
-  ash_exchange_note_answered (exchange);
+  ash_exchange_record_success (exchange);
   count_end (exchange, "served", true);
   conn->request = NULL;
   ash_http_conn_end (conn, true);
@@ -166,7 +167,7 @@
 }
 
 void
-ash_exchange_end_gone (struct ash_exchange *exchange)
+ash_exchange_end_disconnected (struct ash_exchange *exchange)
 {
   ash_log_event (&exchange->router->log, ASH_EV_FORWARD_GONE, "id=%s route=%s sent=%u age_ms=%lld",
                  ash_exchange_id (exchange), exchange->route->name, exchange->forward.sent,
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -24,7 +24,7 @@
 #define DOUBT_PART 2
 
 void
-ash_exchange_saw (struct ash_exchange *exchange, enum ash_direct_result evidence)
+ash_exchange_record_evidence (struct ash_exchange *exchange, enum ash_direct_result evidence)
 {
   struct ash_direct_endpoint *endpoint = exchange->endpoint;
   struct ash_time now = ash_clock_now ();
@@ -68,9 +68,9 @@
 }
 
 struct ash_time
-ash_exchange_watch_until (const struct ash_exchange *exchange,
-                          struct ash_time now,
-                          struct ash_time until)
+ash_exchange_next_check (const struct ash_exchange *exchange,
+                         struct ash_time now,
+                         struct ash_time until)
 {
   if (exchange->endpoint && may_go_elsewhere (exchange))
     until = earlier (until, ash_time_add (exchange->heard, silence_ms (exchange)));
@@ -92,7 +92,7 @@
 /* Nothing came for long: the endpoint's other kept connections may be as silent, and a request that
  * may not be repeated would fail on each of them. */
 void
-ash_exchange_doubt_connections (struct ash_exchange *exchange, struct ash_time now)
+ash_exchange_close_idle_connections (struct ash_exchange *exchange, struct ash_time now)
 {
   exchange->trusted = trusted_since (exchange, now);
   ash_http_pool_close_idle (ash_router_pool (exchange->router, exchange->endpoint),
@@ -100,25 +100,25 @@
 }
 
 bool
-ash_exchange_is_silent (struct ash_exchange *exchange, struct ash_time now)
+ash_exchange_check_silence (struct ash_exchange *exchange, struct ash_time now)
 {
   int64_t silent_ms = ash_time_diff (exchange->heard, now);
 
   if (silent_ms >= doubt_ms (exchange) && ash_http_call_unacknowledged (&exchange->call))
     {
-      ash_router_doubt_connections (exchange->router, trusted_since (exchange, now));
+      ash_router_close_idle_connections (exchange->router, trusted_since (exchange, now));
       return may_go_elsewhere (exchange);
     }
   return may_go_elsewhere (exchange) && silent_ms >= silence_ms (exchange);
 }
 
 void
-ash_exchange_note_deadline (struct ash_exchange *exchange, struct ash_time now)
+ash_exchange_record_timeout (struct ash_exchange *exchange, struct ash_time now)
 {
   int64_t silent_ms = ash_time_diff (exchange->heard, now);
 
   if (silent_ms >= silence_ms (exchange))
-    ash_exchange_saw (exchange, ASH_DIRECT_TIMED_OUT);
+    ash_exchange_record_evidence (exchange, ASH_DIRECT_TIMED_OUT);
   if (silent_ms >= doubt_ms (exchange))
-    ash_exchange_doubt_connections (exchange, now);
+    ash_exchange_close_idle_connections (exchange, now);
 }
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -61,7 +61,8 @@
   peer->leaving = heartbeat->leaving;
   peer->version = heartbeat->revision;
   /* What it was told of endpoints that it did not know yet it has dropped. */
-  peer->untold = peer->untold || (heartbeat->endpoints_revision && !peer->endpoints_revision);
+  peer->needs_full_report =
+      peer->needs_full_report || (heartbeat->endpoints_revision && !peer->endpoints_revision);
   peer->endpoints_revision = heartbeat->endpoints_revision;
   peer->endpoints_digest = heartbeat->endpoints_digest;
   peer->reads_store = heartbeat->reads_platform;
@@ -74,26 +75,26 @@
       if (strcmp (heartbeat->known_addresses[i], own) != 0 && !(known && known->linked))
         ash_peers_dial (&fleet->links, heartbeat->known_boxes[i], heartbeat->known_addresses[i]);
     }
-  ash_catch_up_told (&fleet->router->catch_up, ash_clock_now (), peer);
+  ash_peer_sync_update_peer (&fleet->router->peer_sync, ash_clock_now (), peer);
 }
 
 static void
 take_link_up (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
   peer->linked = true;
-  peer->is_new = true;
+  peer->needs_peer_names = true;
   peer->leaving = false;
   peer->changes_map = false;
-  peer->untold = true;
+  peer->needs_full_report = true;
   peer->endpoints_revision = 0;
-  ash_suspects_tell_peer (&fleet->router->suspects, peer->box);
+  ash_suspects_send (&fleet->router->suspects, peer->box);
 }
 
 static void
 take_link_down (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
   peer->linked = false;
-  ash_fleet_forget_loads (fleet, peer);
+  ash_fleet_clear_loads (fleet, peer);
   fleet->router->room = true;
 }
 
@@ -119,10 +120,10 @@
       take_heartbeat (fleet, peer, event->heartbeat);
       break;
     case ASH__EVENT__KIND_ENDPOINT_LOADS:
-      ash_fleet_take_loads (fleet, peer, event->endpoint_loads);
+      ash_fleet_apply_loads (fleet, peer, event->endpoint_loads);
       break;
     case ASH__EVENT__KIND_CONFIG_WANT:
-      ash_catch_up_send_config (&router->catch_up, peer->box);
+      ash_peer_sync_send_config (&router->peer_sync, peer->box);
       break;
     case ASH__EVENT__KIND_CONFIG_OFFER:
       /* Several peers may have been asked; a megabyte is not read again to be thrown away. */
@@ -132,22 +133,22 @@
                                event->config_offer->document.len, peer->box);
       break;
     case ASH__EVENT__KIND_CONFIG_DELTA:
-      ash_catch_up_take_delta (&router->catch_up, event->config_delta, peer->box);
+      ash_peer_sync_apply_delta (&router->peer_sync, event->config_delta, peer->box);
       break;
     case ASH__EVENT__KIND_ENDPOINT_LIST_WANT:
-      ash_catch_up_send_list (&router->catch_up, peer->box);
+      ash_peer_sync_send_list (&router->peer_sync, peer->box);
       break;
     case ASH__EVENT__KIND_ENDPOINT_LIST:
-      ash_catch_up_take_list (&router->catch_up, event->endpoint_list, peer->box);
+      ash_peer_sync_apply_list (&router->peer_sync, event->endpoint_list, peer->box);
       break;
     case ASH__EVENT__KIND_ENDPOINT_CHANGES:
-      ash_catch_up_take_list (&router->catch_up, event->endpoint_changes, peer->box);
+      ash_peer_sync_apply_list (&router->peer_sync, event->endpoint_changes, peer->box);
       break;
     case ASH__EVENT__KIND_SUSPECT_RUNS:
-      ash_suspects_told (&router->suspects, peer->box, event->suspect_runs);
+      ash_suspects_receive (&router->suspects, peer->box, event->suspect_runs);
       break;
     case ASH__EVENT__KIND_ENDPOINT_TERMS:
-      ash_fleet_take_terms (fleet, peer, event->endpoint_terms);
+      ash_fleet_apply_terms (fleet, peer, event->endpoint_terms);
       break;
     default:
       break; /* messages of the roles with agents */
@@ -183,9 +184,9 @@
   struct ash_random *random = &fleet->router->random;
   uint32_t linked = ash_fleet_linked (fleet);
 
-  if (!peer->is_new)
+  if (!peer->needs_peer_names)
     return ash_random_below (random, linked) == 0;
-  peer->is_new = false;
+  peer->needs_peer_names = false;
   return is_seed (fleet) || ash_random_below (random, linked) < NAMES_TO_NEW;
 }
 
@@ -220,7 +221,7 @@
   struct ash_fleet *fleet = data;
   struct ash_router *router = fleet->router;
   struct ash_fleet_peer *peer = find_peer (fleet, box);
-  bool is_new = peer && peer->is_new;
+  bool needs_peer_names = peer && peer->needs_peer_names;
 
   heartbeat->revision = ash_router_version (router);
   heartbeat->leaving = router->stopping || !ash_router_ready (router);
@@ -228,13 +229,13 @@
   heartbeat->peer_address = router->settings.peer_listen;
   heartbeat->hall = router->settings.hall;
   heartbeat->reads_platform =
-      !router->stopping && ash_store_answers (&router->store, ASH_STORE_SERVERS);
+      !router->stopping && ash_store_is_answering (&router->store, ASH_STORE_SERVERS);
   heartbeat->link_mbps = (uint32_t) router->settings.link_mbps;
   heartbeat->changes_map = ash_map_manager_is_changing (&router->groups);
   heartbeat->endpoints_revision = router->endpoints.revision;
   heartbeat->endpoints_digest = router->store.digest;
   if (peer && names_others (fleet, peer))
-    name_others (fleet, heartbeat, is_new ? UINT32_MAX : NAMES_MAX);
+    name_others (fleet, heartbeat, needs_peer_names ? UINT32_MAX : NAMES_MAX);
 }
 
 static uint32_t
@@ -277,13 +278,13 @@
   if (!ash_peers_init (links, router->loop))
     return false;
   fleet->opened = true;
-  fleet->asks_often = true;
+  fleet->polls_often = true;
   fleet->reads_store = true;
   fleet->first_of_hall = true;
   for (uint32_t i = 0; i < settings->seed_count; i++)
     if (strcmp (settings->seeds[i], settings->peer_listen) != 0)
       ash_peers_dial (links, "", settings->seeds[i]);
-  ash_fleet_start_loads (fleet);
+  ash_fleet_start_load_reports (fleet);
   return true;
 }
 
@@ -295,30 +296,30 @@
 
   if (!fleet->opened)
     return;
-  ash_fleet_stop_loads (fleet);
+  ash_fleet_stop_load_reports (fleet);
   ash_peers_finish (&fleet->links);
   HASH_ITER (hh, fleet->peers, peer, next)
     {
-      ash_fleet_forget_loads (fleet, peer);
+      ash_fleet_clear_loads (fleet, peer);
       HASH_DEL (fleet->peers, peer);
       free (peer);
     }
 }
 
 void
-ash_fleet_woke (struct ash_fleet *fleet)
+ash_fleet_reset_links (struct ash_fleet *fleet)
 {
   ash_peers_close_links (&fleet->links);
 }
 
 void
-ash_fleet_leave (struct ash_fleet *fleet)
+ash_fleet_announce_stop (struct ash_fleet *fleet)
 {
   ash_peers_send_heartbeats (&fleet->links);
 }
 
 void
-ash_fleet_tell_news (struct ash_fleet *fleet)
+ash_fleet_notify_hall (struct ash_fleet *fleet)
 {
   for (struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && ash_fleet_audience_of (fleet, peer) == ASH_FLEET_NEAR)
@@ -326,7 +327,7 @@
 }
 
 void
-ash_fleet_send_near (struct ash_fleet *fleet, const struct Ash__Event *event)
+ash_fleet_send_hall (struct ash_fleet *fleet, const struct Ash__Event *event)
 {
   for (struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && ash_fleet_audience_of (fleet, peer) == ASH_FLEET_NEAR)
@@ -347,18 +348,18 @@
   struct ash_fleet_peer *peer;
   struct ash_fleet_peer *next;
   bool ready = ash_router_ready (fleet->router);
-  bool answered = ash_store_answers (&fleet->router->store, ASH_STORE_SERVERS);
+  bool answered = ash_store_is_answering (&fleet->router->store, ASH_STORE_SERVERS);
 
   /* Callers are sent here, or no longer: those whose heartbeats come seldom hear of it now. */
   if (ready != fleet->ready)
     ash_peers_send_heartbeats (&fleet->links);
   /* The own hall asks less, or more, once it knows. */
   else if (answered != fleet->answered)
-    ash_fleet_tell_news (fleet);
+    ash_fleet_notify_hall (fleet);
   fleet->ready = ready;
   fleet->answered = answered;
   /* Once a tick, not at each question: at 400 routers it takes 1.4 to 2.0 ms. */
-  ash_fleet_choose_askers (fleet);
+  ash_fleet_choose_readers (fleet);
 
   fleet->far_linked = 0;
   HASH_ITER (hh, fleet->peers, peer, next)
@@ -374,7 +375,7 @@
           free (peer);
         }
     }
-  ash_fleet_deal_rates (fleet, now);
+  ash_fleet_split_rates (fleet, now);
 }
 
 uint32_t
--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -30,8 +30,10 @@
   char address[ASH_NAME_BYTES]; /**< where its links are accepted */
   char hall[ASH_NAME_BYTES];
   bool linked;
-  bool is_new; /**< the link has just come up: it has not been reported of the others yet */
-  bool untold; /**< it is to be reported of all of this router's work, and of all terms */
+  bool needs_peer_names; /**< the link has just come up: it has not been reported of the others yet
+                          */
+  bool
+      needs_full_report; /**< it is to be reported of all of this router's work, and of all terms */
   struct ash_time seen;  /**< when it was last linked */
   struct ash_time heard; /**< its last word */
   bool changes_map;      /**< it said so then */
@@ -61,13 +63,13 @@
   struct ash_router *router;
   struct ash_peers links;
   struct ash_fleet_peer *peers;
-  ev_timer tell_timer;
+  ev_timer report_timer;
   struct ash_fleet_audience audiences[ASH_DIRECT_AUDIENCES];
   uint32_t far_linked; /**< peers of other halls that there is a link to */
   bool first_of_hall;  /**< one of the few that try the store again soon when it is away */
   bool answered;       /**< by the store, as the own hall was last reported */
   bool ready;          /**< as all were last reported */
-  bool asks_often;     /**< this router is one that asks the store often */
+  bool polls_often;    /**< this router is one that asks the store often */
   bool reads_store;    /**< it asks the store at all; else it follows those of its hall that do */
   bool opened;
 };
@@ -81,10 +83,10 @@
 void ash_fleet_close (struct ash_fleet *fleet);
 
 /** This process was paused: what the links hold is out of date. */
-void ash_fleet_woke (struct ash_fleet *fleet);
+void ash_fleet_reset_links (struct ash_fleet *fleet);
 
 /** The router is about to stop: the others are reported at once. */
-void ash_fleet_leave (struct ash_fleet *fleet);
+void ash_fleet_announce_stop (struct ash_fleet *fleet);
 
 /** Time goes on: those that were not seen for long are forgotten. */
 void ash_fleet_tick (struct ash_fleet *fleet, struct ash_time now);
@@ -105,13 +107,13 @@
 
 /** A change of a map begins, goes on or is over: those that would lead next are reported at once.
  */
-void ash_fleet_tell_successors (struct ash_fleet *fleet);
+void ash_fleet_notify_successors (struct ash_fleet *fleet);
 
 /**
  * Whether this router is one of the few that ask the store often, spread over the halls of
  * those that see each other and that the store answers. The others hear from them what is new.
  */
-bool ash_fleet_asks_often (const struct ash_fleet *fleet);
+bool ash_fleet_polls_often (const struct ash_fleet *fleet);
 
 /**
  * Whether this router asks the store for what is new. In a hall of many a few do, of those that it
@@ -124,10 +126,10 @@
 bool ash_fleet_first_of_hall (const struct ash_fleet *fleet);
 
 /** The configuration in force is new: the own hall is reported at once. */
-void ash_fleet_tell_news (struct ash_fleet *fleet);
+void ash_fleet_notify_hall (struct ash_fleet *fleet);
 
 /** Sends a message to all linked routers of the own hall. */
-void ash_fleet_send_near (struct ash_fleet *fleet, const struct Ash__Event *event);
+void ash_fleet_send_hall (struct ash_fleet *fleet, const struct Ash__Event *event);
 
 /** Sends a message to all linked routers. */
 void ash_fleet_send_all (struct ash_fleet *fleet, const struct Ash__Event *event);
--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -16,7 +16,7 @@
 
 /* Takes back what the peer said last. */
 void
-ash_fleet_forget_loads (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
+ash_fleet_clear_loads (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
   struct ash_direct_set *set = &fleet->router->endpoints;
 
@@ -93,21 +93,21 @@
 }
 
 void
-ash_fleet_take_loads (struct ash_fleet *fleet,
-                      struct ash_fleet_peer *peer,
-                      const struct Ash__EndpointLoads *loads)
+ash_fleet_apply_loads (struct ash_fleet *fleet,
+                       struct ash_fleet_peer *peer,
+                       const struct Ash__EndpointLoads *loads)
 {
   size_t count = loads->n_endpoints;
 
   if (!loads->changes)
-    ash_fleet_forget_loads (fleet, peer);
+    ash_fleet_clear_loads (fleet, peer);
   fleet->router->room = true;
   take_slow (fleet, loads);
   if (!count || count != loads->n_in_flight || count > ASH_FLEET_LOADS_MAX)
     return;
   if (!make_room (peer, peer->load_count + count))
     {
-      ash_fleet_forget_loads (fleet, peer);
+      ash_fleet_clear_loads (fleet, peer);
       return;
     }
   for (size_t i = 0; i < count; i++)
@@ -180,13 +180,13 @@
   loads.endpoints = endpoints;
   loads.in_flight = in_flight;
   for (struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
-    if (peer->linked && peer->untold)
+    if (peer->linked && peer->needs_full_report)
       {
-        peer->untold = false;
+        peer->needs_full_report = false;
         if (!loads.n_endpoints)
           list_loads (fleet, ASH_FLEET_NEAR, &loads);
         ash_peers_send (&fleet->links, peer->box, &event);
-        ash_fleet_tell_terms (fleet, peer);
+        ash_fleet_send_terms (fleet, peer);
       }
 }
 
@@ -259,17 +259,17 @@
 }
 
 void
-ash_fleet_start_loads (struct ash_fleet *fleet)
+ash_fleet_start_load_reports (struct ash_fleet *fleet)
 {
   double period_s = fleet->router->settings.load_period_ms / MS_PER_S;
 
-  ev_timer_init (&fleet->tell_timer, on_tell, period_s, period_s);
-  fleet->tell_timer.data = fleet;
-  ev_timer_start (fleet->router->loop, &fleet->tell_timer);
+  ev_timer_init (&fleet->report_timer, on_tell, period_s, period_s);
+  fleet->report_timer.data = fleet;
+  ev_timer_start (fleet->router->loop, &fleet->report_timer);
 }
 
 void
-ash_fleet_stop_loads (struct ash_fleet *fleet)
+ash_fleet_stop_load_reports (struct ash_fleet *fleet)
 {
-  ev_timer_stop (fleet->router->loop, &fleet->tell_timer);
+  ev_timer_stop (fleet->router->loop, &fleet->report_timer);
 }
--- a/daemon/fleet_loads.h
+++ b/daemon/fleet_loads.h
@@ -19,16 +19,16 @@
 int ash_fleet_audience_of (const struct ash_fleet *fleet, const struct ash_fleet_peer *peer);
 
 /** Starts to tell the others. */
-void ash_fleet_start_loads (struct ash_fleet *fleet);
+void ash_fleet_start_load_reports (struct ash_fleet *fleet);
 
-void ash_fleet_stop_loads (struct ash_fleet *fleet);
+void ash_fleet_stop_load_reports (struct ash_fleet *fleet);
 
 /** Takes a peer's word. */
-void ash_fleet_take_loads (struct ash_fleet *fleet,
-                           struct ash_fleet_peer *peer,
-                           const struct Ash__EndpointLoads *loads);
+void ash_fleet_apply_loads (struct ash_fleet *fleet,
+                            struct ash_fleet_peer *peer,
+                            const struct Ash__EndpointLoads *loads);
 
 /** Takes back what a peer said last. */
-void ash_fleet_forget_loads (struct ash_fleet *fleet, struct ash_fleet_peer *peer);
+void ash_fleet_clear_loads (struct ash_fleet *fleet, struct ash_fleet_peer *peer);
 
 #endif
--- a/daemon/fleet_roles.c
+++ b/daemon/fleet_roles.c
@@ -35,14 +35,14 @@
 }
 
 void
-ash_fleet_choose_askers (struct ash_fleet *fleet)
+ash_fleet_choose_readers (struct ash_fleet *fleet)
 {
   struct ash_poller own = own_asker (fleet);
   struct ash_poller *others = calloc (HASH_COUNT (fleet->peers) + 1, sizeof *others);
   bool read_before = fleet->reads_store;
   size_t count = 0;
 
-  fleet->asks_often = true;
+  fleet->polls_often = true;
   fleet->reads_store = true;
   fleet->first_of_hall = true;
   if (!others)
@@ -55,7 +55,7 @@
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && peer->reads_store)
       others[count++] = asker_of (peer);
-  fleet->asks_often = ash_pollers_is_chosen (own, others, count, OFTEN_ROUTERS);
+  fleet->polls_often = ash_pollers_is_chosen (own, others, count, OFTEN_ROUTERS);
   fleet->reads_store = ash_pollers_is_chosen_in_hall (own, others, count, HALL_READERS);
   free (others);
   if (fleet->reads_store != read_before)
@@ -64,9 +64,9 @@
 }
 
 bool
-ash_fleet_asks_often (const struct ash_fleet *fleet)
+ash_fleet_polls_often (const struct ash_fleet *fleet)
 {
-  return fleet->asks_often;
+  return fleet->polls_often;
 }
 
 bool
@@ -156,7 +156,7 @@
 }
 
 void
-ash_fleet_tell_successors (struct ash_fleet *fleet)
+ash_fleet_notify_successors (struct ash_fleet *fleet)
 {
   const struct ash_fleet_peer *peer = next_in_order (fleet, NULL);
 
--- a/daemon/fleet_roles.h
+++ b/daemon/fleet_roles.h
@@ -9,6 +9,6 @@
 #include "daemon/fleet.h"
 
 /** Works out who of the fleet asks the store, as this router sees it. */
-void ash_fleet_choose_askers (struct ash_fleet *fleet);
+void ash_fleet_choose_readers (struct ash_fleet *fleet);
 
 #endif
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -51,7 +51,7 @@
 }
 
 void
-ash_fleet_tell_terms (struct ash_fleet *fleet, const struct ash_fleet_peer *peer)
+ash_fleet_send_terms (struct ash_fleet *fleet, const struct ash_fleet_peer *peer)
 {
   struct Ash__EndpointTerms messages[TERMS_MAX];
   struct ash_time now = ash_clock_now ();
@@ -118,10 +118,10 @@
 }
 
 void
-ash_fleet_heard_terms (struct ash_fleet *fleet,
-                       struct ash_direct_endpoint *endpoint,
-                       const struct ash_endpoint_terms *terms,
-                       struct ash_time asked)
+ash_fleet_update_terms (struct ash_fleet *fleet,
+                        struct ash_direct_endpoint *endpoint,
+                        const struct ash_endpoint_terms *terms,
+                        struct ash_time asked)
 {
   struct ash_time now = ash_clock_now ();
   struct Ash__EndpointTerms message;
@@ -137,9 +137,9 @@
 }
 
 void
-ash_fleet_take_terms (struct ash_fleet *fleet,
-                      const struct ash_fleet_peer *peer,
-                      const struct Ash__EndpointTermsList *told)
+ash_fleet_apply_terms (struct ash_fleet *fleet,
+                       const struct ash_fleet_peer *peer,
+                       const struct Ash__EndpointTermsList *told)
 {
   struct ash_time now = ash_clock_now ();
 
@@ -214,7 +214,7 @@
 }
 
 void
-ash_fleet_deal_rates (struct ash_fleet *fleet, struct ash_time now)
+ash_fleet_split_rates (struct ash_fleet *fleet, struct ash_time now)
 {
   uint64_t members = 0; /* not needed while no endpoint names a rate */
 
--- a/daemon/map_manager.c
+++ b/daemon/map_manager.c
@@ -69,7 +69,7 @@
     return;
   groups->changes = changes;
   groups->changing_sent_at = now;
-  ash_fleet_tell_successors (&groups->router->fleet);
+  ash_fleet_notify_successors (&groups->router->fleet);
 }
 
 /* ---- decisions ---- */
--- a/daemon/catch_up.c
+++ b/daemon/peer_sync.c
@@ -1,4 +1,4 @@
-#include "daemon/catch_up.h"
+#include "daemon/peer_sync.h"
 
 #include "daemon/router.h"
 
@@ -20,9 +20,9 @@
 #define ASK_PERIOD_MS 500
 
 void
-ash_catch_up_open (struct ash_catch_up *catch_up, struct ash_router *router)
+ash_peer_sync_open (struct ash_peer_sync *peer_sync, struct ash_router *router)
 {
-  *catch_up = (struct ash_catch_up){ .router = router };
+  *peer_sync = (struct ash_peer_sync){ .router = router };
 }
 
 /* A configuration that was looked at and refused for its findings is not missing. */
@@ -61,7 +61,7 @@
 static int64_t
 patience_ms (const struct ash_router *router, enum ash_store_part part)
 {
-  if (ash_store_is_read (&router->store, part))
+  if (ash_store_is_polled (&router->store, part))
     return part == ASH_STORE_CONFIG ? CONFIG_BEHIND_MS : LIST_BEHIND_MS;
   /* Those that ask for this router tell what is new, and may do so a little later than a word from
    * another hall. Nothing is to be waited for from a store that does not answer. */
@@ -72,88 +72,88 @@
  * comes through. What peers have tells the two apart: without it a router that had been cut off
  * stayed 5 s behind after the cut, with it 0.6 s at most from when a peer has the change. */
 static void
-follow (struct ash_catch_up *catch_up, enum ash_store_part part, struct ash_time now)
+follow (struct ash_peer_sync *peer_sync, enum ash_store_part part, struct ash_time now)
 {
-  struct ash_router *router = catch_up->router;
-  struct ash_peer_version *news = &catch_up->news[part];
+  struct ash_router *router = peer_sync->router;
+  struct ash_peer_version *news = &peer_sync->news[part];
   uint64_t own = own_revision (router, part);
   const struct ash_fleet_peer *peer;
 
   if (!ash_peer_version_is_behind (news, now, own, patience_ms (router, part)) ||
-      ash_time_diff (catch_up->asked[part], now) < ASK_PERIOD_MS)
+      ash_time_diff (peer_sync->asked[part], now) < ASK_PERIOD_MS)
     return;
   if (part == ASH_STORE_SERVERS)
-    ash_store_behind (&router->store, news->since);
+    ash_store_expect_lapses (&router->store, news->since);
   peer = ash_fleet_peer_with (&router->fleet, part, news->newest);
-  catch_up->asked[part] = now;
+  peer_sync->asked[part] = now;
   ash_log_event (&router->log, ASH_EV_BEHIND_PEERS,
                  "part=%d version=%" PRIu64 " newest=%" PRIu64
                  " for_ms=%lld store_answers=%d age_ms=%lld asked=%s",
                  (int) part, own, news->newest, (long long) ash_time_diff (news->since, now),
-                 ash_store_answers (&router->store, part),
+                 ash_store_is_answering (&router->store, part),
                  (long long) ash_time_diff (router->store.readers[part].answered, now),
                  peer ? peer->box : "-");
   if (peer)
     ask_peer (router, part, peer->box);
-  ash_store_doubt (&router->store, part, "peers have something newer");
+  ash_store_restart_watch (&router->store, part, "peers have something newer");
 }
 
 void
-ash_catch_up_take_list (struct ash_catch_up *catch_up,
-                        const struct Ash__EndpointList *list,
-                        const char *box)
+ash_peer_sync_apply_list (struct ash_peer_sync *peer_sync,
+                          const struct Ash__EndpointList *list,
+                          const char *box)
 {
-  struct ash_router *router = catch_up->router;
+  struct ash_router *router = peer_sync->router;
 
-  if (!ash_store_take_list (&router->store, list, box))
+  if (!ash_store_apply_list (&router->store, list, box))
     ask_peer (router, ASH_STORE_SERVERS, box);
 }
 
 void
-ash_catch_up_told (struct ash_catch_up *catch_up,
-                   struct ash_time now,
-                   const struct ash_fleet_peer *peer)
+ash_peer_sync_update_peer (struct ash_peer_sync *peer_sync,
+                           struct ash_time now,
+                           const struct ash_fleet_peer *peer)
 {
-  const struct ash_router *router = catch_up->router;
-  struct ash_peer_version *list = &catch_up->news[ASH_STORE_SERVERS];
+  const struct ash_router *router = peer_sync->router;
+  struct ash_peer_version *list = &peer_sync->news[ASH_STORE_SERVERS];
   uint64_t own_list = own_revision (router, ASH_STORE_SERVERS);
 
-  ash_peer_version_reported (&catch_up->news[ASH_STORE_CONFIG], now, peer->version,
+  ash_peer_version_reported (&peer_sync->news[ASH_STORE_CONFIG], now, peer->version,
                              own_revision (router, ASH_STORE_CONFIG));
   /* The revision of a list grows with whatever changes in the store, so only lists that differ
    * count. They do for some ms at each change that comes to a peer first. Of a peer that tells no
    * digest nobody knows whether its list differs: it is of use only without the store. */
-  if (!peer->endpoints_digest && ash_store_answers (&router->store, ASH_STORE_SERVERS))
+  if (!peer->endpoints_digest && ash_store_is_answering (&router->store, ASH_STORE_SERVERS))
     ash_peer_version_equal (list, now, own_list, own_list);
   else if (peer->endpoints_digest != router->store.digest)
     ash_peer_version_reported (list, now, peer->endpoints_revision, own_list);
   else
     ash_peer_version_equal (list, now, peer->endpoints_revision, own_list);
-  ash_catch_up_tick (catch_up, now);
+  ash_peer_sync_tick (peer_sync, now);
 }
 
 void
-ash_catch_up_tick (struct ash_catch_up *catch_up, struct ash_time now)
+ash_peer_sync_tick (struct ash_peer_sync *peer_sync, struct ash_time now)
 {
-  follow (catch_up, ASH_STORE_CONFIG, now);
-  follow (catch_up, ASH_STORE_SERVERS, now);
+  follow (peer_sync, ASH_STORE_CONFIG, now);
+  follow (peer_sync, ASH_STORE_SERVERS, now);
 }
 
 bool
-ash_catch_up_behind (struct ash_catch_up *catch_up, struct ash_time now)
+ash_peer_sync_config_is_behind (struct ash_peer_sync *peer_sync, struct ash_time now)
 {
-  return ash_peer_version_is_behind (&catch_up->news[ASH_STORE_CONFIG], now,
-                                     own_revision (catch_up->router, ASH_STORE_CONFIG), 0);
+  return ash_peer_version_is_behind (&peer_sync->news[ASH_STORE_CONFIG], now,
+                                     own_revision (peer_sync->router, ASH_STORE_CONFIG), 0);
 }
 
 /* ---- changes of the configuration ---- */
 
 void
-ash_catch_up_tell_config (struct ash_catch_up *catch_up,
-                          const struct ash_config_text *before,
-                          const struct ash_config_text *after)
+ash_peer_sync_publish_config (struct ash_peer_sync *peer_sync,
+                              const struct ash_config_text *before,
+                              const struct ash_config_text *after)
 {
-  struct ash_fleet *fleet = &catch_up->router->fleet;
+  struct ash_fleet *fleet = &peer_sync->router->fleet;
   struct Ash__ConfigDelta *delta = NULL;
 
   /* With the former one unknown, those that follow ask for the whole text once they hear of it. */
@@ -163,20 +163,20 @@
     {
       struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_CONFIG_DELTA, delta);
 
-      ash_fleet_send_near (fleet, &event);
+      ash_fleet_send_hall (fleet, &event);
       ash__config_delta__free_unpacked (delta, NULL);
     }
-  ash_fleet_tell_news (fleet);
+  ash_fleet_notify_hall (fleet);
 }
 
 /* One that does not fit is left: another of those that ask may have told of the steps between, and
  * if not, the heartbeats will show that something is missing. */
 void
-ash_catch_up_take_delta (struct ash_catch_up *catch_up,
-                         const struct Ash__ConfigDelta *delta,
-                         const char *box)
+ash_peer_sync_apply_delta (struct ash_peer_sync *peer_sync,
+                           const struct Ash__ConfigDelta *delta,
+                           const char *box)
 {
-  struct ash_router *router = catch_up->router;
+  struct ash_router *router = peer_sync->router;
   struct ash_config_text base = { ash_router_version (router), router->config_text,
                                   router->config_bytes };
   size_t length;
@@ -193,9 +193,9 @@
 /* ---- answering ---- */
 
 void
-ash_catch_up_send_config (struct ash_catch_up *catch_up, const char *box)
+ash_peer_sync_send_config (struct ash_peer_sync *peer_sync, const char *box)
 {
-  struct ash_router *router = catch_up->router;
+  struct ash_router *router = peer_sync->router;
   struct Ash__ConfigOffer offer = ASH__CONFIG_OFFER__INIT;
   struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_CONFIG_OFFER, &offer);
 
@@ -208,13 +208,13 @@
 }
 
 void
-ash_catch_up_send_list (struct ash_catch_up *catch_up, const char *box)
+ash_peer_sync_send_list (struct ash_peer_sync *peer_sync, const char *box)
 {
-  struct ash_router *router = catch_up->router;
+  struct ash_router *router = peer_sync->router;
   struct Ash__EndpointList list = ASH__ENDPOINT_LIST__INIT;
   struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_ENDPOINT_LIST, &list);
 
-  if (!ash_store_list (&router->store, &list))
+  if (!ash_store_fill_list (&router->store, &list))
     return;
   ash_peers_send (&router->fleet.links, box, &event);
   ash_store_list_free (&list);
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -55,7 +55,7 @@
   struct ash_request_fields facts;
 
   ash_platform_request_read (&conn->reader.head, &facts);
-  refuse (conn, router, ash_request_plain_id (&facts), status, why);
+  refuse (conn, router, ash_request_log_id (&facts), status, why);
 }
 
 /* Nobody tries again after 401 or 404; so what peers know to be out of date may not say it. */
@@ -65,7 +65,7 @@
                 uint16_t status,
                 const char *why)
 {
-  if (ash_catch_up_behind (&router->catch_up, ash_clock_now ()))
+  if (ash_peer_sync_config_is_behind (&router->peer_sync, ash_clock_now ()))
     deny (conn, router, 503, "a newer configuration is on its way");
   else
     deny (conn, router, status, why);
@@ -140,8 +140,8 @@
    * no longer than it said, and an endpoint that is told more works for nobody. */
   if (forward->pause_aim_ms)
     forward->prompt = prompt_terms (exchange, service);
-  forward->deadline =
-      ash_time_add (forward->arrived, (int64_t) most_ms - DEADLINE_MARGIN_MS - router->away_ms);
+  forward->deadline = ash_time_add (forward->arrived,
+                                    (int64_t) most_ms - DEADLINE_MARGIN_MS - router->suspended_ms);
 }
 
 /* Whether a planned stop may come to its end before the answer does. What is under way then is cut,
@@ -155,12 +155,12 @@
 
   if (!router->stopping)
     return false;
-  if (router->given_up)
+  if (router->stop_expired)
     return true;
   if (most_ms > USUAL_MOST_MS &&
-      ash_time_diff (router->stop_began, forward->arrived) <= STOP_BEGINS_MS)
+      ash_time_diff (router->stop_started_at, forward->arrived) <= STOP_BEGINS_MS)
     most_ms = USUAL_MOST_MS;
-  return ash_time_diff (forward->arrived, ash_router_stop_ends (router)) < most_ms;
+  return ash_time_diff (forward->arrived, ash_router_stop_deadline (router)) < most_ms;
 }
 
 static void
@@ -211,7 +211,7 @@
   ash_resend_window_request (&ash_router_service (router, exchange->forward.service)->window,
                              &bound, exchange->forward.arrived);
   if (ends_too_soon (exchange))
-    ash_exchange_end_self (exchange, 503, ASH_FORWARD_LEAVING, LEAVING_RETRY_MS);
+    ash_exchange_end_with_status (exchange, 503, ASH_FORWARD_LEAVING, LEAVING_RETRY_MS);
   else
     ash_exchange_step (exchange);
 }
@@ -224,7 +224,7 @@
   if (!exchange)
     return;
   conn->request = NULL;
-  ash_exchange_end_gone (exchange);
+  ash_exchange_end_disconnected (exchange);
 }
 
 static void
@@ -253,8 +253,8 @@
   if (exchange->endpoint && ash_http_call_connecting (&exchange->call))
     ash_forward_not_run (forward, false);
   status = ash_forward_status (forward, ASH_FORWARD_LEAVING);
-  ash_exchange_end_self (exchange, status, ASH_FORWARD_LEAVING,
-                         status == 503 ? LEAVING_RETRY_MS : 0);
+  ash_exchange_end_with_status (exchange, status, ASH_FORWARD_LEAVING,
+                                status == 503 ? LEAVING_RETRY_MS : 0);
 }
 
 /* One that was not read whole was sent nowhere. */
@@ -269,7 +269,7 @@
 }
 
 void
-ash_requests_give_up_all (struct ash_router *router)
+ash_requests_abort_all (struct ash_router *router)
 {
   /* What callers sent ahead comes up as the request before it ends, and ends at once. */
   while (router->exchanges)
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -91,7 +91,7 @@
 }
 
 void
-ash_router_doubt_connections (struct ash_router *router, struct ash_time since)
+ash_router_close_idle_connections (struct ash_router *router, struct ash_time since)
 {
   for (struct ash_direct_endpoint *endpoint = router->endpoints.endpoints; endpoint;
        endpoint = endpoint->hh.next)
@@ -120,7 +120,7 @@
 
   ash_log_event (&router->log, ASH_EV_ENDPOINT_REBORN, "endpoint=%s address=%s born_ms=%lld",
                  endpoint->facts.id, endpoint->facts.address, (long long) endpoint->facts.born_ms);
-  ash_suspects_reborn (&router->suspects, endpoint->hash);
+  ash_suspects_record_restart (&router->suspects, endpoint->hash);
   ash_map_manager_remove_endpoint (&router->groups, endpoint->hash);
   if (endpoint->owner)
     ash_http_pool_set_address (endpoint->owner, endpoint->facts.address);
@@ -167,8 +167,8 @@
   router->config_text = text;
   router->config_bytes = text_bytes;
   apply_limits (router);
-  if (ash_store_is_read (&router->store, ASH_STORE_CONFIG))
-    ash_catch_up_tell_config (&router->catch_up, &before, &after);
+  if (ash_store_is_polled (&router->store, ASH_STORE_CONFIG))
+    ash_peer_sync_publish_config (&router->peer_sync, &before, &after);
   free (former_text);
 }
 
@@ -209,9 +209,10 @@
 /* ---- time and signals ---- */
 
 struct ash_time
-ash_router_stop_ends (const struct ash_router *router)
+ash_router_stop_deadline (const struct ash_router *router)
 {
-  return ash_time_add (router->stop_began, (int64_t) router->settings.grace_ms - STOP_MARGIN_MS);
+  return ash_time_add (router->stop_started_at,
+                       (int64_t) router->settings.grace_ms - STOP_MARGIN_MS);
 }
 
 static bool
@@ -219,7 +220,7 @@
 {
   int64_t keep_ms = (int64_t) router->settings.address_keep_ms * KEEP_TIMES;
 
-  return ash_time_diff (router->stop_began, now) > keep_ms &&
+  return ash_time_diff (router->stop_started_at, now) > keep_ms &&
          !ash_map_manager_holds_step (&router->groups) &&
          !ash_http_listener_busy (&router->frontend);
 }
@@ -238,8 +239,8 @@
 static void
 give_up (struct ash_router *router)
 {
-  router->given_up = true;
-  ash_requests_give_up_all (router);
+  router->stop_expired = true;
+  ash_requests_abort_all (router);
   ash_http_listener_stop_accepting (&router->frontend);
   set_stop_timer (router, STOP_FLUSH_MS);
 }
@@ -250,7 +251,7 @@
   struct ash_router *router = timer->data;
 
   (void) events;
-  if (router->given_up)
+  if (router->stop_expired)
     ev_break (loop, EVBREAK_ALL);
   else
     give_up (router);
@@ -265,12 +266,12 @@
   (void) loop;
   (void) events;
   ash_fleet_tick (&router->fleet, now);
-  ash_catch_up_tick (&router->catch_up, now);
+  ash_peer_sync_tick (&router->peer_sync, now);
   ash_store_tick (&router->store, now);
   ash_direct_tick (&router->endpoints, now);
   ash_suspects_tick (&router->suspects, now);
   router->room = true;
-  if (router->stopping && !router->given_up && nothing_left (router, now))
+  if (router->stopping && !router->stop_expired && nothing_left (router, now))
     give_up (router);
 }
 
@@ -283,10 +284,10 @@
 
   (void) loop;
   (void) events;
-  router->away_ms = 0;
-  ash_exchange_woke (router);
-  if (router->stopping && !router->given_up)
-    set_stop_timer (router, ash_time_diff (ash_clock_now (), ash_router_stop_ends (router)));
+  router->suspended_ms = 0;
+  ash_exchange_check_all (router);
+  if (router->stopping && !router->stop_expired)
+    set_stop_timer (router, ash_time_diff (ash_clock_now (), ash_router_stop_deadline (router)));
 }
 
 /* What others do is asked anew, nothing goes out on connections that may have ended meanwhile, and
@@ -296,13 +297,13 @@
 {
   ash_log_event (&router->log, ASH_EV_WOKE, "gap_ms=%lld", (long long) gap_ms);
   ash_map_manager_resumed (&router->groups);
-  ash_fleet_woke (&router->fleet);
-  ash_store_woke (&router->store);
-  ash_router_doubt_connections (router, now);
-  router->away_ms = gap_ms;
-  ev_timer_stop (router->loop, &router->woke_timer);
-  ev_timer_set (&router->woke_timer, WOKE_MS / MS_PER_S, 0);
-  ev_timer_start (router->loop, &router->woke_timer);
+  ash_fleet_reset_links (&router->fleet);
+  ash_store_resume (&router->store);
+  ash_router_close_idle_connections (router, now);
+  router->suspended_ms = gap_ms;
+  ev_timer_stop (router->loop, &router->resume_timer);
+  ev_timer_set (&router->resume_timer, WOKE_MS / MS_PER_S, 0);
+  ev_timer_start (router->loop, &router->resume_timer);
 }
 
 /* First after the loop has slept, which lasts a tick at most. A longer gap means that
@@ -312,11 +313,11 @@
 {
   struct ash_router *router = check->data;
   struct ash_time now = ash_clock_now ();
-  int64_t gap_ms = ash_time_diff (router->last_turn, now);
+  int64_t gap_ms = ash_time_diff (router->last_iteration, now);
 
   (void) loop;
   (void) events;
-  router->last_turn = now;
+  router->last_iteration = now;
   if (gap_ms > PAUSE_MS)
     wake (router, now, gap_ms);
 }
@@ -329,8 +330,8 @@
 
   (void) events;
   if (router->room)
-    ash_exchange_room (router);
-  if (router->given_up && !ash_http_listener_has_callers (&router->frontend))
+    ash_exchange_step_waiting (router);
+  if (router->stop_expired && !ash_http_listener_has_callers (&router->frontend))
     ev_break (loop, EVBREAK_ALL);
 }
 
@@ -344,17 +345,18 @@
   if (router->stopping)
     {
       ash_log_event (&router->log, ASH_EV_CUT_SHORT, "signal=%d", watcher->signum);
-      if (!router->given_up)
+      if (!router->stop_expired)
         give_up (router);
       return;
     }
   router->stopping = true;
-  router->stop_began = ash_clock_now ();
+  router->stop_started_at = ash_clock_now ();
   ash_log_event (&router->log, ASH_EV_STOPPING, "signal=%d busy=%u", watcher->signum,
                  ash_http_listener_busy (&router->frontend));
   ash_http_listener_drain (&router->frontend);
-  ash_fleet_leave (&router->fleet);
-  set_stop_timer (router, ash_time_diff (router->stop_began, ash_router_stop_ends (router)));
+  ash_fleet_announce_stop (&router->fleet);
+  set_stop_timer (router,
+                  ash_time_diff (router->stop_started_at, ash_router_stop_deadline (router)));
 }
 
 static void
@@ -410,7 +412,7 @@
       !listen_at (router, &router->figures, settings->metrics_listen, &ash_figures_handler))
     return false;
   router->frontend.conn_max = settings->connections_max;
-  ash_catch_up_open (&router->catch_up, router);
+  ash_peer_sync_open (&router->peer_sync, router);
   ash_suspects_open (&router->suspects, router, &ash_exchange_suspects_handler);
   if (!ash_fleet_open (&router->fleet, router))
     {
@@ -441,16 +443,16 @@
   ev_timer_start (router->loop, &router->tick);
   ev_init (&router->stop_timer, on_stop_timer);
   router->stop_timer.data = router;
-  ev_init (&router->woke_timer, on_woke_timer);
-  router->woke_timer.data = router;
-  router->last_turn = ash_clock_now ();
-  ev_check_init (&router->after_sleep, on_after_sleep);
-  ev_set_priority (&router->after_sleep, EV_MAXPRI);
-  router->after_sleep.data = router;
-  ev_check_start (router->loop, &router->after_sleep);
-  ev_prepare_init (&router->before_sleep, on_before_sleep);
-  router->before_sleep.data = router;
-  ev_prepare_start (router->loop, &router->before_sleep);
+  ev_init (&router->resume_timer, on_woke_timer);
+  router->resume_timer.data = router;
+  router->last_iteration = ash_clock_now ();
+  ev_check_init (&router->loop_check, on_after_sleep);
+  ev_set_priority (&router->loop_check, EV_MAXPRI);
+  router->loop_check.data = router;
+  ev_check_start (router->loop, &router->loop_check);
+  ev_prepare_init (&router->loop_prepare, on_before_sleep);
+  router->loop_prepare.data = router;
+  ev_prepare_start (router->loop, &router->loop_prepare);
   watch_signal (router, &router->on_term, SIGTERM, on_stop);
   watch_signal (router, &router->on_int, SIGINT, on_stop);
   watch_signal (router, &router->on_hup, SIGHUP, on_reload);
--- a/daemon/router.h
+++ b/daemon/router.h
@@ -12,7 +12,7 @@
 #include "controllers/prompt_gate.h"
 #include "controllers/resend_window.h"
 #include "controllers/route_table.h"
-#include "daemon/catch_up.h"
+#include "daemon/peer_sync.h"
 #include "daemon/fleet.h"
 #include "daemon/map_manager.h"
 #include "daemon/store.h"
@@ -54,7 +54,7 @@
 
   struct ash_store store;
   struct ash_fleet fleet;
-  struct ash_catch_up catch_up;
+  struct ash_peer_sync peer_sync;
   struct ash_map_manager groups;
   struct ash_suspects suspects;
   struct ash_http_listener frontend;
@@ -67,15 +67,15 @@
   bool room; /**< some may be had: those waiting are looked at before the loop sleeps */
 
   bool stopping;
-  bool given_up; /**< the stop is at its end: nothing goes to endpoints any more */
-  struct ash_time stop_began;
+  bool stop_expired; /**< the stop is at its end: nothing goes to endpoints any more */
+  struct ash_time stop_started_at;
   ev_timer stop_timer;
   ev_timer tick;
-  ev_check after_sleep;
-  struct ash_time last_turn; /**< of the loop */
-  ev_timer woke_timer;       /**< what came while the process was away is read by then */
-  int64_t away_ms;           /**< until then: for how long it was away; else 0 */
-  ev_prepare before_sleep;
+  ev_check loop_check;
+  struct ash_time last_iteration; /**< of the loop */
+  ev_timer resume_timer;          /**< what came while the process was away is read by then */
+  int64_t suspended_ms;           /**< until then: for how long it was away; else 0 */
+  ev_prepare loop_prepare;
   ev_signal on_term;
   ev_signal on_int;
   ev_signal on_hup;
@@ -100,7 +100,7 @@
 bool ash_router_ready (const struct ash_router *router);
 
 /** @return when a planned stop that has begun gives up what is still under way. */
-struct ash_time ash_router_stop_ends (const struct ash_router *router);
+struct ash_time ash_router_stop_deadline (const struct ash_router *router);
 
 /** @return what is kept of a service; made when first asked for. */
 struct ash_router_service *ash_router_service (struct ash_router *router, const char *name);
@@ -115,16 +115,16 @@
 extern const struct ash_suspects_handler ash_exchange_suspects_handler;
 
 /** The process was away: looks at all requests as if their timers were due. */
-void ash_exchange_woke (struct ash_router *router);
+void ash_exchange_check_all (struct ash_router *router);
 
 /** Looks at all requests that wait for room. */
-void ash_exchange_room (struct ash_router *router);
+void ash_exchange_step_waiting (struct ash_router *router);
 
 /**
  * Ends all requests: with a 503 what has surely not run, with a 502 what may have, broken off what
  * has begun. Afterwards none goes to an endpoint, and new ones are refused.
  */
-void ash_requests_give_up_all (struct ash_router *router);
+void ash_requests_abort_all (struct ash_router *router);
 
 /** Readiness, directory and figures: what their listeners call. */
 extern const struct ash_conn_handler ash_readiness_handler;
@@ -136,6 +136,6 @@
                                        struct ash_direct_endpoint *endpoint);
 
 /** Open connections may have gone silent: closes idle ones to endpoints, not heard from since. */
-void ash_router_doubt_connections (struct ash_router *router, struct ash_time since);
+void ash_router_close_idle_connections (struct ash_router *router, struct ash_time since);
 
 #endif
--- a/daemon/store.c
+++ b/daemon/store.c
@@ -101,7 +101,7 @@
 static void
 rest (struct ash_store_reader *reader, int64_t ms)
 {
-  reader->state = ASH_STORE_RESTING;
+  reader->state = ASH_STORE_DELAYED;
   set_timer (reader, ms);
 }
 
@@ -171,7 +171,7 @@
     {
       struct ash_store_reader *other = &store->readers[part];
 
-      if (other == reader || other->state != ASH_STORE_RESTING || !other->failures)
+      if (other == reader || other->state != ASH_STORE_DELAYED || !other->failures)
         continue;
       ev_timer_stop (reader->router->loop, &other->timer);
       ask (other);
@@ -189,7 +189,7 @@
   reader->answers = true;
   reader->failures = 0;
   reader->timeouts = 0;
-  reader->suspicious = false;
+  reader->distrust_idle = false;
   reader->paused = false;
   reader->answered = ash_clock_now ();
   if (was_away)
@@ -215,7 +215,7 @@
 {
   reader->place = 0;
   *reader->page = '\0';
-  reader->state = ASH_STORE_RESTING;
+  reader->state = ASH_STORE_DELAYED;
   ask (reader);
 }
 
@@ -245,12 +245,12 @@
   bool first =
       !store->era && !reader->place && reader->state == ASH_STORE_LISTING && !*reader->page;
 
-  if (reader->era_told == ASH_STORE_ERA_INVALID)
+  if (reader->era_status == ASH_STORE_ERA_INVALID)
     {
       fail (reader, "its era can't be read");
       return false;
     }
-  if (reader->era_told == ASH_STORE_ERA_NONE || reader->era == store->era)
+  if (reader->era_status == ASH_STORE_ERA_NONE || reader->era == store->era)
     return true;
   if (reader->era < store->era)
     {
@@ -311,17 +311,17 @@
       return;
     }
   if (listing && reader->part == ASH_STORE_SERVERS)
-    ash_store_list_lose_unlisted (reader, reader->place ? reader->place : place);
+    ash_store_list_remove_unlisted (reader, reader->place ? reader->place : place);
   *reader->page = '\0';
   if (!listing || !reader->place)
     reader->place = place > reader->place ? place : reader->place;
   if (reader->part == ASH_STORE_SERVERS && reader->place > router->endpoints.revision)
     router->endpoints.revision = reader->place;
   if (reader->part == ASH_STORE_SERVERS && !listing)
-    ash_store_list_tell (&router->store, since, reader->place);
+    ash_store_list_publish (&router->store, since, reader->place);
   note_success (reader);
   reader->state = ASH_STORE_WATCHING;
-  reader->listed = listing;
+  reader->just_listed = listing;
   if (listing)
     rest (reader, ALONE_MS);
   else if (is_burst (reader))
@@ -338,7 +338,7 @@
   struct ash_store_reader *reader = call->owner;
 
   reader->status = head->status;
-  reader->era_told = ash_platform_store_era (head, &reader->era);
+  reader->era_status = ash_platform_store_era (head, &reader->era);
   return true;
 }
 
@@ -378,7 +378,7 @@
   uint32_t wait_ms =
       reader->part == ASH_STORE_SERVERS ? settings->list_wait_ms : settings->store_wait_ms;
 
-  if (settings->short_wait_ms < wait_ms && ash_fleet_asks_often (&reader->router->fleet))
+  if (settings->short_wait_ms < wait_ms && ash_fleet_polls_often (&reader->router->fleet))
     return settings->short_wait_ms;
   return wait_ms;
 }
@@ -428,7 +428,7 @@
       reader->state = ASH_STORE_FOLLOWING;
       return;
     }
-  reader->listed = false;
+  reader->just_listed = false;
   reader->status = 0;
   reader->asked = ash_clock_now ();
   reader->due = ash_time_add (reader->asked, OVERDUE_MS);
@@ -458,7 +458,7 @@
   router->store.calls++;
   if (!ash_http_call_start (&reader->call, &router->store.pool, request.bytes + request.start,
                             request.length,
-                            reader->suspicious ? ASH_TIME_NEVER : (struct ash_time){ 0 }))
+                            reader->distrust_idle ? ASH_TIME_NEVER : (struct ash_time){ 0 }))
     fail (reader, "no socket");
   else
     set_timer (reader, due_ms);
@@ -496,11 +496,11 @@
 
   (void) loop;
   (void) events;
-  if (reader->state == ASH_STORE_RESTING)
+  if (reader->state == ASH_STORE_DELAYED)
     {
-      if (reader->listed && ash_fleet_linked (&reader->router->fleet))
+      if (reader->just_listed && ash_fleet_linked (&reader->router->fleet))
         {
-          reader->listed = false;
+          reader->just_listed = false;
           rest (reader, FIRST_WATCH_MS - ALONE_MS);
         }
       else
@@ -513,11 +513,12 @@
   /* What ends the watch of a reader that was well says nothing of how slow the store is. */
   if (!reader->answers)
     reader->timeouts++;
-  reader->suspicious = true;
+  reader->distrust_idle = true;
   fail (reader, "no answer in time");
   /* What keeps one question from being answered may keep the other one too. */
   for (int part = 0; part < ASH_STORE_PARTS; part++)
-    ash_store_doubt (&reader->router->store, (enum ash_store_part) part, "the other one is silent");
+    ash_store_restart_watch (&reader->router->store, (enum ash_store_part) part,
+                             "the other one is silent");
 }
 
 /* ---- life ---- */
@@ -566,13 +567,13 @@
 }
 
 bool
-ash_store_answers (const struct ash_store *store, enum ash_store_part part)
+ash_store_is_answering (const struct ash_store *store, enum ash_store_part part)
 {
   return store->readers[part].answers;
 }
 
 bool
-ash_store_is_read (const struct ash_store *store, enum ash_store_part part)
+ash_store_is_polled (const struct ash_store *store, enum ash_store_part part)
 {
   return store->readers[part].answers && store->readers[part].state != ASH_STORE_FOLLOWING;
 }
@@ -584,7 +585,7 @@
 }
 
 void
-ash_store_doubt (struct ash_store *store, enum ash_store_part part, const char *why)
+ash_store_restart_watch (struct ash_store *store, enum ash_store_part part, const char *why)
 {
   struct ash_store_reader *reader = &store->readers[part];
 
@@ -594,7 +595,7 @@
       ash_time_diff (reader->asked, ash_clock_now ()) < DOUBT_LEAST_MS)
     return;
   ash_http_call_cancel (&reader->call);
-  reader->suspicious = true;
+  reader->distrust_idle = true;
   fail (reader, why);
 }
 
@@ -621,7 +622,7 @@
     {
       if (told > reader->place)
         reader->place = told;
-      ash_store_behind (store, ash_clock_now ());
+      ash_store_expect_lapses (store, ash_clock_now ());
     }
   reader->state = ASH_STORE_WATCHING;
   ask (reader);
@@ -645,16 +646,16 @@
 }
 
 void
-ash_store_behind (struct ash_store *store, struct ash_time since)
+ash_store_expect_lapses (struct ash_store *store, struct ash_time since)
 {
   struct ash_time until = ash_time_add (since, BEHIND_LAPSE_MS);
 
-  if (ash_time_before (store->doubtful_until, until))
-    store->doubtful_until = until;
+  if (ash_time_before (store->uncertain_until, until))
+    store->uncertain_until = until;
 }
 
 void
-ash_store_woke (struct ash_store *store)
+ash_store_resume (struct ash_store *store)
 {
   for (int part = 0; part < ASH_STORE_PARTS; part++)
     {
--- a/daemon/store_list.c
+++ b/daemon/store_list.c
@@ -96,12 +96,13 @@
 
 /* Until when an endpoint that is missing now may just have lapsed. */
 static struct ash_time
-doubtful_until (const struct ash_store *store)
+uncertain_until (const struct ash_store *store)
 {
   struct ash_time lapse_until =
       ash_time_add (store->readers[ASH_STORE_SERVERS].trouble, ASH_STORE_LAPSE_MS);
 
-  return ash_time_before (lapse_until, store->doubtful_until) ? store->doubtful_until : lapse_until;
+  return ash_time_before (lapse_until, store->uncertain_until) ? store->uncertain_until
+                                                               : lapse_until;
 }
 
 /* An entry is missing. Whether the endpoint is gone depends on whether the store was
@@ -111,7 +112,7 @@
 lose_endpoint (struct ash_store *store, const char *id, const char *source)
 {
   struct ash_router *router = store->router;
-  struct ash_time until = doubtful_until (store);
+  struct ash_time until = uncertain_until (store);
   bool trusted = ash_time_before (until, ash_clock_now ());
   struct ash_store_entry *entry = find_entry (store, id);
   struct ash_direct_endpoint *endpoint = ash_direct_find (&router->endpoints, id);
@@ -198,7 +199,7 @@
 }
 
 void
-ash_store_list_lose_unlisted (struct ash_store_reader *reader, uint64_t place)
+ash_store_list_remove_unlisted (struct ash_store_reader *reader, uint64_t place)
 {
   struct ash_store *store = &reader->router->store;
   struct ash_store_entry *entry;
@@ -242,7 +243,7 @@
 static uint32_t
 doubtful_ms (const struct ash_store *store)
 {
-  int64_t left_ms = ash_time_diff (ash_clock_now (), doubtful_until (store));
+  int64_t left_ms = ash_time_diff (ash_clock_now (), uncertain_until (store));
 
   return left_ms > 0 ? (uint32_t) left_ms : 0;
 }
@@ -262,7 +263,7 @@
 }
 
 void
-ash_store_list_tell (struct ash_store *store, uint64_t since, uint64_t place)
+ash_store_list_publish (struct ash_store *store, uint64_t since, uint64_t place)
 {
   struct ash_store_changes *changes = &store->changes;
   struct Ash__EndpointList list = ASH__ENDPOINT_LIST__INIT;
@@ -281,7 +282,7 @@
     {
       for (uint32_t i = 0; i < changes->count; i++)
         add_change (store, changes->ids[i], &list);
-      ash_fleet_send_near (&store->router->fleet, &event);
+      ash_fleet_send_hall (&store->router->fleet, &event);
     }
   free (list.removed);
   ash_store_list_free (&list);
@@ -357,7 +358,7 @@
 /* ---- peers ---- */
 
 bool
-ash_store_list (const struct ash_store *store, struct Ash__EndpointList *list)
+ash_store_fill_list (const struct ash_store *store, struct Ash__EndpointList *list)
 {
   size_t count = HASH_COUNT (store->entries);
 
@@ -393,8 +394,8 @@
   struct ash_time until =
       ash_time_add (ash_clock_now (), ms < ASH_STORE_LAPSE_MS ? (int64_t) ms : ASH_STORE_LAPSE_MS);
 
-  if (ash_time_before (store->doubtful_until, until))
-    store->doubtful_until = until;
+  if (ash_time_before (store->uncertain_until, until))
+    store->uncertain_until = until;
 }
 
 /* What a peer's list did not have and the store here has not told since. */
@@ -417,9 +418,9 @@
 }
 
 bool
-ash_store_take_list (struct ash_store *store,
-                     const struct Ash__EndpointList *list,
-                     const char *source)
+ash_store_apply_list (struct ash_store *store,
+                      const struct Ash__EndpointList *list,
+                      const char *source)
 {
   struct ash_direct_set *endpoints = &store->router->endpoints;
 
--- a/daemon/store_list.h
+++ b/daemon/store_list.h
@@ -27,11 +27,11 @@
 
 /** What a whole listing did not have is missing, as far as no peer had it later. @param place of
  * the listing's first page. */
-void ash_store_list_lose_unlisted (struct ash_store_reader *reader, uint64_t place);
+void ash_store_list_remove_unlisted (struct ash_store_reader *reader, uint64_t place);
 
 /** What the store has just said goes to the own hall at once. @param since the place before.
  * @param place up to which it has said it: the list may be newer here, through a peer. */
-void ash_store_list_tell (struct ash_store *store, uint64_t since, uint64_t place);
+void ash_store_list_publish (struct ash_store *store, uint64_t since, uint64_t place);
 
 /** Time goes on. */
 void ash_store_list_tick (struct ash_store *store, struct ash_time now);
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -17,7 +17,7 @@
 #define TELL_NEW_MAX 32
 
 /* A connection to an endpoint, made to see whether anything listens there. */
-struct ash_end_probe
+struct ash_suspect_probe
 {
   struct ash_suspects *suspects;
   uint64_t endpoint;
@@ -25,8 +25,8 @@
   bool refused;
   struct ash_stream stream;
   ev_timer timer;
-  struct ash_end_probe *prev;
-  struct ash_end_probe *next;
+  struct ash_suspect_probe *prev;
+  struct ash_suspect_probe *next;
 };
 
 /* ---- telling peers ---- */
@@ -67,7 +67,7 @@
 }
 
 void
-ash_suspects_tell_peer (struct ash_suspects *suspects, const char *box)
+ash_suspects_send (struct ash_suspects *suspects, const char *box)
 {
   struct Ash__SuspectRun messages[TELL_NEW_MAX * ASH_QUARANTINE_RUNS];
   const struct ash_quarantine_suspect *suspect = suspects->quarantine.suspects;
@@ -139,7 +139,7 @@
 }
 
 void
-ash_suspects_reborn (struct ash_suspects *suspects, uint64_t endpoint)
+ash_suspects_record_restart (struct ash_suspects *suspects, uint64_t endpoint)
 {
   take_end (suspects, endpoint, ASH_QUARANTINE_RESTARTED);
 }
@@ -159,7 +159,7 @@
 }
 
 void
-ash_suspects_answered (struct ash_suspects *suspects, struct ash_id request)
+ash_suspects_record_success (struct ash_suspects *suspects, struct ash_id request)
 {
   struct Ash__SuspectRun message = ASH__SUSPECT_RUN__INIT;
 
@@ -172,9 +172,9 @@
 }
 
 void
-ash_suspects_told (struct ash_suspects *suspects,
-                   const char *peer,
-                   const struct Ash__SuspectRuns *message)
+ash_suspects_receive (struct ash_suspects *suspects,
+                      const char *peer,
+                      const struct Ash__SuspectRuns *message)
 {
   struct ash_time now = ash_clock_now ();
 
@@ -199,7 +199,7 @@
 /* ---- asking ---- */
 
 static void
-free_probe (struct ash_end_probe *probe)
+free_probe (struct ash_suspect_probe *probe)
 {
   if (probe->open)
     ash_stream_finish (&probe->stream);
@@ -209,7 +209,7 @@
 }
 
 static void
-end_probe (struct ash_end_probe *probe, bool refused)
+end_probe (struct ash_suspect_probe *probe, bool refused)
 {
   struct ash_suspects *suspects = probe->suspects;
   uint64_t endpoint = probe->endpoint;
@@ -247,7 +247,7 @@
 static void
 on_probe_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  struct ash_end_probe *probe = timer->data;
+  struct ash_suspect_probe *probe = timer->data;
 
   (void) loop;
   (void) events;
@@ -257,7 +257,7 @@
 static void
 start_probe (struct ash_suspects *suspects, uint64_t endpoint, const struct sockaddr_in *address)
 {
-  struct ash_end_probe *probe = calloc (1, sizeof *probe);
+  struct ash_suspect_probe *probe = calloc (1, sizeof *probe);
   struct ev_loop *loop = suspects->router->loop;
 
   if (!probe)
@@ -274,11 +274,11 @@
 }
 
 void
-ash_suspects_cut (struct ash_suspects *suspects,
-                  const struct sockaddr_in *address,
-                  const struct ash_quarantine_run *run)
+ash_suspects_record_disconnect (struct ash_suspects *suspects,
+                                const struct sockaddr_in *address,
+                                const struct ash_quarantine_run *run)
 {
-  const struct ash_end_probe *probe;
+  const struct ash_suspect_probe *probe;
 
   ash_quarantine_note_disconnect (&suspects->quarantine, run);
   DL_FOREACH (suspects->probes, probe)
--- a/daemon/suspects.h
+++ b/daemon/suspects.h
@@ -16,7 +16,7 @@
 #include <netinet/in.h>
 
 struct ash_router;
-struct ash_end_probe;
+struct ash_suspect_probe;
 
 /** What the task tells those that have requests under way. */
 struct ash_suspects_handler
@@ -33,7 +33,7 @@
   struct ash_router *router;
   const struct ash_suspects_handler *handler;
   struct ash_quarantine quarantine;
-  struct ash_end_probe *probes;
+  struct ash_suspect_probe *probes;
   uint64_t ended;       /**< endpoints that this router saw ending under requests */
   uint64_t quarantined; /**< requests that were, as known here */
 };
@@ -48,9 +48,9 @@
 void ash_suspects_tick (struct ash_suspects *suspects, struct ash_time now);
 
 /** A connection ended under a run: the endpoint is asked whether it still stands. */
-void ash_suspects_cut (struct ash_suspects *suspects,
-                       const struct sockaddr_in *address,
-                       const struct ash_quarantine_run *run);
+void ash_suspects_record_disconnect (struct ash_suspects *suspects,
+                                     const struct sockaddr_in *address,
+                                     const struct ash_quarantine_run *run);
 
 /** @return how long the request is kept away from endpoints; 0: it is not. */
 int64_t ash_suspects_left_ms (const struct ash_suspects *suspects,
@@ -58,17 +58,17 @@
                               struct ash_time now);
 
 /** The list tells of a new life of an endpoint. */
-void ash_suspects_reborn (struct ash_suspects *suspects, uint64_t endpoint);
+void ash_suspects_record_restart (struct ash_suspects *suspects, uint64_t endpoint);
 
 /** The request got a whole answer. */
-void ash_suspects_answered (struct ash_suspects *suspects, struct ash_id request);
+void ash_suspects_record_success (struct ash_suspects *suspects, struct ash_id request);
 
 /** A peer tells what it has seen. */
-void ash_suspects_told (struct ash_suspects *suspects,
-                        const char *peer,
-                        const struct Ash__SuspectRuns *message);
+void ash_suspects_receive (struct ash_suspects *suspects,
+                           const char *peer,
+                           const struct Ash__SuspectRuns *message);
 
 /** The link to a peer has come up: it is told of what is known. */
-void ash_suspects_tell_peer (struct ash_suspects *suspects, const char *box);
+void ash_suspects_send (struct ash_suspects *suspects, const char *box);
 
 #endif
