--- a/controllers/direct.c
+++ b/controllers/direct.c
@@ -68,8 +68,8 @@
 static void
 drop (struct ash_direct_set *set, struct ash_direct_endpoint *endpoint)
 {
-  if (set->leaving)
-    set->leaving (set->data, endpoint);
+  if (set->before_free)
+    set->before_free (set->data, endpoint);
   HASH_DEL (set->endpoints, endpoint);
   HASH_DELETE (by_hash, set->by_hash, endpoint);
   free (endpoint);
@@ -197,7 +197,7 @@
     return false;
   if (endpoint->presence == ASH_DIRECT_LAPSED && !trusted)
     return false;
-  /* One that said it was leaving has left. */
+  /* One that said it was before_free has left. */
   if (trusted || is_leaving (endpoint) || is_replaced (set, endpoint))
     endpoint->presence = ASH_DIRECT_REMOVED;
   else
--- a/controllers/direct.h
+++ b/controllers/direct.h
@@ -76,7 +76,7 @@
   struct ash_random random;
   uint64_t revision; /**< of the list */
   /** Tells the owner that one is about to be freed; its connections go first. */
-  void (*leaving) (void *data, struct ash_direct_endpoint *endpoint);
+  void (*before_free) (void *data, struct ash_direct_endpoint *endpoint);
   /** Tells the owner that one has started anew, perhaps at another address. */
   void (*restarted) (void *data, struct ash_direct_endpoint *endpoint);
   void *data;
--- a/controllers/rate_limit.c
+++ b/controllers/rate_limit.c
@@ -46,7 +46,7 @@
   limit->milli_per_s = milli_per_s;
   limit->updated = said;
   if (before != milli_per_s)
-    limit->members = 0;
+    limit->routers_digest = 0;
   if (!before)
     ash_rate_limit_release (limit);
   return is_changed (before, milli_per_s);
@@ -65,7 +65,7 @@
 static double
 tokens (const struct ash_rate_limit *limit, struct ash_time now)
 {
-  double more = limit->part_per_s * (double) ash_time_diff (limit->refilled, now) / MS_PER_S;
+  double more = limit->share_per_s * (double) ash_time_diff (limit->refilled, now) / MS_PER_S;
   double sum = limit->tokens + (more > 0 ? more : 0);
 
   return sum < limit->burst ? sum : limit->burst;
@@ -74,7 +74,7 @@
 void
 ash_rate_limit_assign (struct ash_rate_limit *limit,
                        struct ash_time now,
-                       uint64_t members,
+                       uint64_t routers_digest,
                        uint32_t count,
                        uint32_t before)
 {
@@ -85,13 +85,13 @@
   if (before >= holders)
     {
       ash_rate_limit_release (limit);
-      limit->members = members;
+      limit->routers_digest = routers_digest;
       return;
     }
   limit->tokens = tokens (limit, now);
   limit->refilled = now;
-  limit->members = members;
-  limit->part_per_s = (per_s < RATE_MIN_PER_S ? RATE_MIN_PER_S : per_s) / holders;
+  limit->routers_digest = routers_digest;
+  limit->share_per_s = (per_s < RATE_MIN_PER_S ? RATE_MIN_PER_S : per_s) / holders;
   limit->burst = (BURST_BASE + BURST_PER_S * per_s) / holders;
   if (limit->burst < 1)
     limit->burst = 1;
@@ -100,8 +100,8 @@
 void
 ash_rate_limit_release (struct ash_rate_limit *limit)
 {
-  limit->members = 0;
-  limit->part_per_s = 0;
+  limit->routers_digest = 0;
+  limit->share_per_s = 0;
   limit->burst = 0;
   limit->tokens = 0;
 }
@@ -116,7 +116,7 @@
   missing = 1 - tokens (limit, now);
   if (missing <= 0)
     return 0;
-  return limit->part_per_s > 0 ? (int64_t) (missing / limit->part_per_s * MS_PER_S) + 1 : -1;
+  return limit->share_per_s > 0 ? (int64_t) (missing / limit->share_per_s * MS_PER_S) + 1 : -1;
 }
 
 void
--- a/controllers/rate_limit.h
+++ b/controllers/rate_limit.h
@@ -19,8 +19,9 @@
 {
   uint32_t milli_per_s;    /**< in thousandths; 0: none */
   struct ash_time updated; /**< when the endpoint last named one, or no longer did */
-  uint64_t members; /**< a digest of the routers among which the part was dealt; 0: it was not */
-  double part_per_s;
+  uint64_t
+      routers_digest; /**< a digest of the routers among which the part was dealt; 0: it was not */
+  double share_per_s;
   double burst;             /**< requests of the part that may go at once */
   double tokens;            /**< of these, as of the next */
   struct ash_time refilled; /**< when it was worked out */
@@ -46,13 +47,13 @@
 
 /**
  * Deals the rate out anew.
- * @param members digest of the routers that are dealt to, any number but 0.
+ * @param routers_digest digest of the routers that are dealt to, any number but 0.
  * @param count how many they are.
  * @param before how many of them come before this one.
  */
 void ash_rate_limit_assign (struct ash_rate_limit *limit,
                             struct ash_time now,
-                            uint64_t members,
+                            uint64_t routers_digest,
                             uint32_t count,
                             uint32_t before);
 
--- a/controllers/route_table.c
+++ b/controllers/route_table.c
@@ -95,9 +95,9 @@
 }
 
 bool
-ash_route_table_add_part (struct ash_route_table *table, struct ash_route_part part)
+ash_route_table_add_part (struct ash_route_table *table, struct ash_route_split part)
 {
-  struct ash_route_part *parts =
+  struct ash_route_split *parts =
       with_room (table->parts, table->part_count, &table->part_room, sizeof *parts);
 
   if (!parts)
@@ -234,7 +234,7 @@
                               const struct ash_route *route,
                               uint64_t draw)
 {
-  const struct ash_route_part *parts = &table->parts[route->part_first];
+  const struct ash_route_split *parts = &table->parts[route->part_first];
   uint64_t total = 0;
 
   for (uint32_t i = 0; i < route->part_count; i++)
--- a/controllers/route_table.h
+++ b/controllers/route_table.h
@@ -53,7 +53,7 @@
 };
 
 /** A part of a route's requests. */
-struct ash_route_part
+struct ash_route_split
 {
   uint32_t service; /**< index */
   uint32_t weight;
@@ -110,7 +110,7 @@
   struct ash_route *routes;
   uint32_t route_count;
   uint32_t route_room;
-  struct ash_route_part *parts;
+  struct ash_route_split *parts;
   uint32_t part_count;
   uint32_t part_room;
   struct ash_route_service *services;
@@ -138,7 +138,7 @@
 struct ash_route *ash_route_table_add_route (struct ash_route_table *table);
 
 /** @return false if memory is short. */
-bool ash_route_table_add_part (struct ash_route_table *table, struct ash_route_part part);
+bool ash_route_table_add_part (struct ash_route_table *table, struct ash_route_split part);
 
 /**
  * Adds a route of another table, whose services are the same.
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -197,7 +197,7 @@
 deal (const struct ash_fleet *fleet,
       struct ash_direct_endpoint *endpoint,
       struct ash_time now,
-      uint64_t members)
+      uint64_t routers_digest)
 {
   const struct ash_router_settings *settings = &fleet->router->settings;
   uint64_t own_order = ash_rate_limit_order (endpoint->hash, ash_hash_text (settings->box));
@@ -210,24 +210,24 @@
         count++;
         before += comes_first (endpoint, peer, settings->hall, own_order);
       }
-  ash_rate_limit_assign (&endpoint->limit, now, members, count, before);
+  ash_rate_limit_assign (&endpoint->limit, now, routers_digest, count, before);
 }
 
 void
 ash_fleet_split_rates (struct ash_fleet *fleet, struct ash_time now)
 {
-  uint64_t members = 0; /* not needed while no endpoint names a rate */
+  uint64_t routers_digest = 0; /* not needed while no endpoint names a rate */
 
   for (struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints; endpoint;
        endpoint = endpoint->hh.next)
     {
       if (!endpoint->limit.milli_per_s)
         continue;
-      members = members ? members : members_digest (fleet, now);
+      routers_digest = routers_digest ? routers_digest : members_digest (fleet, now);
       /* The others deal among themselves from the moment on at which they are told. */
       if (fleet->router->stopping)
         ash_rate_limit_release (&endpoint->limit);
-      else if (endpoint->limit.members != members)
-        deal (fleet, endpoint, now, members);
+      else if (endpoint->limit.routers_digest != routers_digest)
+        deal (fleet, endpoint, now, routers_digest);
     }
 }
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -480,7 +480,7 @@
     randombytes_buf (&router->incarnation, sizeof router->incarnation);
   ash_random_init (&router->random, router->incarnation);
   ash_direct_init (&router->endpoints, ash_random_next (&router->random));
-  router->endpoints.leaving = on_leaving;
+  router->endpoints.before_free = on_leaving;
   router->endpoints.restarted = on_reborn;
   router->endpoints.data = router;
   ash_metrics_init (&router->metrics);
