--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -82,7 +82,7 @@
 }
 
 static void
-handle_drain (struct ash_daemon *daemon, const struct Ash__Event *event)
+handle_drain_message (struct ash_daemon *daemon, const struct Ash__Event *event)
 {
   if (event->drain->incarnation != daemon->incarnation)
     return;
@@ -105,7 +105,7 @@
       answer_query (daemon, event->peer, event->query);
       return;
     case ASH__EVENT__KIND_DRAIN:
-      handle_drain (daemon, event);
+      handle_drain_message (daemon, event);
       return;
     case ASH__EVENT__KIND_LINK_UP:
       daemon->role.event (daemon->role.data, event);
@@ -124,7 +124,7 @@
 }
 
 static uint64_t
-own_revision (void *data)
+active_revision (void *data)
 {
   const struct ash_daemon *daemon = data;
 
@@ -132,7 +132,7 @@
 }
 
 static void
-own_heartbeat (void *data, const char *box, struct Ash__Heartbeat *heartbeat)
+fill_heartbeat (void *data, const char *box, struct Ash__Heartbeat *heartbeat)
 {
   struct ash_daemon *daemon = data;
 
@@ -255,8 +255,8 @@
                   sizeof peers->identity.fleet_key);
   peers->log = (struct ash_log){ &daemon->log_sink, "peer" };
   peers->handler = (struct ash_sink){ on_peer_event, daemon };
-  peers->revision = own_revision;
-  peers->heartbeat = own_heartbeat;
+  peers->revision = active_revision;
+  peers->heartbeat = fill_heartbeat;
   peers->data = daemon;
   if (ash_peers_init (peers, daemon->loop))
     return true;
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -57,7 +57,7 @@
  * the box has in hand ends there, and it is asked to disown keys whose home it
  * was. No request lasts longer. */
 static bool
-keeps_link (void *data, const char *box, const char *address)
+is_link_needed (void *data, const char *box, const char *address)
 {
   const struct entry *entry = data;
   const struct ash_config *config = &entry->core.config;
@@ -81,7 +81,7 @@
   if (!entry->core.config.ready || ash_time_before (now, entry->next_link_check))
     return;
   entry->next_link_check = ash_time_add (now, LINK_CHECK_MS);
-  ash_peers_drop_dials (&entry->daemon.peers, keeps_link, entry);
+  ash_peers_drop_dials (&entry->daemon.peers, is_link_needed, entry);
 }
 
 static void
--- a/daemon/group_agent.c
+++ b/daemon/group_agent.c
@@ -273,12 +273,12 @@
   switch (event->kind_case)
     {
     case ASH__EVENT__KIND_RANK_ORDER:
-      if (group->member && event->rank_order->rank == group->rank &&
+      if (group->is_member && event->rank_order->rank == group->rank &&
           strcmp (event->rank_order->group, group->name) == 0)
         order_own_rank (group, event->peer, event->rank_order);
       return true;
     case ASH__EVENT__KIND_RANK_STATE:
-      if (group->member && strcmp (event->rank_state->group, group->name) == 0)
+      if (group->is_member && strcmp (event->rank_state->group, group->name) == 0)
         ash_expert_change_handle_state (&group->change, ash_clock_now (), event->rank_state);
       return true;
     default:
@@ -306,8 +306,8 @@
 {
   const struct ash_expert_weights *weights = &group->policy.weights;
 
-  return group->member && strcmp (group->name, settings->name) == 0 && group->rank == own->rank &&
-         group->rank_count == settings->rank_count &&
+  return group->is_member && strcmp (group->name, settings->name) == 0 &&
+         group->rank == own->rank && group->rank_count == settings->rank_count &&
          group->placement.rank_slots == settings->rank_slots &&
          group->placement.expert_count == settings->experts &&
          weights->skew == settings->skew_weight && weights->cost == settings->cost_weight &&
@@ -327,7 +327,7 @@
   };
   struct ash_sink sink = { on_emit, group };
 
-  group->member = true;
+  group->is_member = true;
   *group->profile = '\0'; /* a new policy has not been logged_phase of it */
   strcpy (group->name, settings->name);
   group->rank = own->rank;
@@ -374,7 +374,7 @@
       link_members (group, document);
       return;
     }
-  group->member = false;
+  group->is_member = false;
   if (!settings || settings->rank_count > ASH_EXPERT_RANKS_MAX ||
       settings->rank_count * settings->rank_slots > ASH_EXPERT_SLOTS_MAX)
     return;
@@ -526,7 +526,7 @@
   const struct ash_expert_note *entry;
   json_t *list;
 
-  if (!group->member || strcmp (group->name, name) != 0)
+  if (!group->is_member || strcmp (group->name, name) != 0)
     return NULL;
   list = json_array ();
   for (uint32_t i = 0; (entry = ash_expert_history_last (&group->history, i)); i++)
@@ -548,7 +548,7 @@
   struct ash_time now = ash_clock_now ();
   int64_t takeover_ms = TAKEOVER_MS + (int64_t) group->rank * TAKEOVER_STAGGER_MS;
 
-  if (!group->member)
+  if (!group->is_member)
     return;
   ash_expert_change_tick (&group->change, now);
   log_phase (group);
--- a/daemon/group_agent.h
+++ b/daemon/group_agent.h
@@ -20,7 +20,7 @@
 {
   struct ash_daemon *daemon;
   struct ash_log log;
-  bool member; /**< this endpoint runs in a group */
+  bool is_member; /**< this endpoint runs in a group */
   char name[ASH_NAME_BYTES];
   uint32_t rank;
   uint32_t rank_count;
--- a/daemon/platform_reader.c
+++ b/daemon/platform_reader.c
@@ -71,7 +71,7 @@
 }
 
 static bool
-handle_list (struct ash_platform_read *read)
+handle_box_list (struct ash_platform_read *read)
 {
   struct ash_platform_reader *platform = read->platform;
   json_t *root = json_loadb (read->body ? read->body : "", read->body_bytes, 0, NULL);
@@ -132,7 +132,7 @@
   if (read->status != HTTP_OK)
     return false;
   if (read->is_list)
-    return handle_list (read);
+    return handle_box_list (read);
   if (!read->revision)
     return false;
   handle_document (read);
--- a/filters/answer.c
+++ b/filters/answer.c
@@ -140,7 +140,7 @@
 }
 
 static void
-finish_answer (struct ash_entry *entry, struct ash_time now, struct ash_request *request)
+complete_answer (struct ash_entry *entry, struct ash_time now, struct ash_request *request)
 {
   struct Ash__Reply reply = ASH__REPLY__INIT;
 
@@ -188,7 +188,7 @@
                                  0);
     }
   else if (request->status && end->length == request->received)
-    finish_answer (entry, now, request);
+    complete_answer (entry, now, request);
   else
     ash_attempt_resume (entry, now, request);
 }
