--- a/filters/entry.c
+++ b/filters/entry.c
@@ -30,7 +30,7 @@
     .stop = &entry->stop,
     .random = &entry->random,
     .fleet_key = entry->fleet_key,
-    .next_round_robin = &entry->next_round_robin,
+    .round_robin_counter = &entry->round_robin_counter,
   };
   return ash_request_history_init (&entry->past) && ash_chain_init (&entry->chain);
 }
--- a/filters/entry.h
+++ b/filters/entry.h
@@ -33,7 +33,7 @@
   struct ash_request *by_call;
   struct ash_request *by_attempt;
   uint64_t last_attempt;
-  uint32_t next_round_robin; /**< of round robin */
+  uint32_t round_robin_counter; /**< of round robin */
   bool leaving;
   struct ash_planned_stop stop;
 };
--- a/filters/filter.h
+++ b/filters/filter.h
@@ -25,7 +25,7 @@
   const struct ash_planned_stop *stop;
   struct ash_random *random;
   const uint8_t *fleet_key;
-  uint32_t *next_round_robin; /**< of round robin */
+  uint32_t *round_robin_counter; /**< of round robin */
 };
 
 /** What a filter decides. */
--- a/filters/route.c
+++ b/filters/route.c
@@ -192,7 +192,7 @@
     case ASH_ROUTE_RANDOM:
       return pick_any (context, request, service, candidate);
     case ASH_ROUTE_ROUND_ROBIN:
-      return pick_from (context, request, service, ++*context->next_round_robin, candidate);
+      return pick_from (context, request, service, ++*context->round_robin_counter, candidate);
     case ASH_ROUTE_LEAST_REPORTED:
       return pick_least_reported (context, request, service, candidate);
     default:
