--- a/common/clock.h
+++ b/common/clock.h
@@ -1,12 +1,13 @@
 /**
  * @file
- * The one clock type of the project: milliseconds on a clock that never goes back and does not
- * stop with the machine.
+ * The time type of the project: milliseconds on a monotonic clock that keeps counting while the
+ * machine is suspended.
  *
- * Only the daemon, tools and tests read a clock (ash_clock_now()); filters and
- * controllers are handed a time. A process that was paused, or whose machine was suspended, sees
- * the clock jump, which is how it learns that it was away. The event loop's timers don't count the
- * time for which a machine was suspended: whoever waits by one looks again when the process wakes.
+ * Only the daemon, tools and tests read the clock (ash_clock_now()); filters and controllers get
+ * the time as an argument. After a process was paused, or its machine suspended, the clock has
+ * jumped forward; this is how the process detects the pause. The timers of the event loop don't
+ * count the time for which the machine was suspended, so code that waits with such a timer must
+ * check its deadline again when the process resumes.
  */
 #ifndef ASH_CLOCK_H
 #define ASH_CLOCK_H
@@ -20,16 +21,16 @@
   int64_t ms;
 };
 
-/** A point in time that never comes. */
+/** Later than every other time: "never". */
 #define ASH_TIME_NEVER ((struct ash_time){ INT64_MAX })
 
-/** Reads CLOCK_BOOTTIME, which counts the time for which the machine was suspended too. */
+/** Reads CLOCK_BOOTTIME, which includes the time for which the machine was suspended. */
 struct ash_time ash_clock_now (void);
 
 /** Microseconds on the same clock; for measurements only. */
 int64_t ash_clock_now_us (void);
 
-/** @return @p t moved on by @p ms; saturates at ASH_TIME_NEVER. */
+/** @return @p t plus @p ms milliseconds; saturates at ASH_TIME_NEVER. */
 static inline struct ash_time
 ash_time_add (struct ash_time t, int64_t ms)
 {
@@ -45,7 +46,7 @@
   return to.ms - from.ms;
 }
 
-/** @return whether @p a lies before @p b. */
+/** @return whether @p a is earlier than @p b. */
 static inline bool
 ash_time_before (struct ash_time a, struct ash_time b)
 {
--- a/common/events.h
+++ b/common/events.h
@@ -1,8 +1,7 @@
 /**
  * @file
- * The numbered events of the log: number, level, name, and what it means.
- * docs/EVENTS.md lists the same; a test holds the two together. Numbers are
- * never used again for something else.
+ * The numbered log events: number, level, name and meaning. docs/EVENTS.md has the
+ * same table, and a test compares the two. The number of a removed event is not reused.
  */
 #ifndef ASH_EVENTS_H
 #define ASH_EVENTS_H
@@ -10,72 +9,72 @@
 /* clang-format off */
 #define ASH_EVENT_LIST(X) \
   X (100, INFO, STARTED,            "the process has started") \
-  X (101, INFO, READY,              "it has a configuration and serves") \
+  X (101, INFO, READY,              "the process has a configuration and accepts requests") \
   X (102, INFO, STOPPING,           "a planned stop has begun") \
-  X (103, INFO, STOPPED,            "the process ends") \
-  X (104, WARN, CUT_SHORT,          "a second signal cut the planned stop short") \
-  X (105, WARN, WOKE,               "the process had been paused") \
-  X (106, ERROR, BAD_SETTINGS,      "the settings have findings") \
-  X (107, ERROR, CANNOT_LISTEN,     "an address can't be listened on") \
-  X (108, WARN, DRAINED,            "an operator drained this box: it takes no new work in this life") \
-  X (109, INFO, RELOADED,           "the settings file was read anew") \
-  X (110, INFO, LOG_LEFT_OUT,       "lines were left out: over the log's budget, or nobody read them") \
-  X (200, INFO, CONFIG_ACCEPTED,    "a configuration is in force") \
-  X (201, WARN, CONFIG_REFUSED,     "a published document has findings; the last accepted one stays") \
-  X (202, WARN, CONFIG_OLDER,       "an older revision than the one in force was offered and ignored") \
-  X (203, WARN, PLATFORM_DOWN,      "the platform does not answer, or its answer is doubted") \
+  X (103, INFO, STOPPED,            "the process exits") \
+  X (104, WARN, CUT_SHORT,          "a second signal ended the planned stop early") \
+  X (105, WARN, WOKE,               "the process resumed after it had been paused or its machine suspended") \
+  X (106, ERROR, BAD_SETTINGS,      "the settings have errors") \
+  X (107, ERROR, CANNOT_LISTEN,     "listening on an address failed") \
+  X (108, WARN, DRAINED,            "an operator drained this box: it takes no new work until it restarts") \
+  X (109, INFO, RELOADED,           "the settings file was reloaded") \
+  X (110, INFO, LOG_LEFT_OUT,       "log lines were dropped: above the rate limit, or the reader of the log did not keep up") \
+  X (200, INFO, CONFIG_ACCEPTED,    "a configuration was accepted and is active") \
+  X (201, WARN, CONFIG_REFUSED,     "a published document has errors; the last accepted one stays active") \
+  X (202, WARN, CONFIG_OLDER,       "a revision older than the active one was offered and ignored") \
+  X (203, WARN, PLATFORM_DOWN,      "the platform does not answer, or its answer is invalid or implausible") \
   X (204, INFO, PLATFORM_UP,        "the platform answers again") \
-  X (205, DEBUG, CONFIG_SENT,       "a peer with an older configuration is sent this one, whole or by deltas") \
-  X (206, INFO, ENDPOINT_LISTED,    "an endpoint is new in the list, or back in it") \
-  X (207, INFO, ENDPOINT_LEAVING,   "an endpoint gets no new work: it says that it is leaving") \
+  X (205, DEBUG, CONFIG_SENT,       "the configuration was sent to a peer that has an older one, whole or as deltas") \
+  X (206, INFO, ENDPOINT_LISTED,    "an endpoint was added to the list, or is listed again") \
+  X (207, INFO, ENDPOINT_LEAVING,   "an endpoint announced that it is leaving and gets no new work") \
   X (208, INFO, ENDPOINT_MISSING,   "an endpoint is no longer listed") \
-  X (209, WARN, ENDPOINT_PASSED,    "an endpoint is passed over for a while, by what it did with requests") \
-  X (210, WARN, BEHIND_PEERS,       "peers have something newer from the store, and it does not come here") \
-  X (211, INFO, STORE_READER,       "this router asks the store itself from now on, or follows others of its hall") \
-  X (212, WARN, ENTRY_UNUSABLE,     "an entry of the list names no endpoint that can be used, and why") \
-  X (213, INFO, ENDPOINT_REBORN,    "an endpoint has started anew under its id") \
-  X (214, WARN, STORE_ERA,          "the store has come back from an older copy: all is read anew") \
-  X (215, INFO, ENDPOINT_LIMITED,   "an endpoint names how many requests a second it takes, or no longer does") \
-  X (216, INFO, ENDPOINT_RESTS,     "an endpoint turned a request away and wants none from this router for a while") \
+  X (209, WARN, ENDPOINT_PASSED,    "an endpoint is ejected: it gets no requests for a while because earlier ones failed") \
+  X (210, WARN, BEHIND_PEERS,       "peers have a newer version from the store, and the store does not send it to this router") \
+  X (211, INFO, STORE_READER,       "this router starts to read the store itself, or to follow other routers of its hall") \
+  X (212, WARN, ENTRY_UNUSABLE,     "an entry of the endpoint list can't be used, and why") \
+  X (213, INFO, ENDPOINT_REBORN,    "an endpoint has restarted under the same id") \
+  X (214, WARN, STORE_ERA,          "the store was restored from an older copy: everything is read again") \
+  X (215, INFO, ENDPOINT_LIMITED,   "an endpoint announced a limit of requests per second, or withdrew it") \
+  X (216, INFO, ENDPOINT_RESTS,     "an endpoint rejected a request and asked this router to send none for a while") \
   X (300, INFO, LINK_UP,            "a peer link is up") \
   X (301, INFO, LINK_DOWN,          "a peer link is down") \
   X (302, WARN, PEER_REFUSED,       "a peer could not prove the fleet key, or broke the protocol") \
   X (303, INFO, BOX_LEAVING,        "a box is leaving; it gets no new work") \
-  X (304, INFO, NEW_INCARNATION,    "an endpoint's agent has a new life") \
-  X (305, WARN, ALONE,              "this box sees less than half of the others: it is likely cut off itself") \
-  X (306, INFO, NOT_ALONE,          "it sees most of them again") \
+  X (304, INFO, NEW_INCARNATION,    "an endpoint's agent has a new incarnation") \
+  X (305, WARN, ALONE,              "this box reaches less than half of the others: it is probably isolated itself") \
+  X (306, INFO, NOT_ALONE,          "this box reaches most of the others again") \
   X (400, DEBUG, REQUEST_SENT,      "an attempt of a request was sent to an endpoint") \
   X (401, INFO, REQUEST_ENDED,      "a request got its final answer") \
-  X (402, INFO, REQUEST_RETRIED,    "a request goes to another endpoint") \
-  X (403, DEBUG, REQUEST_RESUMED,   "an answer is asked for again after a cut") \
-  X (404, INFO, FORWARD_SENT,       "a request was sent straight to an endpoint") \
-  X (405, INFO, FORWARD_SERVED,     "a request got an endpoint's whole answer") \
+  X (402, INFO, REQUEST_RETRIED,    "a request is retried at another endpoint") \
+  X (403, DEBUG, REQUEST_RESUMED,   "the rest of an answer is requested again after a link was lost") \
+  X (404, INFO, FORWARD_SENT,       "a request was sent directly to an endpoint") \
+  X (405, INFO, FORWARD_SERVED,     "a request got an endpoint's complete answer") \
   X (406, INFO, FORWARD_REFUSED,    "a request was refused: it did not run and will not") \
-  X (407, WARN, FORWARD_FAILED,     "a request ended without a whole answer") \
-  X (408, INFO, FORWARD_RESENT,     "a request goes to a further endpoint, and why") \
-  X (409, INFO, FORWARD_GONE,       "the caller left while its request was under way") \
+  X (407, WARN, FORWARD_FAILED,     "a request ended without a complete answer") \
+  X (408, INFO, FORWARD_RESENT,     "a request is sent again, to another endpoint, and why") \
+  X (409, INFO, FORWARD_GONE,       "the caller disconnected while its request was in progress") \
   X (410, INFO, FORWARD_DENIED,     "a request was denied: no such route, or no such key") \
-  X (411, WARN, FORWARD_CUT,        "the connection to an endpoint ended under a request, and what is known of both") \
-  X (412, WARN, ENDPOINT_ENDED,     "an endpoint's process ended under requests of this router") \
-  X (413, WARN, QUARANTINED,        "endpoints ended under a request: it is kept away from others") \
-  X (414, INFO, QUARANTINE_CLEARED, "a suspected request got its whole answer: it is not the cause") \
-  X (415, INFO, PROMPTS_KEPT,       "passes have just become long: new prompts wait, or no longer") \
+  X (411, WARN, FORWARD_CUT,        "the connection to an endpoint ended during a request; the fields describe both") \
+  X (412, WARN, ENDPOINT_ENDED,     "an endpoint's process ended while it ran requests of this router") \
+  X (413, WARN, QUARANTINED,        "a request is quarantined: endpoints ended while they ran it, so no other gets it for now") \
+  X (414, INFO, QUARANTINE_CLEARED, "a suspected request got its complete answer: it is not the cause") \
+  X (415, INFO, PROMPTS_KEPT,       "the engine's passes have become long: new prompts are held, or no longer held") \
   X (500, DEBUG, RUN_STARTED,       "an endpoint started a request") \
   X (501, DEBUG, RUN_ENDED,         "an endpoint's engine ended a request") \
   X (502, INFO, RUN_REFUSED,        "an endpoint refused a request") \
   X (503, INFO, RUN_CANCELLED,      "a request was cancelled at the engine") \
   X (504, WARN, LEDGER_FULL,        "the ledger has no room; new work is refused") \
-  X (505, WARN, STALLED,            "an endpoint's engine stands still; what waits for it goes elsewhere") \
-  X (506, INFO, GOES_ON,            "it goes on") \
+  X (505, WARN, STALLED,            "an endpoint's engine is stalled; requests queued for it go to other endpoints") \
+  X (506, INFO, GOES_ON,            "a stalled engine makes progress again") \
   X (600, INFO, MAP_CHANGE,         "a change of a group's expert map begins, and why") \
-  X (601, INFO, MAP_CHANGED,        "it is through, or the group is in order again") \
-  X (602, INFO, MAP_GIVEN_UP,       "it is given up: a higher ballot, or a rank does not answer") \
-  X (603, INFO, FORECAST,           "a declared event is near: moves are made for its expert loads") \
-  X (604, INFO, MAP_LEADER,         "this router leads the changes of maps, or no longer does") \
-  X (605, INFO, MAP_EPOCH,          "a group has formed anew: it is back at its first map") \
+  X (601, INFO, MAP_CHANGED,        "a change of a group's expert map is complete, also one that another process began") \
+  X (602, INFO, MAP_GIVEN_UP,       "a change of a group's expert map was abandoned: a higher ballot, or a rank does not answer") \
+  X (603, INFO, FORECAST,           "a declared event is near: experts are moved for its expected loads") \
+  X (604, INFO, MAP_LEADER,         "this router has become the leader for map changes, or no longer is") \
+  X (605, INFO, MAP_EPOCH,          "a group has formed again with a new epoch: it is back at its initial map") \
   X (606, INFO, MAP_ORDER_REFUSED,  "a rank refused an order")  \
-  X (607, INFO, RANK_PACE,          "a rank has turned slow, or is as usual again") \
-  X (608, WARN, GROUP_BEYOND_BOUNDS, "a group is larger than what is kept of groups: its map stays")
+  X (607, INFO, RANK_PACE,          "a rank has become slow, or has its usual speed again") \
+  X (608, WARN, GROUP_BEYOND_BOUNDS, "a group is above the supported size: its map is not changed")
 /* clang-format on */
 
 #define ASH_EVENT_ENUM(number, level, name, text) ASH_EV_##name = (number),
--- a/common/finding.c
+++ b/common/finding.c
@@ -41,9 +41,9 @@
 void
 ash_findings_print (const struct ash_findings *findings, FILE *out)
 {
-  uint32_t kept = findings->count < ASH_FINDINGS_MAX ? findings->count : ASH_FINDINGS_MAX;
+  uint32_t stored = findings->count < ASH_FINDINGS_MAX ? findings->count : ASH_FINDINGS_MAX;
 
-  for (uint32_t i = 0; findings->items && i < kept; i++)
+  for (uint32_t i = 0; findings->items && i < stored; i++)
     {
       const struct ash_finding *finding = &findings->items[i];
 
@@ -53,6 +53,6 @@
       else
         fprintf (out, "%s: %s: %s\n", findings->file, finding->key_path, finding->text);
     }
-  if (findings->count > kept)
-    fprintf (out, "%s: and %u more\n", findings->file, findings->count - kept);
+  if (findings->count > stored)
+    fprintf (out, "%s: and %u more\n", findings->file, findings->count - stored);
 }
--- a/common/finding.h
+++ b/common/finding.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Findings: what a check has found wrong, each with its key_path, collected and
- * reported together instead of stopping at the first.
+ * Findings: the errors that a check of a settings file or document found, each with its line and
+ * key path. They are collected and reported together, so that a check need not stop at the first.
  */
 #ifndef ASH_FINDING_H
 #define ASH_FINDING_H
@@ -9,39 +9,38 @@
 #include <stdint.h>
 #include <stdio.h>
 
-/** More findings than this are counted, not kept. */
+/** Findings beyond this number are counted but not stored. */
 #define ASH_FINDINGS_MAX 100
 
-/** One thing found wrong. */
+/** One error. */
 struct ash_finding
 {
-  uint32_t line;      /**< from 1; 0 if the key_path has no line */
-  char key_path[128]; /**< the key's path, as `endpoint[3].slots` */
+  uint32_t line;      /**< from 1; 0 if unknown */
+  char key_path[128]; /**< for example `endpoint[3].slots` */
   char text[256];
 };
 
-/** A list of findings about one file or document. */
+/** The findings of one file or document. */
 struct ash_findings
 {
-  const char *file; /**< name to print, owned by the caller */
-  uint32_t count;   /**< all found, those not kept included */
+  const char *file; /**< name for output; owned by the caller */
+  uint32_t count;   /**< including those that are not stored */
   struct ash_finding *items;
 };
 
-/** Starts an empty list about @p file. */
+/** Initializes an empty list for @p file, whose name must outlive the list. */
 void ash_findings_init (struct ash_findings *findings, const char *file);
 
-/** Frees what the list holds. */
 void ash_findings_finish (struct ash_findings *findings);
 
-/** Adds a finding at @p line and @p key_path. */
+/** Adds a finding; @p format gives its text. Without memory the finding is only counted. */
 void ash_findings_add (struct ash_findings *findings,
                        uint32_t line,
                        const char *key_path,
                        const char *format,
                        ...) __attribute__ ((format (printf, 4, 5)));
 
-/** Prints one `file:line: key_path: text` a line. */
+/** Prints each finding on a line as `file:line: key_path: text`. */
 void ash_findings_print (const struct ash_findings *findings, FILE *out);
 
 #endif
--- a/common/id.c
+++ b/common/id.c
@@ -44,7 +44,7 @@
 {
   crypto_generichash_state state;
 
-  /* Each part with its closing zero: "a","bc" and "ab","c" must differ. */
+  /* The terminating zero of each part is hashed too, so that "a","bc" and "ab","c" differ. */
   crypto_generichash_init (&state, NULL, 0, crypto_generichash_BYTES_MIN);
   crypto_generichash_update (&state, (const uint8_t *) account, strlen (account) + 1);
   crypto_generichash_update (&state, (const uint8_t *) service, strlen (service) + 1);
--- a/common/log.c
+++ b/common/log.c
@@ -12,7 +12,8 @@
 
 #define FIELDS_BYTES 1024
 
-/* A whole line; a pipe takes so much at once or nothing. */
+/* Longest log line. It must be below PIPE_BUF: a pipe then accepts a line completely or not at
+ * all. */
 #define LINE_MAX_BYTES 2048
 #define NAME_BYTES 64
 
@@ -69,7 +70,7 @@
   snprintf (out, out_bytes, "%s.%03ldZ", seconds, ts.tv_nsec / 1000000 % 1000);
 }
 
-/* Takes the next `key=value` off *fields; the value may stand in quotes. */
+/* Splits the next `key=value` off *fields, in place; the value may be quoted. */
 static bool
 next_field (char **fields, char **key, char **value)
 {
@@ -136,7 +137,7 @@
   free (json);
 }
 
-/* ---- the bound ---- */
+/* ---- rate limit ---- */
 
 void
 ash_log_bound_init (struct ash_log_bound *bound, FILE *out, uint32_t lines_per_s)
@@ -147,7 +148,7 @@
   fcntl (fd, F_SETFL, fcntl (fd, F_GETFL) | O_NONBLOCK);
 }
 
-/* @return whether the line was taken. */
+/* @return whether the whole line was written; false if the reader of a pipe does not keep up. */
 static bool
 write_line (const struct ash_log_sink *sink, const char *line)
 {
@@ -171,7 +172,8 @@
     bound->dropped = 0;
 }
 
-/* @return whether this line may be written now. */
+/* Counts a line against the limit of the current second and reports lines that were dropped in
+ * earlier ones. @return whether the line may be written. */
 static bool
 is_within_limit (const struct ash_log *log, enum ash_log_level level)
 {
--- a/common/log.h
+++ b/common/log.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * The log: numbered events with key=value fields, a line each. A line is written
- * whole or not at all, and a reader that stands still never holds the process up.
+ * Logging of numbered events with key=value fields, one per line. With a struct ash_log_bound a
+ * line is written completely or dropped, and the process never blocks on a reader of the log that
+ * does not keep up.
  */
 #ifndef ASH_LOG_H
 #define ASH_LOG_H
@@ -12,7 +13,6 @@
 #include <stdint.h>
 #include <stdio.h>
 
-/** How much an event matters. */
 enum ash_log_level
 {
   ASH_LOG_DEBUG,
@@ -21,39 +21,39 @@
   ASH_LOG_ERROR,
 };
 
-/** Keeps the log's volume bounded. Warnings and errors do not count against it. */
+/** Rate limit of a log. Warnings and errors are exempt. */
 struct ash_log_bound
 {
-  uint32_t lines_per_s; /**< lines a second at most; 0: no bound */
-  int64_t second;       /**< that is being counted */
-  uint32_t lines;       /**< written in it */
-  uint64_t dropped;     /**< since that was last said */
+  uint32_t lines_per_s; /**< 0: no limit */
+  int64_t second;       /**< current second of CLOCK_MONOTONIC */
+  uint32_t lines;       /**< in the current second, also those above the limit */
+  uint64_t dropped;     /**< since the last log_left_out event */
   uint64_t dropped_total;
 };
 
-/** What all modules of a process share. */
+/** Output of the log, shared by all modules of a process. */
 struct ash_log_sink
 {
   FILE *out;
-  struct ash_log_bound *bound; /**< NULL: every line is written, and waited for */
-  enum ash_log_level level;    /**< below it nothing is written */
+  struct ash_log_bound *bound; /**< NULL: no limit, and writes may block */
+  enum ash_log_level level;    /**< events below this level are not written */
   bool json;
   const char *box;
 };
 
-/** A module's handle. A handle without a sink writes nothing. */
+/** Log handle of a module. Without a sink nothing is written. */
 struct ash_log
 {
   const struct ash_log_sink *sink;
   const char *module;
 };
 
-/** Makes a sink that never waits: its file is set not to block. */
+/** Initializes a rate limit for @p out and sets the descriptor of @p out to O_NONBLOCK. */
 void ash_log_bound_init (struct ash_log_bound *bound, FILE *out, uint32_t lines_per_s);
 
 /**
- * Writes an event. @p format gives fields as `key=value`, separated by blanks;
- * a value with blanks stands in double quotes.
+ * Writes an event. @p format produces the fields as `key=value`, separated by blanks; a value
+ * that contains blanks must be in double quotes.
  */
 void ash_log_event (const struct ash_log *log, enum ash_event event, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
--- a/common/metrics.c
+++ b/common/metrics.c
@@ -16,9 +16,9 @@
 
 struct ash_series
 {
-  char key[KEY_BYTES]; /* name{labels */
+  char key[KEY_BYTES]; /* `name{labels` */
   enum series_kind kind;
-  uint64_t value; /* of a histogram: the sum */
+  uint64_t value; /* sum of the values if the series is a histogram */
   uint64_t count;
   uint64_t buckets[ASH_METRICS_BUCKETS];
   UT_hash_handle hh;
@@ -107,13 +107,13 @@
 print_histogram (const struct ash_series *series, const char *name, const char *labels, FILE *out)
 {
   const char *comma = *labels ? "," : "";
-  uint64_t below = 0;
+  uint64_t cumulative = 0;
 
   for (uint32_t i = 0; i < ASH_METRICS_BUCKETS; i++)
     {
-      below += series->buckets[i];
+      cumulative += series->buckets[i];
       fprintf (out, "%s_bucket{%s%sle=\"%" PRIu64 "\"} %" PRIu64 "\n", name, labels, comma,
-               UINT64_C (1) << i, below);
+               UINT64_C (1) << i, cumulative);
     }
   fprintf (out, "%s_bucket{%s%sle=\"+Inf\"} %" PRIu64 "\n", name, labels, comma, series->count);
   fprintf (out, "%s_sum{%s} %" PRIu64 "\n", name, labels, series->value);
--- a/common/metrics.h
+++ b/common/metrics.h
@@ -1,9 +1,10 @@
 /**
  * @file
- * Counters and histograms of this process, printed in the usual text format.
+ * Counters, gauges and histograms of this process, printed in the Prometheus text format.
  *
- * Series are found by name and labels; a fixed bound on their number keeps a
- * caller who invents names from growing the process.
+ * A series is identified by its name and labels. At most ASH_METRICS_SERIES_MAX series are kept;
+ * values for further ones are dropped, so that callers who send ever new names (which become
+ * labels) can't make the process grow.
  */
 #ifndef ASH_METRICS_H
 #define ASH_METRICS_H
@@ -16,7 +17,7 @@
 
 struct ash_series;
 
-/** All series of a process. */
+/** All metric series of a process. */
 struct ash_metrics
 {
   struct ash_series *series;
@@ -26,23 +27,22 @@
 void ash_metrics_init (struct ash_metrics *metrics);
 void ash_metrics_finish (struct ash_metrics *metrics);
 
-/** Adds to a counter. @param labels as `a="b",c="d"`, or empty. */
+/** Adds to a counter. @param labels `a="b",c="d"`, or empty. */
 void ash_metrics_add (struct ash_metrics *metrics,
                       const char *name,
                       const char *labels,
                       uint64_t amount);
 
-/** Sets a gauge. */
 void
 ash_metrics_set (struct ash_metrics *metrics, const char *name, const char *labels, uint64_t value);
 
-/** Counts a duration in a histogram whose buckets double from 1 ms. */
+/** Adds a duration to a histogram; upper bounds of its buckets are 1 ms, 2 ms, 4 ms and so on. */
 void ash_metrics_observe (struct ash_metrics *metrics,
                           const char *name,
                           const char *labels,
                           uint64_t value_ms);
 
-/** Prints all series. */
+/** Prints all series, sorted by name and labels. */
 void ash_metrics_print (struct ash_metrics *metrics, FILE *out);
 
 #endif
--- a/common/random.c
+++ b/common/random.c
@@ -1,7 +1,7 @@
 #include "common/random.h"
 
-/* Not gsl_rng: its smallest generator allocates, and the schedule tests start
- * several hundred thousand of these. */
+/* gsl_rng is not used: even its smallest generator allocates memory, and the schedule tests
+ * initialize several hundred thousand generators. */
 void
 ash_random_init (struct ash_random *random, uint64_t seed)
 {
@@ -23,6 +23,6 @@
 uint32_t
 ash_random_below (struct ash_random *random, uint32_t bound)
 {
-  /* The multiplication keeps the bias under bound / 2^32, enough for choices. */
+  /* Multiply and shift: the bias is below bound / 2^32, small enough for random choices. */
   return (uint32_t) (((ash_random_next (random) >> 32) * bound) >> 32);
 }
