--- a/options/document.c
+++ b/options/document.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Bounds of one document; the platform's own is a megabyte. */
+/* Limits of the contents of a document; the platform limits its size to a megabyte. */
 #define ROWS_MAX 100000
 #define RATE_MAX 1000000
 
@@ -35,44 +35,44 @@
 };
 
 static const struct ash_option service_options[] = {
-  TEXT (ash_service, "name", name, NULL, "what callers call it"),
+  TEXT (ash_service, "name", name, NULL, "the name that callers use"),
   { "kind", ASH_OPTION_CHOICE, offsetof (struct ash_service, kind), "model", 0, 0, service_kinds,
-    NULL, "what stands behind it" },
+    NULL, "kind of its endpoints" },
   { "no_repeat", ASH_OPTION_BOOL, offsetof (struct ash_service, no_repeat), "false", 0, 0, NULL,
-    NULL, "its calls run at most once" },
+    NULL, "its requests run at most once" },
   COUNT (ash_service,
          homes_since_s,
          "0",
          0,
          UINT32_MAX,
          "s",
-         "Unix time at which its set of endpoints last changed; 0 if not stated"),
+         "Unix time at which its set of endpoints last changed; 0: not given"),
   { 0 },
 };
 
 static const struct ash_option endpoint_options[] = {
   TEXT (ash_endpoint, "box", name, NULL, "the box's name"),
-  TEXT (ash_endpoint, "service", service, NULL, "what it serves"),
+  TEXT (ash_endpoint, "service", service, NULL, "the service that it runs"),
   TEXT (ash_endpoint, "hall", hall, NULL, "its failure domain"),
   TEXT (ash_endpoint, "peer", peer, NULL, "IP:PORT of its agent"),
-  COUNT (ash_endpoint, slots, "32", 1, 100000, "requests", "requests it works on at once"),
-  TEXT (ash_endpoint, "group", group, "", "the group that it runs in lock-step with"),
+  COUNT (ash_endpoint, slots, "32", 1, 100000, "requests", "requests it runs at the same time"),
+  TEXT (ash_endpoint, "group", group, "", "the group of engines that it runs in lock-step with"),
   COUNT (ash_endpoint, rank, "0", 0, 63, NULL, "its rank in that group"),
   { "checks_orders", ASH_OPTION_BOOL, offsetof (struct ash_endpoint, checks_orders), "false", 0, 0,
-    NULL, NULL, "its engine checks the fence of an order itself" },
+    NULL, NULL, "its engine rejects orders with an outdated ballot itself" },
   { 0 },
 };
 
 static const struct ash_option group_options[] = {
   TEXT (ash_group, "name", name, NULL, "the group's name"),
-  COUNT (ash_group, experts, NULL, 1, 256, "experts", "of a layer"),
-  COUNT (ash_group, rank_slots, NULL, 1, 64, "slots", "experts that a rank holds"),
-  COUNT (ash_group, moves, "4", 1, 16, "experts", "moved in an interval at most"),
-  COUNT (ash_group, interval_ms, "1000", 100, 3600000, "ms", "between two decisions"),
+  COUNT (ash_group, experts, NULL, 1, 256, "experts", "number of experts in a layer"),
+  COUNT (ash_group, rank_slots, NULL, 1, 64, "slots", "experts that a rank holds in a layer"),
+  COUNT (ash_group, moves, "4", 1, 16, "experts", "experts moved in an interval at most"),
+  COUNT (ash_group, interval_ms, "1000", 100, 3600000, "ms", "time between two decisions"),
   { "skew_weight", ASH_OPTION_NUMBER, offsetof (struct ash_group, skew_weight), "1", 0, 1000, NULL,
-    NULL, "worth of a skew (slowest rank over mean) of one for an interval" },
+    NULL, "benefit of removing a skew (slowest rank over mean) of 1 for an interval" },
   { "cost_weight", ASH_OPTION_NUMBER, offsetof (struct ash_group, cost_weight), "0.1", 0, 1000,
-    NULL, NULL, "price of moving one expert's weights" },
+    NULL, NULL, "cost of moving one expert's weights, in the same unit" },
   { 0 },
 };
 
@@ -81,27 +81,38 @@
   COUNT (
       ash_declared_event, start_s, NULL, 1, UINT32_MAX, "s", "Unix time at which demand arrives"),
   COUNT (ash_declared_event, length_s, "3600", 1, 604800, "s", "how long it lasts"),
-  COUNT (
-      ash_declared_event, lead_s, "60", 0, 86400, "s", "how long before its start it counts as on"),
+  COUNT (ash_declared_event,
+         lead_s,
+         "60",
+         0,
+         86400,
+         "s",
+         "how long before its start it already counts as started"),
   { 0 },
 };
 
 static const struct ash_option reservation_options[] = {
   TEXT (ash_reservation, "name", name, NULL, "the reservation's name"),
-  TEXT (ash_reservation, "event", event, NULL, "the event that it is for"),
-  TEXT (ash_reservation, "account", account, NULL, "whose requests"),
-  TEXT (ash_reservation, "service", service, NULL, "to which service"),
+  TEXT (ash_reservation, "event", event, NULL, "the event for which it is made"),
+  TEXT (ash_reservation, "account", account, NULL, "the account whose requests it is for"),
+  TEXT (ash_reservation, "service", service, NULL, "the service that the requests are for"),
   COUNT (ash_reservation, rate_per_s, NULL, 1, RATE_MAX, "requests/s", "over all entries together"),
-  COUNT (ash_reservation, priority, "0", 0, 15, NULL, "of its requests, instead of their class's"),
+  COUNT (ash_reservation,
+         priority,
+         "0",
+         0,
+         15,
+         NULL,
+         "priority of its requests, instead of that of their class"),
   { 0 },
 };
 
 static const struct ash_option profile_options[] = {
   TEXT (ash_profile, "name", name, NULL, "the profile's name"),
-  TEXT (ash_profile, "event", event, NULL, "the event in which experts are so popular"),
+  TEXT (ash_profile, "event", event, NULL, "the event during which these loads are expected"),
   TEXT (ash_profile, "group", group, NULL, "the group of ranks"),
   { "loads", ASH_OPTION_TEXT, offsetof (struct ash_profile, loads), NULL, 0, ASH_PROFILE_BYTES,
-    NULL, NULL, "relative load of each expert, whole numbers with commas" },
+    NULL, NULL, "relative load of each expert: integers, separated by commas" },
   { 0 },
 };
 
@@ -114,16 +125,23 @@
 static const struct ash_option account_options[] = {
   TEXT (ash_account, "name", name, NULL, "the account's name"),
   { "key_hash", ASH_OPTION_HEX, offsetof (struct ash_account, key_hash), NULL, 0,
-    ASH_KEY_HASH_BYTES, NULL, NULL, "BLAKE2b-256 of its bearer key, in hex" },
+    ASH_KEY_HASH_BYTES, NULL, NULL, "BLAKE2b-256 hash of its bearer key, in hex" },
   TEXT (ash_account, "class", class_name, NULL, "its class"),
   COUNT (ash_account, rate_per_s, "100", 1, RATE_MAX, "requests/s", "over all entries together"),
+  COUNT (ash_account,
+         burst,
+         "100",
+         1,
+         RATE_MAX,
+         "requests",
+         "requests above the rate that may come at once, over all entries together"),
   COUNT (
-      ash_account, burst, "100", 1, RATE_MAX, "requests", "above the rate, all entries together"),
-  COUNT (ash_account, entries, "3", 1, 1000, "entries", "how many entries it is spread over"),
+      ash_account, entries, "3", 1, 1000, "entries", "number of entries that share its requests"),
   { 0 },
 };
 
-/* Reads `[[key]]` into a new array of rows of row_bytes. */
+/* Reads the array of tables `[[key]]` into a new array of structs of row_bytes each. @return the
+ * array, owned by the caller, or NULL if the key is missing or has the wrong type. */
 static void *
 read_rows (struct ash_node *root,
            const char *key,
@@ -174,7 +192,7 @@
   return rows;
 }
 
-/* Groups the endpoints by service, by counting. Names were checked before. */
+/* Builds by_service. The names of services are known to be unique here. */
 static void
 index_endpoints (struct ash_document *document)
 {
--- a/options/document.h
+++ b/options/document.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * The published configuration: what the platform holds and every box has in
- * force. Read from TOML or JSON, checked as a whole; a document with findings
- * is refused alike by every box.
+ * The published configuration document: the platform stores it, and every box uses it. It is read
+ * from TOML or JSON and checked as a whole; every box rejects a document with findings, all with
+ * the same result.
  */
 #ifndef ASH_DOCUMENT_H
 #define ASH_DOCUMENT_H
@@ -10,22 +10,22 @@
 #include "common/id.h"
 #include "options/option.h"
 
-/** A value of the platform's service holds at most this. */
+/** Largest value that the platform's configuration service stores. */
 #define ASH_DOCUMENT_MAX_BYTES (1024 * 1024)
 
 /*
- * Every row of the document begins with its name and the line that it was read
- * from; the checks that are the same for all rows rely on it.
+ * Each struct for a row of the document (one table of an array of tables) begins with the row's
+ * name and the line that it was read from, like struct ash_row; the common checks rely on it.
  */
 
-/** What stands behind a service. */
+/** Kind of a service's endpoints. */
 enum ash_service_kind
 {
-  ASH_SERVICE_MODEL, /**< model engines, the completions calls */
+  ASH_SERVICE_MODEL, /**< model engines, called by /v1/chat/completions */
   ASH_SERVICE_PLAIN, /**< any HTTP service, /v1/services/NAME/PATH */
 };
 
-/** A failure domain. */
+/** A failure domain (zone). */
 struct ash_hall
 {
   char name[ASH_NAME_BYTES];
@@ -42,19 +42,19 @@
   char peer[ASH_NAME_BYTES];
 };
 
-/** A service that callers name. */
+/** A service that callers can request. */
 struct ash_service
 {
   char name[ASH_NAME_BYTES];
   uint32_t line;
   int kind;
-  bool no_repeat;          /**< its calls run at most once */
-  uint32_t homes_since_s;  /**< when its endpoints last changed, Unix time; 0: not stated */
-  uint32_t endpoint_first; /**< its part of ash_document.by_service */
+  bool no_repeat;          /**< its requests run at most once */
+  uint32_t homes_since_s;  /**< Unix time at which its set of endpoints changed; 0: not given */
+  uint32_t endpoint_first; /**< index of its first element in ash_document.by_service */
   uint32_t endpoint_count;
 };
 
-/** A server of one service, with the box's agent before it. */
+/** A back end of one service; the agent on the same box forwards its requests. */
 struct ash_endpoint
 {
   char name[ASH_NAME_BYTES];
@@ -63,26 +63,26 @@
   char hall[ASH_NAME_BYTES];
   char peer[ASH_NAME_BYTES];
   uint32_t slots;
-  char group[ASH_NAME_BYTES]; /**< that it runs in lock-step with; may be empty */
-  uint32_t rank;              /**< in that group */
-  bool checks_orders;         /**< its engine checks who gives it an order */
+  char group[ASH_NAME_BYTES]; /**< group of engines that it runs in lock-step with; may be empty */
+  uint32_t rank;              /**< its rank in that group */
+  bool checks_orders;         /**< its engine rejects orders with an outdated ballot itself */
 };
 
-/** Engines that run in lock-step on an expert map. */
+/** A group of engines that run in lock-step with a common expert map. */
 struct ash_group
 {
   char name[ASH_NAME_BYTES];
   uint32_t line;
-  uint32_t experts;    /**< of a layer */
-  uint32_t rank_slots; /**< experts that a rank holds */
-  uint32_t moves;      /**< experts moved an interval at most: the weight store's rate */
+  uint32_t experts;    /**< number of experts in a layer */
+  uint32_t rank_slots; /**< experts that a rank holds in a layer */
+  uint32_t moves;      /**< most experts moved in an interval, limited by the weight store's rate */
   uint32_t interval_ms;
   double skew_weight;
   double cost_weight;
   uint32_t rank_count; /**< counted from the endpoints */
 };
 
-/** A class of accounts: how urgent, and how counted in the metrics. */
+/** A class of accounts: gives their requests a priority and is a label in the metrics. */
 struct ash_class
 {
   char name[ASH_NAME_BYTES];
@@ -90,7 +90,7 @@
   uint32_t priority; /**< 0 is the highest */
 };
 
-/** A client account. */
+/** An account (customer, tenant). */
 struct ash_account
 {
   char name[ASH_NAME_BYTES];
@@ -100,20 +100,21 @@
   uint32_t class_index;
   uint32_t rate_per_s;
   uint32_t burst;
-  uint32_t entries; /**< how many entries it is spread over */
+  uint32_t entries; /**< number of entries that share its requests */
 };
 
-/** Demand that an operator has declared. */
+/** A period of high demand that an operator has declared in advance. */
 struct ash_declared_event
 {
   char name[ASH_NAME_BYTES];
   uint32_t line;
   uint32_t start_s; /**< Unix time */
   uint32_t length_s;
-  uint32_t lead_s; /**< so long before its start it counts as on */
+  uint32_t lead_s; /**< how long before its start the event already counts as started */
 };
 
-/** An account's part in an event: so much is served above its limit, and first. */
+/** A rate that is reserved for an account during an event: its requests up to that rate are served
+ * above the account's limit and with their own priority. */
 struct ash_reservation
 {
   char name[ASH_NAME_BYTES];
@@ -125,29 +126,29 @@
   uint32_t priority;
 };
 
-/** Experts of a group at most, as controllers/expert_policy has it. */
+/** Most experts of a group; the same as in controllers/expert_policy. */
 #define ASH_PROFILE_EXPERTS_MAX 256
 #define ASH_PROFILE_BYTES 2048
 
-/** How popular a group's experts are expected to be in an event. */
+/** Expected loads of a group's experts during an event. */
 struct ash_profile
 {
   char name[ASH_NAME_BYTES];
   uint32_t line;
   char event[ASH_NAME_BYTES];
   char group[ASH_NAME_BYTES];
-  char loads[ASH_PROFILE_BYTES]; /**< of each expert, whole numbers with commas */
+  char loads[ASH_PROFILE_BYTES]; /**< load of each expert: integers, separated by commas */
 };
 
-/** Reads a profile's loads. @return how many there are; 0 if they can't be read. */
+/** Parses a profile's loads. @return the number of loads; 0 if the text is invalid. */
 uint32_t ash_profile_loads (const struct ash_profile *profile,
                             double loads[ASH_PROFILE_EXPERTS_MAX]);
 
-/** The document. Arrays are owned by it. */
+/** A published document. It owns its arrays. */
 struct ash_document
 {
   uint64_t revision;
-  uint64_t digest; /**< of the text */
+  uint64_t digest; /**< XXH3 hash of the text */
   struct ash_hall *halls;
   uint32_t hall_count;
   struct ash_entry_box *entries;
@@ -163,7 +164,7 @@
   uint32_t class_count;
   struct ash_account *accounts;
   uint32_t account_count;
-  uint32_t *account_slots; /**< open hash table over key_hash: index + 1 */
+  uint32_t *account_slots; /**< hash table over key_hash, open addressing: index + 1; 0: empty */
   uint32_t account_slot_count;
   struct ash_declared_event *events;
   uint32_t event_count;
@@ -173,22 +174,22 @@
   uint32_t profile_count;
 };
 
-/** Reads and checks a document; it counts only if no finding was added. */
+/** Reads and checks a document. It is valid only if no finding was added; in any case it must be
+ * freed with ash_document_finish(). */
 void ash_document_init (struct ash_document *document,
                         uint64_t revision,
                         const char *text,
                         size_t text_bytes,
                         struct ash_findings *findings);
 
-/** Frees what it holds. */
 void ash_document_finish (struct ash_document *document);
 
-/** @return the service's endpoint number @p i, below its endpoint_count. */
+/** @return endpoint @p i of the service; @p i is below its endpoint_count. */
 const struct ash_endpoint *ash_document_service_endpoint (const struct ash_document *document,
                                                           const struct ash_service *service,
                                                           uint32_t i);
 
-/** @return the named part, or NULL. */
+/** @return the row with that name, owned by the document, or NULL. */
 const struct ash_service *ash_document_service (const struct ash_document *document,
                                                 const char *name);
 const struct ash_endpoint *ash_document_endpoint (const struct ash_document *document,
@@ -207,17 +208,18 @@
                                                        const uint8_t key_hash[ASH_KEY_HASH_BYTES]);
 
 /**
- * The home of a key: rendezvous hashing over the endpoints *declared* for the
- * service, not those that happen to be alive, on which entries disagree.
+ * Finds the home of a request id by rendezvous hashing over the endpoints that the document
+ * declares for the service. Whether an endpoint is reachable is ignored, because entries can
+ * disagree on it.
  * @return NULL if the service has no endpoint.
  */
 const struct ash_endpoint *
 ash_document_home (const struct ash_document *document, const char *service, struct ash_id id);
 
 /**
- * Whether an entry is one of those that the account is spread over, by
- * rendezvous hashing over the published entries.
- * @return its rank among them, from 0, or -1 if it is none.
+ * Finds out whether an entry is one of the entries that share an account's requests; they are
+ * chosen by rendezvous hashing over the published entries.
+ * @return the entry's rank among them, from 0, or -1 if it is not one of them.
  */
 int32_t ash_document_entry_rank (const struct ash_document *document,
                                  const struct ash_account *account,
--- a/options/document_check.c
+++ b/options/document_check.c
@@ -4,8 +4,8 @@
 
 #include <stdlib.h>
 
-/* Names of one kind must differ. A table of hashes keeps this linear: 44,000
- * accounts are checked at every change. */
+/* The names of all rows of one kind must differ. A hash table keeps the check linear: up to 44,000
+ * accounts are checked at each change of the document. */
 static void
 check_names (const void *rows,
              uint32_t count,
@@ -92,8 +92,8 @@
     }
 }
 
-/* The ranks of a group must be 0 to one less than its endpoints, each once, and
- * all experts must have a slot. */
+/* The endpoints of a group must have the ranks 0 to rank_count - 1, each once, and together must
+ * have a slot for each expert. */
 static void
 check_groups (struct ash_document *document, struct ash_findings *findings)
 {
--- a/options/document_find.c
+++ b/options/document_find.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * Finding things in a published document, homes and entries of accounts included.
+ * Look-ups in a published document: rows by name, accounts by key, homes of requests, and the
+ * entries that share an account.
  */
 #include "options/document.h"
 #include "options/document_check.h"
--- a/options/intent.c
+++ b/options/intent.c
@@ -53,7 +53,7 @@
   return name ? name : json_string_value (json_object_get (row, "box"));
 }
 
-/* @return the index of the row of that name, or the array's size. */
+/* @return the index of the row with that name, or the array's size if there is none. */
 static size_t
 find_row (const json_t *rows, const char *name)
 {
@@ -106,16 +106,16 @@
            struct ash_findings *findings)
 {
   const char *name = row_name (wanted);
-  size_t at;
+  size_t index;
 
   if (!name)
     {
       ash_findings_add (findings, 0, kind, "a row without a name");
       return;
     }
-  at = find_row (rows, name);
-  if (at < json_array_size (rows))
-    update_row (plan, kind, json_array_get (rows, at), wanted);
+  index = find_row (rows, name);
+  if (index < json_array_size (rows))
+    update_row (plan, kind, json_array_get (rows, index), wanted);
   else
     {
       json_array_append (rows, wanted);
@@ -129,7 +129,7 @@
   const char *blank = what ? strchr (what, ' ') : NULL;
   char kind[32];
   json_t *rows;
-  size_t at;
+  size_t index;
 
   if (!blank || (size_t) (blank - what) >= sizeof kind)
     {
@@ -139,13 +139,13 @@
   memcpy (kind, what, (size_t) (blank - what));
   kind[blank - what] = '\0';
   rows = json_object_get (plan->document, kind);
-  at = find_row (rows, blank + 1);
-  if (at == json_array_size (rows))
+  index = find_row (rows, blank + 1);
+  if (index == json_array_size (rows))
     {
       ash_findings_add (findings, 0, REMOVE_KEY, "there is no %s '%s'", kind, blank + 1);
       return;
     }
-  json_array_remove (rows, at);
+  json_array_remove (rows, index);
   add_change (plan->changes, kind, blank + 1, "removed", json_array ());
 }
 
@@ -170,7 +170,7 @@
     apply_row (plan, kind, rows, row, findings);
 }
 
-/* ---- homes ---- */
+/* ---- homes_since_s ---- */
 
 static json_t *
 service_boxes (const json_t *document, const char *service)
@@ -251,7 +251,7 @@
 
 /* ---- differences ---- */
 
-/* Keys of a row that are in only one of both, or differ. */
+/* @return the keys whose values differ, and keys that only one of the rows has. */
 static json_t *
 changed_keys (json_t *before, json_t *after)
 {
--- a/options/intent.h
+++ b/options/intent.h
@@ -1,11 +1,10 @@
 /**
  * @file
- * From what an operator wants to the document that would bring it about. Nothing
- * is changed here: a plan is shown, confirmed, and published by the operator.
+ * Applies an operator's intent to a published document. This only computes a plan; the operator
+ * reviews, confirms and publishes it.
  *
- * An intent is a piece of a published document: its rows are added, or change the
- * row of the same kind and name, key by key. `remove = ["endpoint model-3"]` takes
- * rows away.
+ * An intent is a partial document. Each of its rows is added, or overwrites single keys of the row
+ * with the same kind and name. `remove = ["endpoint model-3"]` removes rows.
  */
 #ifndef ASH_INTENT_H
 #define ASH_INTENT_H
@@ -16,18 +15,17 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** What an intent comes to. */
+/** The result of an intent. */
 struct ash_plan
 {
-  json_t *document; /**< the whole document as it would be published */
-  json_t *changes;  /**< one object a changed row: kind, name, change, keys */
+  json_t *document; /**< the complete document to publish */
+  json_t *changes;  /**< an object for each changed row: kind, name, change, keys */
 };
 
 /**
- * Works out a plan. Whether its document can be accepted is for
- * ash_document_init() to say.
- * @param unix_s now: a service whose set of endpoints changes gets it as its
- * homes_since_s, so that nobody has to remember that.
+ * Computes a plan. It does not check the resulting document; ash_document_init() does.
+ * @param unix_s current Unix time in seconds. It is stored as homes_since_s of each service whose
+ * set of endpoints changes, so that operators need not set it.
  */
 void ash_plan_init (struct ash_plan *plan,
                     const char *base,
@@ -41,8 +39,8 @@
 
 /**
  * Compares two documents row by row.
- * @return a new array like a plan's changes, from @p before to @p after; NULL with
- * findings if one can't be read.
+ * @return a new array of the changes from @p before to @p after, in the form of ash_plan.changes;
+ * NULL with findings if one of the documents can't be read.
  */
 json_t *ash_plan_diff (const char *before,
                        size_t before_bytes,
