--- a/options/option.c
+++ b/options/option.c
@@ -16,13 +16,13 @@
 };
 
 static void
-store_number (const struct option_context *option_context, double value, void *field)
+store_number (const struct option_context *context, double value, void *field)
 {
-  const struct ash_option *option = option_context->option;
+  const struct ash_option *option = context->option;
 
   if (!(value >= option->min && value <= option->max))
     {
-      ash_findings_add (option_context->findings, option_context->line, option_context->key_path,
+      ash_findings_add (context->findings, context->line, context->key_path,
                         "%g is outside %g to %g%s%s", value, option->min, option->max,
                         option->unit ? " " : "", option->unit ? option->unit : "");
       return;
@@ -36,113 +36,113 @@
 }
 
 static void
-store_text (const struct option_context *option_context, const char *value, void *field)
+store_text (const struct option_context *context, const char *value, void *field)
 {
-  if (strlen (value) >= (size_t) option_context->option->max)
-    ash_findings_add (option_context->findings, option_context->line, option_context->key_path,
-                      "longer than %g characters", option_context->option->max - 1);
+  if (strlen (value) >= (size_t) context->option->max)
+    ash_findings_add (context->findings, context->line, context->key_path,
+                      "longer than %g characters", context->option->max - 1);
   else
     strcpy (field, value);
 }
 
 static void
-store_hex (const struct option_context *option_context, const char *value, void *field)
+store_hex (const struct option_context *context, const char *value, void *field)
 {
-  if (!ash_hex_decode (value, field, (size_t) option_context->option->max))
-    ash_findings_add (option_context->findings, option_context->line, option_context->key_path,
-                      "must be %g hex digits", 2 * option_context->option->max);
+  if (!ash_hex_decode (value, field, (size_t) context->option->max))
+    ash_findings_add (context->findings, context->line, context->key_path, "must be %g hex digits",
+                      2 * context->option->max);
 }
 
 static void
-store_choice (const struct option_context *option_context, const char *value, void *field)
+store_choice (const struct option_context *context, const char *value, void *field)
 {
-  char known[160] = "";
+  char allowed[160] = "";
 
-  for (int i = 0; option_context->option->choices[i]; i++)
+  for (int i = 0; context->option->choices[i]; i++)
     {
-      if (strcmp (value, option_context->option->choices[i]) == 0)
+      if (strcmp (value, context->option->choices[i]) == 0)
         {
           *(int *) field = i;
           return;
         }
-      strncat (known, i ? ", " : "", sizeof known - strlen (known) - 1);
-      strncat (known, option_context->option->choices[i], sizeof known - strlen (known) - 1);
+      strncat (allowed, i ? ", " : "", sizeof allowed - strlen (allowed) - 1);
+      strncat (allowed, context->option->choices[i], sizeof allowed - strlen (allowed) - 1);
     }
-  ash_findings_add (option_context->findings, option_context->line, option_context->key_path,
-                    "'%s' is none of %s", value, known);
+  ash_findings_add (context->findings, context->line, context->key_path, "'%s' is none of %s",
+                    value, allowed);
 }
 
 static void
-store_default (const struct option_context *option_context, void *field)
+store_default (const struct option_context *context, void *field)
 {
-  const char *text = option_context->option->default_value;
+  const char *text = context->option->default_value;
 
-  switch (option_context->option->type)
+  switch (context->option->type)
     {
     case ASH_OPTION_TEXT:
-      store_text (option_context, text, field);
+      store_text (context, text, field);
       break;
     case ASH_OPTION_HEX:
-      store_hex (option_context, text, field);
+      store_hex (context, text, field);
       break;
     case ASH_OPTION_UINT:
     case ASH_OPTION_NUMBER:
     case ASH_OPTION_SECONDS:
-      store_number (option_context, strtod (text, NULL), field);
+      store_number (context, strtod (text, NULL), field);
       break;
     case ASH_OPTION_BOOL:
       *(bool *) field = strcmp (text, "true") == 0;
       break;
     case ASH_OPTION_CHOICE:
-      store_choice (option_context, text, field);
+      store_choice (context, text, field);
       break;
     }
 }
 
 static bool
-check_kind (const struct option_context *option_context,
+check_kind (const struct option_context *context,
             const struct ash_node *node,
             enum ash_node_kind wanted)
 {
   if (node->kind == wanted)
     return true;
-  ash_findings_add (option_context->findings, option_context->line, option_context->key_path,
+  ash_findings_add (context->findings, context->line, context->key_path,
                     "expected a %s, found a %s", ash_node_kind_name (wanted),
                     ash_node_kind_name (node->kind));
   return false;
 }
 
 static void
-store_node (const struct option_context *option_context, const struct ash_node *node, void *field)
+store_node (const struct option_context *context, const struct ash_node *node, void *field)
 {
-  switch (option_context->option->type)
+  switch (context->option->type)
     {
     case ASH_OPTION_TEXT:
-      if (check_kind (option_context, node, ASH_NODE_STRING))
-        store_text (option_context, node->string, field);
+      if (check_kind (context, node, ASH_NODE_STRING))
+        store_text (context, node->string, field);
       break;
     case ASH_OPTION_HEX:
-      if (check_kind (option_context, node, ASH_NODE_STRING))
-        store_hex (option_context, node->string, field);
+      if (check_kind (context, node, ASH_NODE_STRING))
+        store_hex (context, node->string, field);
       break;
     case ASH_OPTION_UINT:
-      if (check_kind (option_context, node, ASH_NODE_INTEGER))
-        store_number (option_context, (double) node->integer, field);
+      if (check_kind (context, node, ASH_NODE_INTEGER))
+        store_number (context, (double) node->integer, field);
       break;
     case ASH_OPTION_NUMBER:
     case ASH_OPTION_SECONDS:
       if (node->kind == ASH_NODE_INTEGER)
-        store_number (option_context, (double) node->integer, field);
-      else if (check_kind (option_context, node, ASH_NODE_FLOAT))
-        store_number (option_context, node->number, field);
+        store_number (context, (double) node->integer, field);
+      else if (check_kind (context, node, ASH_NODE_FLOAT))
+        store_number (context, node->number, field);
       break;
     case ASH_OPTION_BOOL:
-      if (check_kind (option_context, node, ASH_NODE_BOOL))
+      if (check_kind (context, node, ASH_NODE_BOOL))
         *(bool *) field = node->boolean;
       break;
     case ASH_OPTION_CHOICE:
-      if (check_kind (option_context, node, ASH_NODE_STRING))
-        store_choice (option_context, node->string, field);
+      if (check_kind (context, node, ASH_NODE_STRING))
+        store_choice (context, node->string, field);
       break;
     }
 }
@@ -156,22 +156,22 @@
 {
   for (const struct ash_option *option = options; option->key; option++)
     {
-      struct option_context option_context = { .option = option,
-                                               .line = table->line,
-                                               .findings = findings };
+      struct option_context context = { .option = option,
+                                        .line = table->line,
+                                        .findings = findings };
       struct ash_node *node = ash_node_get (table, option->key);
       void *field = (char *) target + option->offset;
 
-      snprintf (option_context.key_path, sizeof option_context.key_path, "%s%s%s", key_path,
-                *key_path ? "." : "", option->key);
+      snprintf (context.key_path, sizeof context.key_path, "%s%s%s", key_path, *key_path ? "." : "",
+                option->key);
       if (node)
-        option_context.line = node->line;
+        context.line = node->line;
       if (node)
-        store_node (&option_context, node, field);
+        store_node (&context, node, field);
       else if (option->default_value)
-        store_default (&option_context, field);
+        store_default (&context, field);
       else
-        ash_findings_add (findings, table->line, option_context.key_path, "must be given");
+        ash_findings_add (findings, table->line, context.key_path, "must be given");
     }
 }
 
--- a/options/option.h
+++ b/options/option.h
@@ -1,8 +1,7 @@
 /**
  * @file
- * Options as one declarative table: key, type, key_path in a struct, range,
- * default, unit and help. Reading a table of the file against it gives all
- * findings at once, unknown keys included.
+ * Declarative tables of options: key, type, offset in a struct, range, default, unit and help
+ * text. All errors of a file are reported at once, including unknown keys.
  */
 #ifndef ASH_OPTION_H
 #define ASH_OPTION_H
@@ -13,13 +12,13 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Bytes of a text setting, the closing zero included. */
+/** Bytes of a text setting, including the terminating zero. */
 #define ASH_OPTION_TEXT_BYTES 128
 
-/** Bytes of a name in a published document, the closing zero included. */
+/** Bytes of a name in a published document, including the terminating zero. */
 #define ASH_NAME_BYTES 40
 
-/** How an option is stored. */
+/** Type of an option, and of the struct member that it is stored in. */
 enum ash_option_type
 {
   ASH_OPTION_TEXT,    /**< char[max] */
@@ -28,28 +27,28 @@
   ASH_OPTION_BOOL,    /**< bool */
   ASH_OPTION_CHOICE,  /**< int: index into choices */
   ASH_OPTION_NUMBER,  /**< double in [min, max] */
-  ASH_OPTION_SECONDS, /**< uint32_t of milliseconds; given, and bounded, in seconds and fractions */
+  ASH_OPTION_SECONDS, /**< uint32_t in milliseconds; the file, min and max have seconds with
+                         decimals */
 };
 
-/** One option. */
 struct ash_option
 {
-  const char *key; /**< NULL ends a table */
+  const char *key; /**< NULL in the last row of a table */
   enum ash_option_type type;
-  size_t offset;
-  const char *default_value; /**< default as text; NULL: the key must be given */
+  size_t offset;             /**< of the member in the target struct */
+  const char *default_value; /**< as text; NULL: the key is required */
   double min;
   double max;
-  const char *const *choices; /**< ends with NULL */
+  const char *const *choices; /**< terminated by NULL */
   const char *unit;
   const char *help;
 };
 
 /**
- * Fills @p target from @p table, with defaults for what is missing.
- * @param key_path path of the table, for findings; empty for the file itself.
- * Keys that no option names are reported by ash_node_report_unused(), so that
- * several tables of options can read one table of the file.
+ * Sets the members of @p target from @p table, and those of missing keys to their defaults.
+ * Several option tables can be read from the same table of a file; unknown keys are therefore
+ * reported by ash_node_report_unused(), to be called after the last of them.
+ * @param key_path path of @p table, for findings; empty for the top level.
  */
 void ash_options_read (const struct ash_option *options,
                        struct ash_node *table,
@@ -57,7 +56,7 @@
                        void *target,
                        struct ash_findings *findings);
 
-/** Prints key, unit, range, default and help, a line each. */
+/** Prints for each option a line with key, range, unit and default, and a line of help text. */
 void ash_options_print_help (const struct ash_option *options, FILE *out);
 
 #endif
--- a/options/router_settings.h
+++ b/options/router_settings.h
@@ -1,17 +1,18 @@
 /**
  * @file
- * The settings of a router: an entry that sends requests straight to endpoints.
- * Read at the start, and again when the file is said to have changed.
+ * Settings of a router: an entry that sends requests directly to endpoints. Read at the start of
+ * the process, and again when a signal requests a reload.
  */
 #ifndef ASH_ROUTER_SETTINGS_H
 #define ASH_ROUTER_SETTINGS_H
 
 #include "options/option.h"
 
-/** Addresses of other routers that a new process may ask first. */
+/** Most addresses of other routers that a new process can contact first. */
 #define ASH_ROUTER_SEEDS_MAX 16
 
-/** Times in milliseconds unless said otherwise. */
+/** Settings of a router. Each member has the name of its key; `_ms` members of keys in seconds
+ * (`_s`) are converted to milliseconds. */
 struct ash_router_settings
 {
   char box[ASH_OPTION_TEXT_BYTES];
@@ -54,15 +55,15 @@
   uint32_t seed_count;
 };
 
-/** The table of all options, for help and docs. */
+/** All options, for reading, help output and documentation. */
 extern const struct ash_option ash_router_options[];
 
-/** Reads a file; one that can't be read is a finding too. */
+/** Reads and checks a file; adds a finding if it can't be read. */
 void ash_router_settings_read_file (struct ash_router_settings *settings,
                                     const char *path,
                                     struct ash_findings *findings);
 
-/** Reads and checks a TOML text; the settings count only without findings. */
+/** Reads and checks settings in TOML; they are valid only if no finding was added. */
 void ash_router_settings_read (struct ash_router_settings *settings,
                                const char *text,
                                size_t text_bytes,
--- a/options/settings.h
+++ b/options/settings.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The settings of one daemon: who it is, where it listens, whom it asks, and
- * its time-outs. Read once at the start.
+ * Settings of a daemon: its name and role, addresses, time-outs and limits. Read once at the start
+ * of the process.
  */
 #ifndef ASH_SETTINGS_H
 #define ASH_SETTINGS_H
@@ -9,17 +9,16 @@
 #include "options/option.h"
 #include "options/settings_file.h"
 
-/** Addresses of other boxes that a new process may ask first. */
+/** Most addresses of other boxes that a new process can contact first. */
 #define ASH_SETTINGS_PEERS_MAX 16
 
-/** What a daemon does on its box. */
 enum ash_settings_role
 {
   ASH_SETTINGS_ENTRY,
   ASH_SETTINGS_ENDPOINT,
 };
 
-/** How an entry chooses an endpoint. All but the first are for comparison. */
+/** How an entry chooses an endpoint. All but ASH_ROUTE_TWO_CHOICES are for comparison. */
 enum ash_settings_route
 {
   ASH_ROUTE_TWO_CHOICES,
@@ -28,7 +27,7 @@
   ASH_ROUTE_LEAST_REPORTED,
 };
 
-/** The settings of a daemon; times in milliseconds. */
+/** Settings of a daemon. Each member has the name of its key. */
 struct ash_settings
 {
   char box[ASH_OPTION_TEXT_BYTES];
@@ -81,19 +80,19 @@
   uint32_t peer_count;
 };
 
-/** The table of all options, for help and docs. */
+/** All options, for reading, help output and documentation. */
 extern const struct ash_option ash_settings_options[];
 
-/** Fills @p settings with the defaults, as an empty file would. */
+/** Sets all members to their defaults. */
 void ash_settings_init (struct ash_settings *settings);
 
-/** Reads and checks a TOML text; the settings count only without findings. */
+/** Reads and checks settings in TOML; they are valid only if no finding was added. */
 void ash_settings_read (struct ash_settings *settings,
                         const char *text,
                         size_t text_bytes,
                         struct ash_findings *findings);
 
-/** Reads a file; a file that can't be read is a finding too. */
+/** Reads and checks a file; adds a finding if it can't be read. */
 void ash_settings_read_file (struct ash_settings *settings,
                              const char *path,
                              struct ash_findings *findings);
--- a/options/toml.cc
+++ b/options/toml.cc
@@ -1,5 +1,5 @@
-// The one C++ file: Debian has no C library for TOML, so toml++ is used behind
-// ash_node_read_toml(). No exception leaves this file.
+// The only C++ file: Debian has no C library for TOML, so ash_node_read_toml()
+// wraps toml++. No exception leaves this file.
 #include <toml++/toml.h>
 
 #include <string>
@@ -43,8 +43,8 @@
     ash_node_add (parent, ASH_NODE_BOOL, key, line)->boolean = boolean->get ();
   else
     {
-      // Dates and times: no key of ours takes them, so the kind is reported as
-      // a string that no check accepts.
+      // No option has a date or time as its value; pass on a string that the
+      // checks of the options reject.
       ash_node_add (parent, ASH_NODE_STRING, key, line)->string = strdup ("(date or time)");
     }
 }
