--- a/cli/ashctl.c
+++ b/cli/ashctl.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * ashctl: the command-line tool of operators and testers.
+ * ashctl, the command-line client for operators and testers.
  */
 #include "cli/send.h"
 #include "cli/trace.h"
@@ -16,12 +16,12 @@
 
 #define FILE_MAX_BYTES (2 * 1024 * 1024)
 
-/* A command and its arguments: a trace takes the logs of a whole fleet. */
+/* Most arguments, including the command; `trace` takes the log files of a whole fleet. */
 #define POSITIONAL_MAX 512
 
 const char *argp_program_version = "ashctl " ASH_VERSION;
 
-/* Documented in docs/OPERATIONS.md. */
+/* Exit status, documented in docs/OPERATIONS.md. */
 enum exit_code
 {
   EXIT_OK = 0,
@@ -62,17 +62,19 @@
 };
 
 static const struct argp_option argp_options[] = {
-  { "entry", 'e', "URL", 0, "any entry (ASHCTL_ENTRY, else http://127.0.0.1:8080)", 0 },
-  { "key", 'k', "KEY", 0, "the account's bearer key (ASHCTL_KEY)", 0 },
-  { "account", 'a', "NAME", 0, "the account (ASHCTL_ACCOUNT)", 0 },
+  { "entry", 'e', "URL", 0, "URL of any entry (default: ASHCTL_ENTRY, or http://127.0.0.1:8080)",
+    0 },
+  { "key", 'k', "KEY", 0, "bearer key of the account (default: ASHCTL_KEY)", 0 },
+  { "account", 'a', "NAME", 0, "name of the account (default: ASHCTL_ACCOUNT)", 0 },
   { "json", KEY_JSON, NULL, 0, "print one JSON object", 0 },
-  { "stream", KEY_STREAM, NULL, 0, "chat: print the answer as it comes", 0 },
-  { "max-tokens", KEY_TOKENS, "N", 0, "chat: length of the answer", 0 },
-  { "data", KEY_DATA, "TEXT", 0, "call: the body", 0 },
-  { "method", KEY_METHOD, "METHOD", 0, "call: GET, or POST with a body", 0 },
+  { "stream", KEY_STREAM, NULL, 0, "chat: print the answer while it is received", 0 },
+  { "max-tokens", KEY_TOKENS, "N", 0, "chat: maximum length of the answer", 0 },
+  { "data", KEY_DATA, "TEXT", 0, "call: request body", 0 },
+  { "method", KEY_METHOD, "METHOD", 0, "call: HTTP method (default: GET, or POST with a body)", 0 },
   { "no-repeat", KEY_NO_REPEAT, NULL, 0, "run at most once", 0 },
-  { "idempotency-key", KEY_IDEMPOTENCY, "KEY", 0, "names the request over several submissions", 0 },
-  { "deadline-ms", KEY_DEADLINE, "MS", 0, "when an answer is of no use any more", 0 },
+  { "idempotency-key", KEY_IDEMPOTENCY, "KEY", 0,
+    "identifies the request when it is submitted again", 0 },
+  { "deadline-ms", KEY_DEADLINE, "MS", 0, "deadline of the request", 0 },
   { 0 },
 };
 
@@ -80,20 +82,21 @@
     "Commands:\n"
     "  chat MODEL TEXT         send a chat completion\n"
     "  call SERVICE PATH       call a plain service\n"
-    "  addresses SERVICE       the entries to use for the account\n"
-    "  mint SERVICE            a key for a request that may not be repeated\n"
-    "  plan INTENT.toml        what an intent would change; prints the plan\n"
-    "  confirm PLAN.json       the document to publish, if the base still stands\n"
-    "  diff DOCUMENT           how a document differs from what is in force\n"
-    "  explain group NAME      what was decided on a group's expert map, and why\n"
-    "  explain request ID      what became of a request, by Ash-Request-Id\n"
-    "  trace ID [LOG...]       a request's lines in logs (or standard input), and why it ended so\n"
-    "  drain BOX               that box takes no new work until it restarts\n"
-    "  events                  the declared events and where each stands\n"
-    "  status                  what an entry knows of the fleet\n"
-    "  hash KEY                a bearer key's hash, for the published configuration\n"
-    "\vExit status: 0 done; 1 not run; 2 wrong usage; 3 unknown whether it ran; 4 it ran, the "
-    "answer is not whole; 5 no entry answers.";
+    "  addresses SERVICE       print the entries to use for the account\n"
+    "  mint SERVICE            print a key for a request that must not be repeated\n"
+    "  plan INTENT.toml        show what an intent would change, and print the plan\n"
+    "  confirm PLAN.json       print the document to publish, if the plan's base is still active\n"
+    "  diff DOCUMENT           compare a document with the active one\n"
+    "  explain group NAME      show decisions on a group's expert map, and their reasons\n"
+    "  explain request ID      show the state or outcome of a request, by Ash-Request-Id\n"
+    "  trace ID [LOG...]       print a request's lines in logs (or standard input) and how it "
+    "ended\n"
+    "  drain BOX               make a box refuse new work until it restarts\n"
+    "  events                  show the declared events and their states\n"
+    "  status                  show what an entry knows about the fleet\n"
+    "  hash KEY                print the hash of a bearer key, for the published configuration\n"
+    "\vExit status: 0 success; 1 the request did not run; 2 wrong usage; 3 unknown whether it ran; "
+    "4 it ran, but the answer is incomplete; 5 no entry answers.";
 
 static unsigned
 parse_number (const char *text, struct argp_state *state)
@@ -102,7 +105,7 @@
   unsigned long number = strtoul (text, &end, 10);
 
   if (end == text || *end || *text == '-' || number == 0 || number > 1000000000)
-    argp_error (state, "'%s' is no whole number above 0", text);
+    argp_error (state, "'%s' is not an integer above 0", text);
   return (unsigned) number;
 }
 
@@ -214,7 +217,7 @@
              answer->outcome, answer->status, answer->entry,
              *answer->endpoint ? answer->endpoint : "-", answer->wait_ms, submissions);
   if (answer->connected && !answer->whole)
-    fprintf (stderr, "ashctl: the answer is not whole: %s\n", answer->error);
+    fprintf (stderr, "ashctl: the answer is incomplete: %s\n", answer->error);
   return exit_code_of (answer);
 }
 
@@ -330,7 +333,8 @@
   return run_get (arguments, "GET", "/v1/events");
 }
 
-/* Reads a file whole. @return new text, or NULL after saying why. */
+/* Reads a whole file. @return its text, to be freed by the caller, or NULL after printing an
+ * error. */
 static char *
 read_file (const char *path)
 {
@@ -357,7 +361,7 @@
   return text;
 }
 
-/* Sends a file to an operators' path. */
+/* Posts the file that the command names to a path of the operators' interface. */
 static void
 post_file (const struct arguments *arguments, const char *path, struct ash_cli_answer *answer)
 {
@@ -406,8 +410,8 @@
   free (effects);
 }
 
-/* Sends a file to an operators' path and takes the JSON that comes back; says why
- * if none does. @return a new object, or NULL. */
+/* Posts the file that the command names and reads the JSON answer.
+ * @return a new object, or NULL after printing an error. */
 static json_t *
 post_file_for_json (const struct arguments *arguments, const char *path, const char *failure)
 {
@@ -426,7 +430,8 @@
   return root;
 }
 
-/* The plan itself goes to standard output, to be kept and confirmed. */
+/* Prints the summary of a plan to standard error and the plan to standard output, so that it can be
+ * saved and confirmed. */
 static enum exit_code
 run_plan (const struct arguments *arguments)
 {
@@ -442,7 +447,7 @@
   return can_be_met ? EXIT_OK : EXIT_NOT_RUN;
 }
 
-/* The document to publish goes to standard output. */
+/* Prints the document to publish to standard output. */
 static enum exit_code
 run_confirm (const struct arguments *arguments)
 {
@@ -451,7 +456,7 @@
   if (!confirmed)
     return EXIT_NOT_RUN;
   fprintf (stderr,
-           "confirmed: publish this as revision %lld; it is in force when 'ashctl "
+           "confirmed: publish this as revision %lld; it is active when 'ashctl "
            "status' shows that revision for every box\n",
            (long long) json_integer_value (json_object_get (confirmed, "revision")));
   printf ("%s\n", json_string_value (json_object_get (confirmed, "document")));
@@ -485,7 +490,7 @@
   return run_get (arguments, "GET", path);
 }
 
-/* @return whether the file could be read. */
+/* Adds the lines of a log file to a trace. @return false after printing an error. */
 static bool
 trace_file (struct ash_trace *trace, const char *path)
 {
@@ -499,7 +504,7 @@
   return ok;
 }
 
-/* Reads what routers wrote, asks none: the box that had the request may be gone. */
+/* Reads log files and sends no query, because the box that had the request may no longer run. */
 static enum exit_code
 run_trace (const struct arguments *arguments)
 {
@@ -545,8 +550,8 @@
 struct command
 {
   const char *name;
-  unsigned positional; /* the command itself included */
-  bool more;           /* or more of them */
+  unsigned positional_min; /* number of arguments, including the command */
+  bool variadic;           /* further arguments are allowed */
   enum exit_code (*run) (const struct arguments *arguments);
 };
 
@@ -588,15 +593,15 @@
     {
       if (strcmp (commands[i].name, arguments.positional[0]) != 0)
         continue;
-      if (arguments.positional_count < commands[i].positional ||
-          (arguments.positional_count > commands[i].positional && !commands[i].more))
-        fprintf (stderr, "ashctl: '%s' takes %u argument%s\n", commands[i].name,
-                 commands[i].positional - 1, commands[i].positional == 2 ? "" : "s");
+      if (arguments.positional_count < commands[i].positional_min ||
+          (arguments.positional_count > commands[i].positional_min && !commands[i].variadic))
+        fprintf (stderr, "ashctl: '%s' requires %u argument%s\n", commands[i].name,
+                 commands[i].positional_min - 1, commands[i].positional_min == 2 ? "" : "s");
       else
         code = commands[i].run (&arguments);
       curl_global_cleanup ();
       return code;
     }
-  fprintf (stderr, "ashctl: no command '%s'; see ashctl --help\n", arguments.positional[0]);
+  fprintf (stderr, "ashctl: unknown command '%s'; see ashctl --help\n", arguments.positional[0]);
   return EXIT_USAGE;
 }
--- a/cli/fetch.c
+++ b/cli/fetch.c
@@ -6,7 +6,8 @@
 
 #define CONNECT_TIMEOUT_MS 1000L
 
-/* Past the deadline that the entry keeps, before the tool stops waiting. */
+/* How long after the deadline of the request the tool stops waiting; the entry should have answered
+ * by the deadline. */
 #define TIMEOUT_MARGIN_MS 5000L
 #define DEADLINE_DEFAULT_MS 30000L
 
@@ -71,7 +72,7 @@
   return length;
 }
 
-/* Adds `NAME: VALUE`, if there is a value. */
+/* Adds a header field unless @p value is NULL. @return the new list. */
 static struct curl_slist *
 add_header (struct curl_slist *headers, const char *name, const char *value)
 {
--- a/cli/fetch.h
+++ b/cli/fetch.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Blocking HTTP for the command line, by libcurl.
+ * Blocking HTTP requests for command-line tools and tests, with libcurl.
  */
 #ifndef ASH_CLI_FETCH_H
 #define ASH_CLI_FETCH_H
@@ -9,7 +9,7 @@
 #include <stddef.h>
 #include <stdio.h>
 
-/** What is asked. */
+/** An HTTP request. The strings are owned by the caller. */
 struct ash_cli_request
 {
   const char *url;
@@ -17,17 +17,17 @@
   const char *key;             /**< bearer key; may be NULL */
   const char *body;            /**< may be NULL */
   const char *idempotency_key; /**< may be NULL */
-  unsigned attempt;            /**< 0: not stated */
-  unsigned deadline_ms;        /**< 0: not stated */
+  unsigned attempt;            /**< number of the submission, from 1; 0: not sent */
+  unsigned deadline_ms;        /**< 0: not sent */
   bool no_repeat;
-  FILE *echo; /**< bytes are written there as they come; may be NULL */
+  FILE *echo; /**< the body is also written there while it is received; may be NULL */
 };
 
-/** What came back. */
+/** The answer to a request, to be freed with ash_cli_answer_finish(). */
 struct ash_cli_answer
 {
-  long status; /**< 0: no answer */
-  bool whole;
+  long status; /**< HTTP status; 0: no answer */
+  bool whole;  /**< received to its end */
   bool connected;
   char outcome[16];
   char endpoint[64];
@@ -40,7 +40,7 @@
   char error[256];
 };
 
-/** Asks once. */
+/** Sends a request once, without retries; blocks until it has ended. */
 void ash_cli_fetch (const struct ash_cli_request *request, struct ash_cli_answer *answer);
 
 void ash_cli_answer_finish (struct ash_cli_answer *answer);
--- a/cli/send.c
+++ b/cli/send.c
@@ -39,15 +39,15 @@
         snprintf (addresses->urls[addresses->count++], sizeof addresses->urls[0], "http://%s",
                   address);
     }
-  /* Without an answer the entry that was named is all there is to try. */
+  /* Without an answer, use the entry that was given. */
   if (addresses->count == 0)
     snprintf (addresses->urls[addresses->count++], sizeof addresses->urls[0], "%s", send->entry);
   json_decref (root);
   ash_cli_answer_finish (&answer);
 }
 
-/* With a key, submitting again is always safe. Without one only what certainly
- * did not run may be sent again. */
+/* With an idempotency key, submitting a request again is always safe. Without a key only a request
+ * that certainly did not run may be submitted again. */
 static bool
 may_retry (const struct ash_cli_send *send, const struct ash_cli_answer *answer)
 {
@@ -86,7 +86,7 @@
       if (request.idempotency_key)
         request.attempt = sent + 1;
       ash_cli_fetch (&request, answer);
-      /* What never left is no submission: the next one is still the first. */
+      /* A request that could not be sent does not count as a submission. */
       sent += answer->connected;
       if (i + 1 == ASH_CLI_ATTEMPTS_MAX || !may_retry (send, answer))
         break;
--- a/cli/send.h
+++ b/cli/send.h
@@ -1,27 +1,29 @@
 /**
  * @file
- * Sending a request the way a careful caller does: ask for addresses, go to
- * one, and come again elsewhere only when that can't run it twice.
+ * Sends a request as a correct client does: queries the addresses for the account, sends the
+ * request to one of them, and retries at another only if the request can't run twice.
  */
 #ifndef ASH_CLI_SEND_H
 #define ASH_CLI_SEND_H
 
 #include "cli/fetch.h"
 
-/** How often a request is submitted at most. */
+/** Most submissions of one request. */
 #define ASH_CLI_ATTEMPTS_MAX 4
 
-/** What to send, and where to ask for addresses. */
+/** A request, and the entry to query for addresses. */
 struct ash_cli_send
 {
   const char *entry; /**< URL of any entry */
   const char *account;
   const char *service;
   const char *path;
-  struct ash_cli_request request; /**< its url is filled in here */
+  struct ash_cli_request
+      request; /**< its url, and attempt if it has a key, are set by ash_cli_send() */
 };
 
-/** Sends it. @return how many submissions that took; the answer is the last's. */
+/** Sends a request, with retries. @param answer answer to the last submission.
+ * @return the number of submissions. */
 unsigned ash_cli_send (const struct ash_cli_send *send, struct ash_cli_answer *answer);
 
 #endif
--- a/cli/trace.c
+++ b/cli/trace.c
@@ -24,7 +24,8 @@
 
 /* ---- fields ---- */
 
-/* The value after " key=" in a line of text; one in quotes ends with the quote. */
+/* Copies the value of a field of a line in text format; the value may be quoted. Without such a
+ * field @p value stays unchanged. */
 static void
 text_field (const char *line, const char *key, char *value)
 {
@@ -57,7 +58,7 @@
   json_decref (root);
 }
 
-/* A field of a line of either form; empty if it has none. */
+/* @return the value of a field of a line in text or JSON format; empty if the field is missing. */
 static const char *
 field (const char *line, const char *key, char value[FIELD_BYTES])
 {
@@ -128,7 +129,7 @@
       trace->read++;
       if (line_event (text) == ASH_EV_LOG_LEFT_OUT)
         trace->dropped_lines += strtoull (field (text, "lines", value), NULL, 10);
-      /* The search is quick, the comparison exact. */
+      /* strstr() is a fast filter; the comparison of the field is exact. */
       if (strstr (text, trace->id) && strcmp (field (text, "id", value), trace->id) == 0)
         ok = add_line (trace, text);
     }
@@ -164,18 +165,18 @@
     const char *reason;
     const char *meaning;
   } meanings[] = {
-    { "no_endpoint", "no endpoint of the service may be used: see events 206 to 209 before it" },
-    { "no_room", "each endpoint had as many requests as it may have, also after a short wait" },
+    { "no_endpoint", "no endpoint of the service was available: see earlier events 206 to 209" },
+    { "no_room", "each endpoint had its maximum number of requests, even after a short wait" },
     { "held_back",
-      "each endpoint with room was at the rate that it names, or had asked this router "
-      "for rest: see events 215 and 216" },
-    { "turned_away", "each endpoint that was asked said that it has no room" },
-    { "failed", "the endpoint broke off, or answered with something that is no answer" },
-    { "timeout", "the caller's or the route's time was over" },
-    { "leaving", "the router was stopping, with too little time left for it" },
+      "each endpoint with room had reached the rate limit that it announced, or had asked this "
+      "router to send none for a while: see events 215 and 216" },
+    { "turned_away", "each endpoint that got the request rejected it because it had no room" },
+    { "failed", "the endpoint ended its answer early, or the answer was invalid" },
+    { "timeout", "the timeout of the caller or of the route expired" },
+    { "leaving", "the router was stopping, with too little time left for the request" },
     { "quarantined",
-      "endpoints ended under it before, so it is kept away from others: see event 413" },
-    { "no_budget", "sending it again would have been over the fleet's bound on resends" },
+      "endpoints ended earlier while they ran it, so it is not sent to others: see event 413" },
+    { "no_budget", "sending it again would have exceeded the fleet's limit of resends" },
   };
 
   for (size_t i = 0; i < sizeof meanings / sizeof meanings[0]; i++)
@@ -184,14 +185,14 @@
   return reason;
 }
 
-/* The endpoint that it was last sent to before that line. */
+/* @return the endpoint in the last line before index @p before that names one. */
 static const char *
 last_endpoint (const struct ash_trace *trace, uint32_t before, char value[FIELD_BYTES])
 {
   for (uint32_t i = before; i-- > 0;)
     if (*field (trace->lines[i].text, "endpoint", value))
       return value;
-  return "an endpoint that these logs don't name";
+  return "an endpoint that is not in these logs";
 }
 
 static void
@@ -202,7 +203,7 @@
   char age[FIELD_BYTES];
 
   snprintf (text, text_bytes,
-            "Refused after %s ms: %s. It did not run; the caller was told to come back in %s ms.",
+            "Refused after %s ms: %s. It did not run; the caller was asked to retry in %s ms.",
             field (line, "age_ms", age), describe_reason (field (line, "reason", reason)),
             field (line, "retry_after_ms", wait));
 }
@@ -233,7 +234,7 @@
   switch (trace->lines[i].event)
     {
     case ASH_EV_FORWARD_SERVED:
-      snprintf (text, text_bytes, "Answered with %s by %s, %s ms after it came.",
+      snprintf (text, text_bytes, "Answered with %s by %s, %s ms after it arrived.",
                 field (line, "status", a), last_endpoint (trace, i, b), field (line, "age_ms", c));
       break;
     case ASH_EV_FORWARD_REFUSED:
@@ -243,7 +244,8 @@
       explain_failure (trace, i, text, text_bytes);
       break;
     case ASH_EV_FORWARD_GONE:
-      snprintf (text, text_bytes, "The caller left %s ms after it came; it was last at %s.",
+      snprintf (text, text_bytes,
+                "The caller disconnected %s ms after the request arrived; it was last at %s.",
                 field (line, "age_ms", a), last_endpoint (trace, i, b));
       break;
     case ASH_EV_FORWARD_DENIED:
@@ -271,12 +273,13 @@
         return;
       }
   if (!trace->count)
-    snprintf (text, text_bytes, "No line among %llu tells of it; %llu were left out.",
+    snprintf (text, text_bytes,
+              "None of the %llu lines is about this request; %llu lines were dropped.",
               (unsigned long long) trace->read, (unsigned long long) trace->dropped_lines);
   else
-    snprintf (text, text_bytes,
-              "No line tells how it ended: the process that had it ended first, or the line was "
-              "left out (%llu were). It was last at %s and may have run.",
-              (unsigned long long) trace->dropped_lines,
-              last_endpoint (trace, trace->count, endpoint));
+    snprintf (
+        text, text_bytes,
+        "No line shows how it ended: the process that handled it exited first, or the line was "
+        "dropped (%llu were). It was last at %s and may have run.",
+        (unsigned long long) trace->dropped_lines, last_endpoint (trace, trace->count, endpoint));
 }
--- a/cli/trace.h
+++ b/cli/trace.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * One request in the logs of several processes: its lines in the order of their time,
- * and in a sentence why it ended as it did.
+ * Collects the log lines of one request from the logs of several processes, sorts them by time,
+ * and describes in a sentence how the request ended and why.
  */
 #ifndef ASH_TRACE_H
 #define ASH_TRACE_H
@@ -11,34 +11,35 @@
 #include <stdint.h>
 #include <stdio.h>
 
-/** A line of the log that tells of the request. */
+/** A log line of the request. */
 struct ash_trace_line
 {
   char *text;
-  char time[40]; /**< as written; these sort as text */
-  int event;     /**< its number */
+  char time[40]; /**< as in the line; strings in this format sort by time */
+  int event;     /**< number of the log event */
 };
 
-/** All that is known of one request. */
+/** The log lines of one request. */
 struct ash_trace
 {
   const char *id;
   struct ash_trace_line *lines;
   uint32_t count;
   uint32_t capacity;
-  uint64_t read;          /**< lines of any request */
-  uint64_t dropped_lines; /**< that the logs say they lack */
+  uint64_t read; /**< number of lines read, of all requests */
+  uint64_t
+      dropped_lines; /**< dropped when the logs were written, according to log_left_out events */
 };
 
-/** @param id of the request; must last. */
+/** @param id the request's id; must outlive @p trace. */
 void ash_trace_init (struct ash_trace *trace, const char *id);
 
 void ash_trace_finish (struct ash_trace *trace);
 
-/** Takes the request's lines from a log, of either form. @return false without memory. */
+/** Adds the request's lines from a log in text or JSON format. @return false if out of memory. */
 bool ash_trace_read (struct ash_trace *trace, FILE *log);
 
-/** Puts the lines in order and says how the request ended. */
+/** Sorts the lines by time and describes how the request ended. */
 void ash_trace_explain (struct ash_trace *trace, char *text, size_t text_bytes);
 
 #endif
--- a/options/router_settings.c
+++ b/options/router_settings.c
@@ -11,7 +11,8 @@
 #define FIELD_OFFSET(field) offsetof (struct ash_router_settings, field)
 /* clang-format off */
 #define TEXT(name, default_value, help) \
-  { #name, ASH_OPTION_TEXT, FIELD_OFFSET (name), default_value, 0, ASH_OPTION_TEXT_BYTES, NULL, NULL, help }
+  { #name, ASH_OPTION_TEXT, FIELD_OFFSET (name), default_value, 0, ASH_OPTION_TEXT_BYTES, \
+    NULL, NULL, help }
 #define CHOICE(name, default_value, list, help) \
   { #name, ASH_OPTION_CHOICE, FIELD_OFFSET (name), default_value, 0, 0, list, NULL, help }
 #define MS(name, default_value, min, max, help) \
--- a/proto/event.c
+++ b/proto/event.c
@@ -14,7 +14,7 @@
 
   event.peer = ash_proto_text (peer);
   event.kind_case = kind;
-  /* All members of the union are pointers to a message; kind tells which. */
+  /* All members of the union are pointers to messages, so any of them can be assigned. */
   event.heartbeat = (void *) (uintptr_t) message;
   return event;
 }
@@ -80,7 +80,7 @@
       print_quoted (data->data, data->len, out);
       break;
     default:
-      /* ash.proto uses no other type; a new one needs a case here. */
+      /* ash.proto has no fields of other types; a new type needs a case here. */
       fputs ("?", out);
     }
 }
@@ -152,7 +152,7 @@
     print_field (message, &message->descriptor->fields[i], out);
 }
 
-/* ---- reading ---- */
+/* ---- parsing ---- */
 
 static bool
 read_token (const char **text, char word[TOKEN_BYTES])
@@ -170,7 +170,8 @@
   return true;
 }
 
-/* Reads a quoted value into new memory, closed by a zero that is not counted. */
+/* Parses a quoted value. @return its bytes, to be freed by the caller, with a terminating zero that
+ * *length does not include; NULL if the value is invalid. */
 static uint8_t *
 read_quoted (const char **text, size_t *length)
 {
@@ -293,7 +294,7 @@
     return false;
   if (field->label == PROTOBUF_C_LABEL_REPEATED)
     return read_repeated (message, field, text);
-  /* Given twice: which of them is meant? */
+  /* The field was already set: a field that is given twice is an error. */
   if (!is_default (field, (const char *) message + field->offset))
     return false;
   return read_value (field, text, (char *) message + field->offset);
--- a/proto/json.c
+++ b/proto/json.c
@@ -45,7 +45,7 @@
     case PROTOBUF_C_TYPE_BYTES:
       return hex_to_json (value);
     default:
-      /* The messages that travel so have no other type. */
+      /* Messages that are sent as JSON have no fields of other types. */
       return json_null ();
     }
 }
--- a/test/router.c
+++ b/test/router.c
@@ -553,7 +553,8 @@
   start ();
   world_call (&world, "n1", "/once/x", "*=shed", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
-  check_trace ("n1", "each endpoint that was asked said that it has no room", "It did not run");
+  check_trace ("n1", "each endpoint that got the request rejected it because it had no room",
+               "It did not run");
   world_call (&world, "n2", "/once/x", "*=reset", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
   check_trace ("n2", "the endpoint broke off", "may have run");
@@ -561,9 +562,9 @@
   CU_ASSERT_FALSE (answer.whole);
   check_trace ("n3", "the endpoint broke off", "It was last at i-");
   world_call (&world, "n4", "/safe/x", NULL, "", &answer);
-  check_trace ("n4", "Answered with 200 by i-", " ms after it came");
+  check_trace ("n4", "Answered with 200 by i-", " ms after it arrived");
   /* An id that only begins alike is another request. */
-  check_trace ("n", "No line among", "tells of it");
+  check_trace ("n", "None of the ", "is about this request");
   world_stop (&world);
 }
 
