--- a/test/router.c
+++ b/test/router.c
@@ -557,10 +557,10 @@
                "It did not run");
   world_call (&world, "n2", "/once/x", "*=reset", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
-  check_trace ("n2", "the endpoint broke off", "may have run");
+  check_trace ("n2", "the endpoint ended its answer early", "may have run");
   world_call (&world, "n3", "/stream/x", "*=streamcut", "", &answer);
   CU_ASSERT_FALSE (answer.whole);
-  check_trace ("n3", "the endpoint broke off", "It was last at i-");
+  check_trace ("n3", "the endpoint ended its answer early", "It was last at i-");
   world_call (&world, "n4", "/safe/x", NULL, "", &answer);
   check_trace ("n4", "Answered with 200 by i-", " ms after it arrived");
   /* An id that only begins alike is another request. */
