--- a/cli/fetch.h
+++ b/cli/fetch.h
@@ -17,8 +17,8 @@
   const char *key;             /**< bearer key; may be NULL */
   const char *body;            /**< may be NULL */
   const char *idempotency_key; /**< may be NULL */
-  unsigned attempt;            /**< number of the submission, from 1; 0: not sent */
-  unsigned deadline_ms;        /**< 0: not sent */
+  unsigned attempt;            /**< number of the submission, from 1; 0: no Ash-Attempt header */
+  unsigned deadline_ms;        /**< 0: no Ash-Deadline-Ms header */
   bool no_repeat;
   FILE *echo; /**< the body is also written there while it is received; may be NULL */
 };
--- a/common/events.h
+++ b/common/events.h
@@ -41,8 +41,8 @@
   X (302, WARN, PEER_REFUSED,       "a peer could not prove the fleet key, or broke the protocol") \
   X (303, INFO, BOX_LEAVING,        "a box is leaving; it gets no new work") \
   X (304, INFO, NEW_INCARNATION,    "an endpoint's agent has a new incarnation") \
-  X (305, WARN, ALONE,              "this box reaches less than half of the others: it is probably isolated itself") \
-  X (306, INFO, NOT_ALONE,          "this box reaches most of the others again") \
+  X (305, WARN, ALONE,              "this box has links to less than half of the others: it is probably isolated itself") \
+  X (306, INFO, NOT_ALONE,          "this box has links to most of the others again") \
   X (400, DEBUG, REQUEST_SENT,      "an attempt of a request was sent to an endpoint") \
   X (401, INFO, REQUEST_ENDED,      "a request got its final answer") \
   X (402, INFO, REQUEST_RETRIED,    "a request is retried at another endpoint") \
--- a/common/metrics.c
+++ b/common/metrics.c
@@ -16,7 +16,7 @@
 
 struct ash_series
 {
-  char key[KEY_BYTES]; /* `name{labels` */
+  char key[KEY_BYTES]; /* metric name, `{` and labels, without the closing brace */
   enum series_kind kind;
   uint64_t value; /* sum of the values if the series is a histogram */
   uint64_t count;
--- a/options/document.c
+++ b/options/document.c
@@ -59,7 +59,8 @@
   TEXT (ash_endpoint, "group", group, "", "the group of engines that it runs in lock-step with"),
   COUNT (ash_endpoint, rank, "0", 0, 63, NULL, "its rank in that group"),
   { "checks_orders", ASH_OPTION_BOOL, offsetof (struct ash_endpoint, checks_orders), "false", 0, 0,
-    NULL, NULL, "its engine rejects orders with an outdated ballot itself" },
+    NULL, NULL,
+    "its engine itself rejects orders for another incarnation or with an outdated ballot" },
   { 0 },
 };
 
@@ -192,7 +193,7 @@
   return rows;
 }
 
-/* Builds by_service. The names of services are known to be unique here. */
+/* Builds by_service, the index of endpoints grouped by service. All names were checked before. */
 static void
 index_endpoints (struct ash_document *document)
 {
--- a/options/document.h
+++ b/options/document.h
@@ -65,7 +65,7 @@
   uint32_t slots;
   char group[ASH_NAME_BYTES]; /**< group of engines that it runs in lock-step with; may be empty */
   uint32_t rank;              /**< its rank in that group */
-  bool checks_orders;         /**< its engine rejects orders with an outdated ballot itself */
+  bool checks_orders;         /**< its engine itself rejects outdated orders */
 };
 
 /** A group of engines that run in lock-step with a common expert map. */
@@ -79,7 +79,7 @@
   uint32_t interval_ms;
   double skew_weight;
   double cost_weight;
-  uint32_t rank_count; /**< counted from the endpoints */
+  uint32_t rank_count; /**< number of endpoints that name this group */
 };
 
 /** A class of accounts: gives their requests a priority and is a label in the metrics. */
--- a/options/node.h
+++ b/options/node.h
@@ -35,7 +35,7 @@
   int64_t integer;
   double number;
   bool boolean;
-  bool used; /**< set by ash_node_get(); a key that is still unused is unknown */
+  bool used; /**< set by ash_node_get(); keys that stay unused are reported as unknown */
 };
 
 /**
--- a/options/settings.c
+++ b/options/settings.c
@@ -126,7 +126,7 @@
       "1500",
       10,
       HOUR_MS,
-      "a request whose entry has disconnected is cancelled after this time"),
+      "a request that no entry waits for any more is cancelled after this time"),
   MS (keyed_orphan_ms,
       "15000",
       10,
