--- a/options/router_settings.c
+++ b/options/router_settings.c
@@ -92,7 +92,7 @@
          10000,
          "streams",
          "at the same time at one rank of an engine at most, from all entries; fewer if the engine "
-         "reports fewer slots"),
+         "has fewer slots"),
   COUNT (plain_queue,
          "6",
          0,
