--- a/test/expert_schedule.c
+++ b/test/expert_schedule.c
@@ -26,17 +26,17 @@
 #define STEPS_KEPT 512
 #define FRAMES_MAX 256
 #define EVENTS 500
-#define LAST_ROUNDS 40
+#define FINAL_ROUNDS 40
 
-static const char *const boxes[RANKS] = { "r0", "r1", "r2", "r3" };
-static const char *const names[COORDINATORS] = { "c0", "c1", "c2" };
+static const char *const rank_names[RANKS] = { "r0", "r1", "r2", "r3" };
+static const char *const coordinator_names[COORDINATORS] = { "c0", "c1", "c2" };
 
 struct frame
 {
   int to_rank; /* -1: to a coordinator */
   int coordinator;
-  uint64_t agent_life; /* at an engine: the agent's that gave the order */
-  struct ash_time given;
+  uint64_t agent_incarnation; /* at an engine: the agent's that gave the order */
+  struct ash_time sent_at;
   struct Ash__RankOrder order;
   struct Ash__RankState state;
 };
@@ -46,20 +46,20 @@
   struct ash_random random;
   struct ash_time now;
   struct ash_expert_rank ranks[RANKS];
-  uint64_t used[RANKS][STEPS_KEPT]; /* map of each step; 0: not begun by this life */
-  bool guarded;                     /* engines check nothing, their agents do */
+  uint64_t step_maps[RANKS][STEPS_KEPT]; /* map of each step; 0: not begun by this life */
+  bool guarded;                          /* engines check nothing, their agents do */
   struct ash_expert_guard guards[RANKS];
-  struct frame at_engines[FRAMES_MAX]; /* orders under way from an agent to its engine */
-  unsigned at_engines_count;
+  struct frame engine_orders[FRAMES_MAX]; /* orders under way from an agent to its engine */
+  unsigned engine_order_count;
   struct ash_expert_change changes[COORDINATORS];
   int sender; /* whose messages are being emitted */
   struct frame frames[FRAMES_MAX];
   unsigned frame_count;
-  uint64_t lives;
-  uint64_t maps;
+  uint64_t last_incarnation;
+  uint64_t last_map;
   bool traced;
   bool calm; /* the end: nothing is lost or late any more */
-  const char *broken;
+  const char *violation;
 };
 
 enum total
@@ -83,12 +83,12 @@
 static void
 fail (struct world *world, const char *why)
 {
-  if (!world->broken)
-    world->broken = why;
+  if (!world->violation)
+    world->violation = why;
 }
 
 static void
-put (struct world *world, const struct frame *frame)
+enqueue (struct world *world, const struct frame *frame)
 {
   /* A full network loses what comes. */
   if (world->frame_count < FRAMES_MAX)
@@ -102,7 +102,7 @@
   struct frame frame = { .coordinator = world->sender, .order = *event->rank_order };
 
   frame.to_rank = atoi (event->peer + 1);
-  put (world, &frame);
+  enqueue (world, &frame);
 }
 
 static void
@@ -112,7 +112,7 @@
   struct frame frame = { .to_rank = -1, .state = *event->rank_state };
 
   frame.coordinator = atoi (event->peer + 1);
-  put (world, &frame);
+  enqueue (world, &frame);
 }
 
 /* ---- events ---- */
@@ -146,11 +146,11 @@
 order_agent (struct world *world, const struct frame *frame)
 {
   struct ash_sink sink = { on_state, world };
-  struct frame given = *frame;
+  struct frame forwarded = *frame;
   struct Ash__RankState state = ASH__RANK_STATE__INIT;
   struct ash_expert_guard *guard = &world->guards[frame->to_rank];
 
-  switch (ash_expert_guard_order (guard, world->now, &frame->order, &given.order))
+  switch (ash_expert_guard_order (guard, world->now, &frame->order, &forwarded.order))
     {
     case ASH_EXPERT_WAIT:
       return;
@@ -158,13 +158,13 @@
       state.group = ash_text ("g");
       state.rank = (uint32_t) frame->to_rank;
       ash_expert_guard_refusal (guard, &frame->order, &state);
-      ash_emit (&sink, names[frame->coordinator], ASH__EVENT__KIND_RANK_STATE, &state);
+      ash_emit (&sink, coordinator_names[frame->coordinator], ASH__EVENT__KIND_RANK_STATE, &state);
       return;
     case ASH_EXPERT_FORWARD:
-      given.agent_life = guard->incarnation;
-      given.given = world->now;
-      if (world->at_engines_count < FRAMES_MAX)
-        world->at_engines[world->at_engines_count++] = given;
+      forwarded.agent_incarnation = guard->incarnation;
+      forwarded.sent_at = world->now;
+      if (world->engine_order_count < FRAMES_MAX)
+        world->engine_orders[world->engine_order_count++] = forwarded;
       else
         ash_expert_guard_lost (guard);
       return;
@@ -179,49 +179,50 @@
 
 /* An order reaches its engine, whatever has become of the agent meanwhile. */
 static void
-reach_engine (struct world *world, unsigned index)
+deliver_to_engine (struct world *world, unsigned index)
 {
   struct ash_sink to_coordinator = { on_state, world };
-  struct frame frame = world->at_engines[index];
+  struct frame frame = world->engine_orders[index];
   struct ash_expert_rank *rank = &world->ranks[frame.to_rank];
   struct ash_expert_guard *guard = &world->guards[frame.to_rank];
   struct Ash__RankState state;
   struct ash_sink sink = { on_engine_state, &state };
 
-  world->at_engines_count--;
-  memmove (&world->at_engines[index], &world->at_engines[index + 1],
-           (world->at_engines_count - index) * sizeof frame);
-  trace (world, boxes[frame.to_rank], ASH__EVENT__KIND_RANK_ORDER, &frame.order);
+  world->engine_order_count--;
+  memmove (&world->engine_orders[index], &world->engine_orders[index + 1],
+           (world->engine_order_count - index) * sizeof frame);
+  trace (world, rank_names[frame.to_rank], ASH__EVENT__KIND_RANK_ORDER, &frame.order);
   rank->fence = (struct ash_expert_fence){ 0 };
   frame.order.life = rank->life;
   ash_expert_rank_handle_order (rank, &frame.order, "", &sink);
-  if (frame.agent_life != guard->incarnation)
+  if (frame.agent_incarnation != guard->incarnation)
     return;
   ash_expert_guard_answer (guard, world->now, true, &state);
-  ash_emit (&to_coordinator, names[frame.coordinator], ASH__EVENT__KIND_RANK_STATE, &state);
+  ash_emit (&to_coordinator, coordinator_names[frame.coordinator], ASH__EVENT__KIND_RANK_STATE,
+            &state);
 }
 
 static void
-reach_some_engine (struct world *world)
+deliver_to_some_engine (struct world *world)
 {
-  if (world->at_engines_count)
-    reach_engine (world, world->calm ? 0 : pick (world, world->at_engines_count));
+  if (world->engine_order_count)
+    deliver_to_engine (world, world->calm ? 0 : pick (world, world->engine_order_count));
 }
 
-/* What was given to an engine reaches it soon, if the engine answers at all. */
+/* What was forwarded to an engine reaches it soon, if the engine answers at all. */
 static void
-pass_time (struct world *world, uint32_t wait_ms)
+advance_time (struct world *world, uint32_t wait_ms)
 {
   world->now.ms += wait_ms;
-  for (unsigned i = world->at_engines_count; i > 0; i--)
-    if (ash_time_diff (world->at_engines[i - 1].given, world->now) >= ASH_EXPERT_SETTLE_MS)
-      reach_engine (world, i - 1);
+  for (unsigned i = world->engine_order_count; i > 0; i--)
+    if (ash_time_diff (world->engine_orders[i - 1].sent_at, world->now) >= ASH_EXPERT_SETTLE_MS)
+      deliver_to_engine (world, i - 1);
 }
 
 static void
 restart_agent (struct world *world, int r)
 {
-  ash_expert_guard_init (&world->guards[r], ++world->lives << 32, false);
+  ash_expert_guard_init (&world->guards[r], ++world->last_incarnation << 32, false);
   poll_engine (world, r);
   totals[TOTAL_RESTARTED]++;
 }
@@ -242,13 +243,13 @@
     }
   if (frame->to_rank >= 0)
     {
-      trace (world, boxes[frame->to_rank], ASH__EVENT__KIND_RANK_ORDER, &frame->order);
+      trace (world, rank_names[frame->to_rank], ASH__EVENT__KIND_RANK_ORDER, &frame->order);
       ash_expert_rank_handle_order (&world->ranks[frame->to_rank], &frame->order,
-                                    names[frame->coordinator], &sink);
+                                    coordinator_names[frame->coordinator], &sink);
       return;
     }
   world->sender = frame->coordinator;
-  trace (world, names[frame->coordinator], ASH__EVENT__KIND_RANK_STATE, &frame->state);
+  trace (world, coordinator_names[frame->coordinator], ASH__EVENT__KIND_RANK_STATE, &frame->state);
   ash_expert_change_handle_state (change, world->now, &frame->state);
   totals[TOTAL_DONE] += before != ASH_EXPERT_DONE && change->phase == ASH_EXPERT_DONE;
   totals[TOTAL_FAILED] += before != ASH_EXPERT_FAILED && change->phase == ASH_EXPERT_FAILED;
@@ -299,15 +300,15 @@
   totals[TOTAL_STEPS]++;
   if (world->traced)
     fprintf (stderr, "%" PRId64 " %s begins step %" PRIu64 " with map %" PRIu64 "\n", world->now.ms,
-             boxes[r], rank->begun, map);
-  world->used[r][rank->begun] = map;
+             rank_names[r], rank->begun, map);
+  world->step_maps[r][rank->begun] = map;
   for (int q = 0; q < RANKS; q++)
-    if (world->used[q][rank->begun] && world->used[q][rank->begun] != map)
+    if (world->step_maps[q][rank->begun] && world->step_maps[q][rank->begun] != map)
       fail (world, "a step with two maps");
 }
 
 static void
-replace (struct world *world, int r)
+replace_rank (struct world *world, int r)
 {
   int others = 0;
 
@@ -317,27 +318,28 @@
     others += q != r && !world->ranks[q].blank;
   if (!others)
     return;
-  ash_expert_rank_init_blank (&world->ranks[r], "g", (uint32_t) r, ++world->lives);
-  memset (world->used[r], 0, sizeof world->used[r]);
+  ash_expert_rank_init_blank (&world->ranks[r], "g", (uint32_t) r, ++world->last_incarnation);
+  memset (world->step_maps[r], 0, sizeof world->step_maps[r]);
   totals[TOTAL_REPLACED]++;
 }
 
 /* A coordinator that forgets all, and its ballots. */
 static void
-forget (struct world *world, int c)
+restart_coordinator (struct world *world, int c)
 {
   struct ash_sink sink = { on_order, world };
 
-  ash_expert_change_init (&world->changes[c], "g", boxes, RANKS, (uint32_t) ++world->lives, sink);
+  ash_expert_change_init (&world->changes[c], "g", rank_names, RANKS,
+                          (uint32_t) ++world->last_incarnation, sink);
 }
 
 static void
-start_wanting (struct world *world, int c, bool wants)
+begin_change (struct world *world, int c, bool wants)
 {
   struct ash_expert_map map = { 0 };
 
   if (wants)
-    map.digest = ++world->maps;
+    map.digest = ++world->last_map;
   ash_expert_change_start (&world->changes[c], world->now, wants ? &map : NULL);
 }
 
@@ -345,7 +347,7 @@
 start_change (struct world *world, int c)
 {
   world->sender = c;
-  start_wanting (world, c, pick (world, 4) != 0);
+  begin_change (world, c, pick (world, 4) != 0);
 }
 
 static void
@@ -367,14 +369,14 @@
   uint32_t choice = pick (world, 100);
 
   if (world->guarded && choice < 25)
-    reach_some_engine (world);
+    deliver_to_some_engine (world);
   else if (choice < 60)
     deliver_one (world);
   else if (choice < 80)
     begin_step (world, r);
   else if (choice < 90)
     {
-      pass_time (world, pick (world, 60));
+      advance_time (world, pick (world, 60));
       tick (world, c);
     }
   else if (choice < 97)
@@ -383,11 +385,11 @@
         start_change (world, c);
     }
   else if (choice < 98)
-    forget (world, c);
+    restart_coordinator (world, c);
   else if (choice < 99)
     start_change (world, c); /* gives its own up and begins another */
   else if (pick (world, 4) == 0)
-    replace (world, r);
+    replace_rank (world, r);
   else if (world->guarded)
     restart_agent (world, r);
 }
@@ -395,27 +397,27 @@
 /* ---- the end: one coordinator, and nothing goes wrong any more ---- */
 
 static void
-go_on (struct world *world)
+finish_schedule (struct world *world)
 {
   uint64_t before = world->ranks[0].begun;
 
   world->changes[0].phase = ASH_EXPERT_IDLE;
-  for (int i = 0; i < LAST_ROUNDS && !world->broken; i++)
+  for (int i = 0; i < FINAL_ROUNDS && !world->violation; i++)
     {
       if (world->changes[0].phase != ASH_EXPERT_DONE &&
           !ash_expert_change_running (&world->changes[0]))
         {
           world->sender = 0;
-          start_wanting (world, 0, true);
+          begin_change (world, 0, true);
         }
-      while (world->frame_count || world->at_engines_count)
+      while (world->frame_count || world->engine_order_count)
         {
           deliver_one (world);
-          reach_some_engine (world);
+          deliver_to_some_engine (world);
         }
       for (int r = 0; r < RANKS; r++)
         begin_step (world, r);
-      pass_time (world, ASH_EXPERT_RESEND_MS);
+      advance_time (world, ASH_EXPERT_RESEND_MS);
       for (int r = 0; r < RANKS && world->guarded; r++)
         poll_engine (world, r);
       tick (world, 0);
@@ -431,28 +433,28 @@
 run_schedule (uint64_t seed, int traced)
 {
   struct world *world = calloc (1, sizeof *world);
-  const char *broken;
+  const char *violation;
 
   ash_random_init (&world->random, seed);
   world->traced = traced != 0;
-  world->lives = 1;
-  world->maps = 1;
+  world->last_incarnation = 1;
+  world->last_map = 1;
   for (int r = 0; r < RANKS; r++)
-    ash_expert_rank_init (&world->ranks[r], "g", (uint32_t) r, ++world->lives, 1);
+    ash_expert_rank_init (&world->ranks[r], "g", (uint32_t) r, ++world->last_incarnation, 1);
   for (int c = 0; c < COORDINATORS; c++)
-    forget (world, c);
+    restart_coordinator (world, c);
   world->guarded = seed % 2 == 0;
   for (int r = 0; r < RANKS && world->guarded; r++)
     restart_agent (world, r);
   world->now.ms = ASH_EXPERT_SETTLE_MS;
-  for (int i = 0; i < EVENTS && !world->broken; i++)
+  for (int i = 0; i < EVENTS && !world->violation; i++)
     step (world);
   world->calm = true;
-  if (!world->broken)
-    go_on (world);
-  broken = world->broken;
+  if (!world->violation)
+    finish_schedule (world);
+  violation = world->violation;
   free (world);
-  return broken;
+  return violation;
 }
 
 int
--- a/test/map_schedule.c
+++ b/test/map_schedule.c
@@ -20,34 +20,34 @@
 #define PASS_MS 48
 #define LAG_MS 200
 #define COPY_MS 150
-#define LISTS_AGAIN_MS 400
+#define LISTS_RETRY_MS 400
 
 /* In one schedule of three, copies take up to so long, and some orders so long on their way:
  * those sent later on another connection pass them. */
-#define SLOW_COPY_MOST_MS 600
-#define SLOW_ORDER_MOST_MS 300
+#define SLOW_COPY_MAX_MS 600
+#define SLOW_ORDER_MAX_MS 300
 
 /* Trouble lasts so long, then the group has so long to be in order again. */
-#define TROUBLE_MS 12000
-#define CALM_MS 26000
+#define FAULTS_MS 12000
+#define RECOVERY_MS 26000
 #define MESSAGES_MAX 512
 
 /* Longest that a group may stand still once all is calm. */
-#define STAND_MOST_MS 3000
+#define STALL_MAX_MS 3000
 
 /* Routers start long after their clock, and the group makes its first pass some time after. */
 #define CLOCK_START_MS 60000000
-#define FIRST_PASS_MOST_MS 1500
+#define FIRST_PASS_MAX_MS 1500
 
 /* Furthest ahead that a rank may be armed: till then it takes no other map. */
-#define ARMED_AHEAD_MOST 100
+#define ARMED_AHEAD_MAX_STEPS 100
 
 struct rank
 {
   uint64_t map;
   uint64_t prepared;
   int64_t copied_ms; /* when what is prepared is all there */
-  uint64_t had;
+  uint64_t last_prepared;
   uint64_t armed;
   uint64_t armed_step;
   uint64_t held;
@@ -65,7 +65,7 @@
   struct ash_time asked; /* the question for lists */
   bool unanswered;
   int router;
-  uint32_t life; /* of the router */
+  uint32_t incarnation; /* of the router */
   uint16_t status;
   struct ash_rank_order order;
   struct ash_rank_report report;
@@ -73,12 +73,12 @@
 
 struct router
 {
-  struct ash_map_switch sw;
-  uint32_t life;
+  struct ash_map_switch map_switch;
+  uint32_t incarnation;
   bool leads;
-  int64_t paused_until;
+  int64_t paused_until_ms;
   int64_t asked[RANKS];
-  int64_t asked_lists[RANKS];
+  int64_t lists_requested_ms[RANKS];
 };
 
 struct run
@@ -92,18 +92,18 @@
   struct rank ranks[RANKS];
   struct router routers[ROUTERS];
   struct message messages[MESSAGES_MAX];
-  uint32_t loss; /* of a hundred orders, those whose answer is lost */
-  uint32_t late; /* those that are carried out seconds late */
-  uint32_t slow; /* those that later ones may pass */
-  bool two_lead;
+  uint32_t loss_percent; /* of a hundred orders, those whose answer is lost */
+  uint32_t late_percent; /* those that are carried out seconds late */
+  uint32_t slow_percent; /* those that later ones may pass */
+  bool two_leaders;
   bool traced;
-  const char *broken;
+  const char *violation;
 };
 
 static bool
-chance (struct run *run, uint32_t of_hundred)
+chance (struct run *run, uint32_t percent)
 {
-  return ash_random_below (&run->random, 100) < of_hundred;
+  return ash_random_below (&run->random, 100) < percent;
 }
 
 static struct ash_time
@@ -113,7 +113,7 @@
 }
 
 static void
-post (struct run *run, const struct message *message)
+enqueue (struct run *run, const struct message *message)
 {
   for (int i = 0; i < MESSAGES_MAX; i++)
     if (!run->messages[i].used)
@@ -141,12 +141,12 @@
 {
   if (order->version == rank->prepared)
     return run->now_ms >= rank->copied_ms ? 200 : 202;
-  if (order->version <= rank->had || rank->armed)
+  if (order->version <= rank->last_prepared || rank->armed)
     return 409;
-  rank->had = order->version;
+  rank->last_prepared = order->version;
   rank->prepared = order->version;
   rank->copied_ms =
-      run->now_ms + ash_random_below (&run->random, run->slow ? SLOW_COPY_MOST_MS : COPY_MS);
+      run->now_ms + ash_random_below (&run->random, run->slow_percent ? SLOW_COPY_MAX_MS : COPY_MS);
   return 202;
 }
 
@@ -159,13 +159,13 @@
     return 409;
   rank->armed = order->version;
   rank->armed_step = order->step;
-  if (order->step > run->step + ARMED_AHEAD_MOST)
-    run->broken = "a rank is armed for a step far ahead";
+  if (order->step > run->step + ARMED_AHEAD_MAX_STEPS)
+    run->violation = "a rank is armed for a step far ahead";
   return 202;
 }
 
 static uint16_t
-carry_out (struct run *run, const struct ash_rank_order *order)
+apply_order (struct run *run, const struct ash_rank_order *order)
 {
   struct rank *rank = &run->ranks[order->rank];
 
@@ -217,11 +217,11 @@
       }
   for (int i = 1; i < RANKS; i++)
     if (run->ranks[i].map != run->ranks[0].map)
-      run->broken = "a pass with two maps";
+      run->violation = "a pass with two maps";
 }
 
 static void
-form_anew (struct run *run)
+reform_group (struct run *run)
 {
   memset (run->ranks, 0, sizeof run->ranks);
   run->epoch++;
@@ -256,69 +256,69 @@
   struct message message = {
     .due_ms = run->now_ms + 1 + ash_random_below (&run->random, 6),
     .router = r,
-    .life = run->routers[r].life,
+    .incarnation = run->routers[r].incarnation,
     .order = *order,
   };
 
-  if (run->slow && chance (run, run->slow))
-    message.due_ms += ash_random_below (&run->random, SLOW_ORDER_MOST_MS);
-  if (chance (run, run->loss))
+  if (run->slow_percent && chance (run, run->slow_percent))
+    message.due_ms += ash_random_below (&run->random, SLOW_ORDER_MAX_MS);
+  if (chance (run, run->loss_percent))
     message.unanswered = true;
-  if (chance (run, run->late))
+  if (chance (run, run->late_percent))
     {
       message.unanswered = true;
       message.due_ms += 2000 + ash_random_below (&run->random, 10000);
     }
-  post (run, &message);
+  enqueue (run, &message);
 }
 
 static void
-ask_report (struct run *run, int r, uint32_t rank)
+request_report (struct run *run, int r, uint32_t rank)
 {
   struct message message = {
     /* As it stands now, told when it is old. */
     .due_ms = run->now_ms + LAG_MS + ash_random_below (&run->random, 6),
     .is_report = true,
     .router = r,
-    .life = run->routers[r].life,
+    .incarnation = run->routers[r].incarnation,
     .report = report_of (run, rank),
   };
 
   run->routers[r].asked[rank] = run->now_ms;
-  if (!chance (run, run->loss))
-    post (run, &message);
+  if (!chance (run, run->loss_percent))
+    enqueue (run, &message);
 }
 
 static void
-ask_lists (struct run *run, int r, uint32_t rank)
+request_lists (struct run *run, int r, uint32_t rank)
 {
   struct message message = {
     .due_ms = run->now_ms + 1 + ash_random_below (&run->random, 6),
     .is_lists = true,
     .asked = now (run),
     .router = r,
-    .life = run->routers[r].life,
+    .incarnation = run->routers[r].incarnation,
     .report = { .rank = rank },
   };
 
-  run->routers[r].asked_lists[rank] = run->now_ms;
-  if (!chance (run, run->loss))
-    post (run, &message);
+  run->routers[r].lists_requested_ms[rank] = run->now_ms;
+  if (!chance (run, run->loss_percent))
+    enqueue (run, &message);
 }
 
 static void
-forget (struct run *run, int r)
+restart_router (struct run *run, int r)
 {
-  run->routers[r].life++;
-  ash_map_switch_init (&run->routers[r].sw, RANKS, LAG_MS, (uint32_t) r);
+  run->routers[r].incarnation++;
+  ash_map_switch_init (&run->routers[r].map_switch, RANKS, LAG_MS, (uint32_t) r);
   memset (run->routers[r].asked, 0, sizeof run->routers[r].asked);
-  memset (run->routers[r].asked_lists, 0, sizeof run->routers[r].asked_lists);
+  memset (run->routers[r].lists_requested_ms, 0, sizeof run->routers[r].lists_requested_ms);
 }
 
 static void
 count_result (struct router *router)
 {
-  switch (router->sw.result)
+  switch (router->map_switch.result)
     {
     case ASH_MAP_CHANGED:
       totals[TOTAL_CHANGED]++;
@@ -333,7 +333,7 @@
     case ASH_MAP_NONE:
       break;
     }
-  router->sw.result = ASH_MAP_NONE;
+  router->map_switch.result = ASH_MAP_NONE;
 }
 
 static void
@@ -345,28 +345,30 @@
   uint32_t count;
 
   /* One that no longer leads finishes what holds the group. */
-  if ((!router->leads && router->sw.phase < ASH_MAP_HOLD) || run->now_ms < router->paused_until)
+  if ((!router->leads && router->map_switch.phase < ASH_MAP_HOLD) ||
+      run->now_ms < router->paused_until_ms)
     return;
   /* Streams tell how long a pass takes, sooner than reports tell of its step. */
   if (run->step && chance (run, 20))
-    ash_map_switch_set_pass_ms (&router->sw, PASS_MS);
+    ash_map_switch_set_pass_ms (&router->map_switch, PASS_MS);
   for (uint32_t i = 0; i < RANKS; i++)
     if (run->now_ms - router->asked[i] > 100 &&
-        ash_map_switch_needs_report (&router->sw, now (run), i))
-      ask_report (run, r, i);
+        ash_map_switch_needs_report (&router->map_switch, now (run), i))
+      request_report (run, r, i);
   for (uint32_t i = 0; i < RANKS; i++)
-    if (run->now_ms - router->asked_lists[i] > LISTS_AGAIN_MS &&
-        ash_map_switch_needs_lists (&router->sw, i))
-      ask_lists (run, r, i);
-  if (router->leads && ash_map_switch_ready (&router->sw, now (run)) && chance (run, 10))
-    ash_map_switch_begin (&router->sw, now (run),
-                          ash_map_switch_new_version (&router->sw, ash_random_next (&run->random)),
-                          copy_ms);
+    if (run->now_ms - router->lists_requested_ms[i] > LISTS_RETRY_MS &&
+        ash_map_switch_needs_lists (&router->map_switch, i))
+      request_lists (run, r, i);
+  if (router->leads && ash_map_switch_ready (&router->map_switch, now (run)) && chance (run, 10))
+    ash_map_switch_begin (
+        &router->map_switch, now (run),
+        ash_map_switch_new_version (&router->map_switch, ash_random_next (&run->random)), copy_ms);
   /* What map is in use may have to be asked first. */
-  if (ash_map_switch_needs_fence (&router->sw) && chance (run, 50))
+  if (ash_map_switch_needs_fence (&router->map_switch) && chance (run, 50))
     ash_map_switch_set_fence (
-        &router->sw, ash_map_switch_new_version (&router->sw, ash_random_next (&run->random)));
-  count = ash_map_switch_orders (&router->sw, now (run), orders);
+        &router->map_switch,
+        ash_map_switch_new_version (&router->map_switch, ash_random_next (&run->random)));
+  count = ash_map_switch_orders (&router->map_switch, now (run), orders);
   count_result (router);
   for (uint32_t i = 0; i < count; i++)
     send_order (run, r, &orders[i]);
@@ -374,9 +376,9 @@
 
 /* A rank is asked for its lists, or its answer comes. */
 static void
-deliver_lists (struct run *run, struct message *message, bool here)
+deliver_lists (struct run *run, struct message *message, bool reaches_router)
 {
-  struct ash_map_switch *sw = &run->routers[message->router].sw;
+  struct ash_map_switch *map_switch = &run->routers[message->router].map_switch;
   const struct ash_rank_report *report = &message->report;
 
   if (!message->is_answer)
@@ -384,12 +386,12 @@
       message->report = report_of (run, report->rank);
       message->is_answer = true;
       message->due_ms = run->now_ms + 1 + ash_random_below (&run->random, 5);
-      post (run, message);
+      enqueue (run, message);
     }
-  else if (here)
+  else if (reaches_router)
     {
-      ash_map_switch_set_active (sw, report->rank, report->epoch, report->map);
-      ash_map_switch_set_prepared (sw, report->rank, report->epoch, report->prepared,
+      ash_map_switch_set_active (map_switch, report->rank, report->epoch, report->map);
+      ash_map_switch_set_prepared (map_switch, report->rank, report->epoch, report->prepared,
                                    message->asked);
     }
 }
@@ -399,42 +401,43 @@
 {
   struct message copy = *message;
   struct router *router = &run->routers[copy.router];
-  bool here = copy.life == router->life && run->now_ms >= router->paused_until;
+  bool reaches_router =
+      copy.incarnation == router->incarnation && run->now_ms >= router->paused_until_ms;
 
   message->used = false;
   if (copy.is_lists)
-    deliver_lists (run, &copy, here);
+    deliver_lists (run, &copy, reaches_router);
   else if (copy.is_report)
     {
-      if (here)
-        ash_map_switch_report (&router->sw, now (run), &copy.report);
+      if (reaches_router)
+        ash_map_switch_report (&router->map_switch, now (run), &copy.report);
     }
   else if (copy.is_answer)
     {
-      if (here)
-        ash_map_switch_handle_answer (&router->sw, now (run), &copy.order, copy.status);
+      if (reaches_router)
+        ash_map_switch_handle_answer (&router->map_switch, now (run), &copy.order, copy.status);
     }
   else
     {
-      copy.status = carry_out (run, &copy.order);
+      copy.status = apply_order (run, &copy.order);
       if (run->traced)
         printf ("%lld router %d life %u: order %d at rank %u epoch %llu version %llx step %llu: "
                 "%u%s (step now %llu)\n",
-                (long long) run->now_ms, copy.router, copy.life, (int) copy.order.kind,
+                (long long) run->now_ms, copy.router, copy.incarnation, (int) copy.order.kind,
                 copy.order.rank, (unsigned long long) copy.order.epoch,
                 (unsigned long long) copy.order.version, (unsigned long long) copy.order.step,
                 copy.status, copy.unanswered ? " unanswered" : "", (unsigned long long) run->step);
       copy.is_answer = true;
       copy.due_ms = run->now_ms + 1 + ash_random_below (&run->random, 5);
       if (!copy.unanswered)
-        post (run, &copy);
+        enqueue (run, &copy);
     }
 }
 
 /* ---- trouble ---- */
 
 static void
-make_trouble (struct run *run)
+inject_fault (struct run *run)
 {
   int r = (int) ash_random_below (&run->random, ROUTERS);
   struct router *router = &run->routers[r];
@@ -442,24 +445,24 @@
   switch (ash_random_below (&run->random, 5))
     {
     case 0: /* killed; the other one leads */
-      forget (run, r);
+      restart_router (run, r);
       router->leads = false;
       run->routers[1 - r].leads = true;
       break;
     case 1: /* paused: wakes and forgets */
-      if (run->now_ms < router->paused_until)
+      if (run->now_ms < router->paused_until_ms)
         break;
-      router->paused_until = run->now_ms + 1000 + ash_random_below (&run->random, 3000);
-      forget (run, r);
+      router->paused_until_ms = run->now_ms + 1000 + ash_random_below (&run->random, 3000);
+      restart_router (run, r);
       router->leads = false;
       run->routers[1 - r].leads = true;
       break;
     case 2: /* both believe that they lead, or one only */
       router->leads = true;
-      run->routers[1 - r].leads = run->two_lead;
+      run->routers[1 - r].leads = run->two_leaders;
       break;
     case 3:
-      form_anew (run);
+      reform_group (run);
       break;
     default:
       break;
@@ -467,29 +470,29 @@
 }
 
 static void
-calm_down (struct run *run)
+stop_faults (struct run *run)
 {
-  run->loss = 0;
-  run->late = 0;
-  run->slow = 0;
+  run->loss_percent = 0;
+  run->late_percent = 0;
+  run->slow_percent = 0;
   run->routers[0].leads = true;
   run->routers[1].leads = false;
 }
 
 static void
-play (struct run *run)
+run_events (struct run *run)
 {
-  run->next_pass_ms = ash_random_below (&run->random, FIRST_PASS_MOST_MS);
-  while (run->now_ms < TROUBLE_MS + CALM_MS && !run->broken)
+  run->next_pass_ms = ash_random_below (&run->random, FIRST_PASS_MAX_MS);
+  while (run->now_ms < FAULTS_MS + RECOVERY_MS && !run->violation)
     {
       run->now_ms += TICK_MS;
-      if (run->now_ms < TROUBLE_MS)
+      if (run->now_ms < FAULTS_MS)
         {
           if (ash_random_below (&run->random, 400) == 0)
-            make_trouble (run);
+            inject_fault (run);
         }
-      else if (run->now_ms < TROUBLE_MS + TICK_MS)
-        calm_down (run);
+      else if (run->now_ms < FAULTS_MS + TICK_MS)
+        stop_faults (run);
       for (int i = 0; i < MESSAGES_MAX; i++)
         if (run->messages[i].used && run->messages[i].due_ms <= run->now_ms)
           deliver (run, &run->messages[i]);
@@ -501,8 +504,8 @@
           run->next_pass_ms = run->now_ms + PASS_MS;
         }
       /* Late orders come for twelve seconds after the trouble. */
-      if (run->now_ms > TROUBLE_MS + 15000 && run->now_ms - run->last_pass_ms > STAND_MOST_MS)
-        run->broken = "the group stands still";
+      if (run->now_ms > FAULTS_MS + 15000 && run->now_ms - run->last_pass_ms > STALL_MAX_MS)
+        run->violation = "the group stands still";
     }
 }
 
@@ -510,26 +513,26 @@
 run_schedule (uint64_t seed, int traced)
 {
   struct run *run = calloc (1, sizeof *run);
-  const char *broken;
+  const char *violation;
 
   if (!run)
     return "no memory";
   ash_random_init (&run->random, seed);
   run->traced = traced != 0;
   run->epoch = 1;
-  run->loss = ash_random_below (&run->random, 25);
-  run->late = ash_random_below (&run->random, 3) ? 0 : ash_random_below (&run->random, 20);
-  run->two_lead = seed % 4 == 0;
-  run->slow = seed % 3 == 1 ? 1 + ash_random_below (&run->random, 25) : 0;
+  run->loss_percent = ash_random_below (&run->random, 25);
+  run->late_percent = ash_random_below (&run->random, 3) ? 0 : ash_random_below (&run->random, 20);
+  run->two_leaders = seed % 4 == 0;
+  run->slow_percent = seed % 3 == 1 ? 1 + ash_random_below (&run->random, 25) : 0;
   for (int r = 0; r < ROUTERS; r++)
-    ash_map_switch_init (&run->routers[r].sw, RANKS, LAG_MS, (uint32_t) r);
+    ash_map_switch_init (&run->routers[r].map_switch, RANKS, LAG_MS, (uint32_t) r);
   run->routers[0].leads = true;
-  play (run);
-  broken = run->broken;
+  run_events (run);
+  violation = run->violation;
   fflush (stdout);
   totals[TOTAL_STEPS] += run->step;
   free (run);
-  return broken;
+  return violation;
 }
 
 int
--- a/test/schedule.c
+++ b/test/schedule.c
@@ -24,7 +24,7 @@
 #define FRAMES_MAX 100
 #define UNIX_BASE_S 1000000
 
-#define KEY_LIFE_MS 20000
+#define KEY_LIFETIME_MS 20000
 #define GUARD_MS 400
 #define SILENCE_MS 200
 #define GRACE_MS 1000
@@ -59,9 +59,9 @@
   struct session session;
   bool alive;
   bool paused;
-  int64_t woke_ms;
+  int64_t resumed_ms;
   int64_t stop_ms; /* since when it stops as planned; 0: it does not */
-  uint64_t life;
+  uint64_t incarnation;
   char *transcript;
   size_t transcript_bytes;
 };
@@ -70,7 +70,7 @@
 struct run
 {
   int agent;
-  uint64_t life;
+  uint64_t incarnation;
   uint64_t number;
   struct ash_id id;
   unsigned serial;
@@ -85,10 +85,10 @@
 struct call
 {
   int entry;
-  uint64_t entry_life;
+  uint64_t entry_incarnation;
   int key; /* -1: without a key */
   uint32_t attempt;
-  uint32_t stated;
+  uint32_t stated_attempt;
   bool no_repeat;
   bool stream;
   int64_t sent_ms;
@@ -116,10 +116,10 @@
   unsigned call_count;
   uint32_t key_attempts[KEYS];
   uint64_t revision;
-  unsigned set; /* which endpoints the newest document declares */
-  uint64_t lives;
+  unsigned endpoint_set; /* which endpoints the newest document declares */
+  uint64_t last_incarnation;
   bool record;
-  const char *broken;
+  const char *violation;
 };
 
 enum total
@@ -146,14 +146,14 @@
 static void
 fail (struct world *world, const char *why)
 {
-  if (!world->broken)
-    world->broken = why;
+  if (!world->violation)
+    world->violation = why;
 }
 
 /* ---- documents ---- */
 
 static void
-write_document (const struct world *world, unsigned set, int64_t since_s, char *text)
+write_document (const struct world *world, unsigned endpoint_set, int64_t since_s, char *text)
 {
   char *p = text;
   uint8_t hash[ASH_KEY_HASH_BYTES];
@@ -176,7 +176,7 @@
                   e ? "," : "", e);
   p += sprintf (p, "],\"endpoint\":[");
   for (int a = 0, first = 1; a < AGENTS; a++)
-    if (set & (1u << a))
+    if (endpoint_set & (1u << a))
       {
         p += sprintf (p,
                       "%s{\"box\":\"a%d\",\"service\":\"s\",\"hall\":\"h\",\"slots\":2,\"peer\":"
@@ -198,7 +198,8 @@
 static void
 offer (struct world *world, struct process *process)
 {
-  session_offer (&process->session, world->now, world->revision, published, strlen (published));
+  session_offer_config (&process->session, world->now, world->revision, published,
+                        strlen (published));
 }
 
 /* ---- links ---- */
@@ -210,7 +211,7 @@
 
   frame->session = wire->session;
   frame->sent_ms = sent_ms;
-  frame->event = session_copy (event);
+  frame->event = session_copy_event (event);
   DL_APPEND (*queue, frame);
 }
 
@@ -275,10 +276,10 @@
   wire->open = true;
   wire->session++;
   up.role = ASH__ROLE__ENTRY;
-  up.incarnation = world->entries[e].life;
+  up.incarnation = world->entries[e].incarnation;
   append_message (wire, &wire->to_agent, entry_names[e], ASH__EVENT__KIND_LINK_UP, &up);
   up.role = ASH__ROLE__ENDPOINT;
-  up.incarnation = world->agents[a].life;
+  up.incarnation = world->agents[a].incarnation;
   append_message (wire, &wire->to_entry, agent_names[a], ASH__EVENT__KIND_LINK_UP, &up);
 }
 
@@ -292,7 +293,7 @@
 /* Whether what a side sends now goes out on the link that is open: it may still
  * believe in an earlier one. */
 static bool
-knows (const struct wire *wire, bool entry_side)
+is_current_link (const struct wire *wire, bool entry_side)
 {
   return wire->open && wire->session == (entry_side ? wire->entry_session : wire->agent_session);
 }
@@ -304,7 +305,7 @@
 {
   for (unsigned i = 0; i < world->run_count; i++)
     if (world->runs[i].agent == agent && world->runs[i].number == number &&
-        world->runs[i].life == world->agents[agent].life)
+        world->runs[i].incarnation == world->agents[agent].incarnation)
       return &world->runs[i];
   return NULL;
 }
@@ -343,7 +344,7 @@
   world->run_count++;
   *run = (struct run){
     .agent = agent,
-    .life = world->agents[agent].life,
+    .incarnation = world->agents[agent].incarnation,
     .number = start->run,
     .id = { start->id_hi, start->id_lo },
     .serial = world->run_count,
@@ -378,7 +379,7 @@
     }
   copy.peer = ash_text (agent_names[a]);
   for (int e = 0; e < ENTRIES; e++)
-    if (strcmp (event->peer, entry_names[e]) == 0 && knows (&world->wires[e][a], false))
+    if (strcmp (event->peer, entry_names[e]) == 0 && is_current_link (&world->wires[e][a], false))
       append (&world->wires[e][a], &world->wires[e][a].to_entry, world->now.ms, &copy);
 }
 
@@ -418,7 +419,7 @@
 end_call (struct world *world, struct call *call, int outcome)
 {
   unsigned runs = 0;
-  bool upto_ran = false;
+  bool covered_attempt_ran = false;
 
   if (call->ended)
     fail (world, "two final answers to one call");
@@ -431,18 +432,18 @@
       if (run->refused || !ash_id_equal (run->id, call->id))
         continue;
       runs++;
-      upto_ran |= run->attempt <= call->attempt;
+      covered_attempt_ran |= run->attempt <= call->attempt;
     }
   if (outcome == ASH__OUTCOME__RAN && runs == 0)
     fail (world, "told that it ran, and it did not");
   if (outcome != ASH__OUTCOME__NOT_RUN)
     return;
-  if (upto_ran)
+  if (covered_attempt_ran)
     fail (world, "told not run, but it ran");
 }
 
 static void
-take_reply (struct world *world, struct call *call, const struct Ash__Reply *reply)
+handle_reply (struct world *world, struct call *call, const struct Ash__Reply *reply)
 {
   struct ash_id id = { reply->id_hi, reply->id_lo };
 
@@ -465,7 +466,7 @@
 remember_submit (struct world *world, struct wire *wire, const struct Ash__Event *event)
 {
   ash__event__free_unpacked (wire->last_submit, NULL);
-  wire->last_submit = session_copy (event);
+  wire->last_submit = session_copy_event (event);
   wire->last_submit_ms = world->now.ms;
 }
 
@@ -480,7 +481,7 @@
   switch (event->kind_case)
     {
     case ASH__EVENT__KIND_REPLY:
-      take_reply (world, &world->calls[event->reply->call - 1], event->reply);
+      handle_reply (world, &world->calls[event->reply->call - 1], event->reply);
       return;
     case ASH__EVENT__KIND_REPLY_DATA:
       call = &world->calls[event->reply_data->call - 1];
@@ -500,7 +501,7 @@
     }
   copy.peer = ash_text (entry_names[e]);
   for (int a = 0; a < AGENTS; a++)
-    if (strcmp (event->peer, agent_names[a]) == 0 && knows (&world->wires[e][a], true))
+    if (strcmp (event->peer, agent_names[a]) == 0 && is_current_link (&world->wires[e][a], true))
       {
         struct wire *wire = &world->wires[e][a];
 
@@ -519,7 +520,7 @@
   struct ash_settings *settings = &session->settings;
 
   session_settings (settings, name, is_entry);
-  settings->key_life_ms = KEY_LIFE_MS;
+  settings->key_life_ms = KEY_LIFETIME_MS;
   settings->id_life_ms = 500;
   settings->guard_ms = GUARD_MS;
   settings->link_silence_ms = SILENCE_MS;
@@ -529,7 +530,7 @@
   settings->retry_after_ms = 10;
   settings->address_keep_ms = 100;
   settings->grace_ms = GRACE_MS;
-  process->life = ++world->lives * 1000 + 7;
+  process->incarnation = ++world->last_incarnation * 1000 + 7;
   process->alive = true;
   process->paused = false;
   process->stop_ms = 0;
@@ -540,8 +541,8 @@
       world->record ? open_memstream (&process->transcript, &process->transcript_bytes) : NULL;
   if (world->record)
     fprintf (session->transcript, "core %s %s %llu\n", is_entry ? "entry" : "agent", name,
-             (unsigned long long) process->life);
-  session_init (session, process->life, world->now);
+             (unsigned long long) process->incarnation);
+  session_init (session, process->incarnation, world->now);
   offer (world, process);
 }
 
@@ -601,7 +602,7 @@
   if (!process->alive || process->paused || process->stop_ms)
     return;
   process->stop_ms = world->now.ms;
-  session_give_message (&process->session, world->now, "", ASH__EVENT__KIND_STOP, &stop);
+  session_deliver_message (&process->session, world->now, "", ASH__EVENT__KIND_STOP, &stop);
 }
 
 /* Whether a process that stops ends now: when nothing is in its hands, at the latest when its
@@ -621,7 +622,7 @@
 }
 
 static void
-end_stopped (struct world *world)
+end_stopped_processes (struct world *world)
 {
   for (int e = 0; e < ENTRIES; e++)
     if (is_stopped (world, &world->entries[e]))
@@ -633,12 +634,12 @@
 
 /* A process that wakes finds all its links too old, and closes them. */
 static void
-wake (struct world *world, struct process *process, int index, bool is_entry)
+resume_process (struct world *world, struct process *process, int index, bool is_entry)
 {
   struct Ash__LinkDown down = ASH__LINK_DOWN__INIT;
 
   process->paused = false;
-  process->woke_ms = world->now.ms;
+  process->resumed_ms = world->now.ms;
   for (int other = 0; other < 2; other++)
     {
       int e = is_entry ? index : other;
@@ -648,9 +649,9 @@
       close_wire (world, e, a);
       clear_queue (is_entry ? &wire->to_entry : &wire->to_agent);
       *(is_entry ? &wire->entry_session : &wire->agent_session) = 0;
-      session_give_message (&process->session, world->now,
-                            is_entry ? agent_names[other] : entry_names[other],
-                            ASH__EVENT__KIND_LINK_DOWN, &down);
+      session_deliver_message (&process->session, world->now,
+                               is_entry ? agent_names[other] : entry_names[other],
+                               ASH__EVENT__KIND_LINK_DOWN, &down);
     }
 }
 
@@ -673,13 +674,13 @@
     .sent_ms = world->now.ms,
     .deadline_ms = 200 + pick (world, 1500),
   };
-  call->entry_life = world->entries[call->entry].life;
+  call->entry_incarnation = world->entries[call->entry].incarnation;
   if (call->key >= 0)
     {
       char key[16];
 
       call->attempt = ++world->key_attempts[call->key];
-      call->stated = pick (world, 8) ? call->attempt : 0;
+      call->stated_attempt = pick (world, 8) ? call->attempt : 0;
       snprintf (key, sizeof key, "k%d", call->key);
       call->id = ash_id_from_key ("a", "s", key);
     }
@@ -712,16 +713,16 @@
   message.body.len = sizeof body;
   message.no_repeat = call->no_repeat;
   message.stream = call->stream;
-  message.caller_attempt = call->stated;
+  message.caller_attempt = call->stated_attempt;
   message.deadline_ms = (uint32_t) call->deadline_ms;
   message.unix_s = unix_s (world);
-  message.may_be_old = process->woke_ms && world->now.ms - process->woke_ms < 50;
+  message.may_be_old = process->resumed_ms && world->now.ms - process->resumed_ms < 50;
   if (call->key >= 0)
     {
       snprintf (key, sizeof key, "k%d", call->key);
       message.idempotency_key = key;
     }
-  session_give_message (&process->session, world->now, "", ASH__EVENT__KIND_CALL, &message);
+  session_deliver_message (&process->session, world->now, "", ASH__EVENT__KIND_CALL, &message);
 }
 
 /* ---- steps ---- */
@@ -756,9 +757,9 @@
       drop_frame (queue, frame);
       return;
     }
-  session_give (&process->session, world->now, frame->event);
+  session_deliver (&process->session, world->now, frame->event);
   if (doubled && kind != ASH__EVENT__KIND_LINK_UP && kind != ASH__EVENT__KIND_LINK_DOWN)
-    session_give (&process->session, world->now, frame->event);
+    session_deliver (&process->session, world->now, frame->event);
   drop_frame (queue, frame);
 }
 
@@ -804,24 +805,24 @@
       run->active = false;
       end.whole = !run->refused;
       end.not_started = run->refused;
-      session_give_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_END, &end);
+      session_deliver_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_END, &end);
     }
   else if (run->step++ == 0)
     {
       head.status = 200;
-      session_give_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_HEAD, &head);
+      session_deliver_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_HEAD, &head);
     }
   else if (pick (world, 25) == 0)
     {
       run->active = false;
-      session_give_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_END, &end);
+      session_deliver_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_END, &end);
     }
   else
     {
       piece_text (run->id, run->serial, run->step - 2, text);
       data.bytes.data = (uint8_t *) text;
       data.bytes.len = strlen (text);
-      session_give_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_DATA, &data);
+      session_deliver_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_DATA, &data);
     }
 }
 
@@ -831,13 +832,13 @@
   struct Ash__Tick message = ASH__TICK__INIT;
 
   if (process->alive && !process->paused)
-    session_give_message (&process->session, world->now, "", ASH__EVENT__KIND_TICK, &message);
+    session_deliver_message (&process->session, world->now, "", ASH__EVENT__KIND_TICK, &message);
 }
 
 /* Frames are never later than a silent link is kept, nor a caller's request
  * later than the guard: when time moves on, what would be is dropped or done. */
 static void
-settle_late (struct world *world)
+settle_late_frames (struct world *world)
 {
   for (int e = 0; e < ENTRIES; e++)
     for (int a = 0; a < AGENTS; a++)
@@ -891,24 +892,24 @@
   if (span_ms >= SILENCE_MS)
     deliver_in_time (world);
   world->now.ms += span_ms;
-  settle_late (world);
+  settle_late_frames (world);
   for (int i = 0; i < ENTRIES; i++)
     tick (world, &world->entries[i]);
   for (int i = 0; i < AGENTS; i++)
     tick (world, &world->agents[i]);
-  end_stopped (world);
+  end_stopped_processes (world);
 }
 
 static void
 publish (struct world *world)
 {
-  unsigned set = 1 + pick (world, 3);
+  unsigned endpoint_set = 1 + pick (world, 3);
 
-  if (set == world->set)
+  if (endpoint_set == world->endpoint_set)
     return;
-  world->set = set;
+  world->endpoint_set = endpoint_set;
   world->revision++;
-  write_document (world, set, unix_s (world), published);
+  write_document (world, endpoint_set, unix_s (world), published);
 }
 
 static void
@@ -953,9 +954,9 @@
   else if (choice < 93)
     world->agents[a].paused = true;
   else if (choice < 96 && world->entries[e].paused)
-    wake (world, &world->entries[e], e, true);
+    resume_process (world, &world->entries[e], e, true);
   else if (choice < 98 && world->agents[a].paused)
-    wake (world, &world->agents[a], a, false);
+    resume_process (world, &world->agents[a], a, false);
   else if (choice < 99)
     {
       if (pick (world, 2))
@@ -976,16 +977,16 @@
 {
   for (int e = 0; e < ENTRIES; e++)
     if (world->entries[e].paused)
-      wake (world, &world->entries[e], e, true);
+      resume_process (world, &world->entries[e], e, true);
   for (int a = 0; a < AGENTS; a++)
     if (world->agents[a].paused)
-      wake (world, &world->agents[a], a, false);
+      resume_process (world, &world->agents[a], a, false);
   for (unsigned i = 0; i < world->call_count; i++)
     deliver_call (world, i);
   for (int i = 0; i < 10; i++)
     {
       world->now.ms += 1000;
-      settle_late (world);
+      settle_late_frames (world);
       for (int e = 0; e < ENTRIES; e++)
         tick (world, &world->entries[e]);
       for (int a = 0; a < AGENTS; a++)
@@ -1010,17 +1011,17 @@
   world->seed = seed;
   world->record = record;
   world->revision = 1;
-  world->set = 3;
+  world->endpoint_set = 3;
   world->now.ms = 1000;
   ash_random_init (&world->random, seed);
-  write_document (world, world->set, 1, published);
+  write_document (world, world->endpoint_set, 1, published);
   for (int e = 0; e < ENTRIES; e++)
     start_process (world, &world->entries[e], entry_names[e], true);
   for (int a = 0; a < AGENTS; a++)
     start_process (world, &world->agents[a], agent_names[a], false);
   /* Two schedules in three are of lives that are old enough to know all. */
   if (seed % 3)
-    world->now.ms += 2 * KEY_LIFE_MS;
+    world->now.ms += 2 * KEY_LIFETIME_MS;
   for (int e = 0; e < ENTRIES; e++)
     for (int a = 0; a < AGENTS; a++)
       {
@@ -1071,16 +1072,16 @@
 run_schedule (uint64_t seed, int record)
 {
   struct world *world = new_world (seed, record != 0);
-  const char *broken;
+  const char *violation;
 
-  for (unsigned i = 0; i < STEPS && !world->broken; i++)
+  for (unsigned i = 0; i < STEPS && !world->violation; i++)
     step (world);
-  if (!world->broken)
+  if (!world->violation)
     finish_schedule (world);
   count_calls (world);
-  broken = world->broken;
+  violation = world->violation;
   free_world (world);
-  return broken;
+  return violation;
 }
 
 int
--- a/test/unit.c
+++ b/test/unit.c
@@ -137,7 +137,7 @@
 /* ---- configuration ---- */
 
 static enum ash_config_result
-offer (struct ash_config *config, int64_t now_ms, uint64_t revision, const char *text)
+offer_config (struct ash_config *config, int64_t now_ms, uint64_t revision, const char *text)
 {
   struct ash_findings findings;
   enum ash_config_result result;
@@ -154,13 +154,13 @@
   struct ash_config config;
 
   ash_config_init (&config);
-  CU_ASSERT_EQUAL (offer (&config, 0, 5, DOC_START), ASH_CONFIG_ACCEPTED);
-  CU_ASSERT_EQUAL (offer (&config, 0, 4, DOC_START ENDPOINT ("m1")), ASH_CONFIG_OLDER);
-  CU_ASSERT_EQUAL (offer (&config, 0, 5, DOC_START ENDPOINT ("m1")), ASH_CONFIG_SAME);
-  CU_ASSERT_EQUAL (offer (&config, 0, 6, "nonsense"), ASH_CONFIG_REFUSED);
+  CU_ASSERT_EQUAL (offer_config (&config, 0, 5, DOC_START), ASH_CONFIG_ACCEPTED);
+  CU_ASSERT_EQUAL (offer_config (&config, 0, 4, DOC_START ENDPOINT ("m1")), ASH_CONFIG_OLDER);
+  CU_ASSERT_EQUAL (offer_config (&config, 0, 5, DOC_START ENDPOINT ("m1")), ASH_CONFIG_SAME);
+  CU_ASSERT_EQUAL (offer_config (&config, 0, 6, "nonsense"), ASH_CONFIG_REFUSED);
   CU_ASSERT_EQUAL (config.document.revision, 5);
-  CU_ASSERT_EQUAL (offer (&config, 0, 6, "nonsense"), ASH_CONFIG_SAME);
-  CU_ASSERT_EQUAL (offer (&config, 0, 7, DOC_START ENDPOINT ("m1")), ASH_CONFIG_ACCEPTED);
+  CU_ASSERT_EQUAL (offer_config (&config, 0, 6, "nonsense"), ASH_CONFIG_SAME);
+  CU_ASSERT_EQUAL (offer_config (&config, 0, 7, DOC_START ENDPOINT ("m1")), ASH_CONFIG_ACCEPTED);
   CU_ASSERT_EQUAL (config.document.revision, 7);
   CU_ASSERT_EQUAL (config.document.endpoint_count, 1);
   ash_config_finish (&config);
@@ -174,9 +174,9 @@
   const char *homes[ASH_CONFIG_HISTORY_MAX];
 
   ash_config_init (&config);
-  offer (&config, 0, 1, DOC_START ENDPOINT ("m1"));
-  offer (&config, 100, 2, DOC_START ENDPOINT ("m2"));
-  offer (&config, 200, 3, DOC_START ENDPOINT ("m3"));
+  offer_config (&config, 0, 1, DOC_START ENDPOINT ("m1"));
+  offer_config (&config, 100, 2, DOC_START ENDPOINT ("m2"));
+  offer_config (&config, 200, 3, DOC_START ENDPOINT ("m3"));
   CU_ASSERT_EQUAL (ash_config_past_homes (&config, "s", id, at (300), 1000, homes), 2);
   CU_ASSERT_STRING_EQUAL (homes[0], "m2");
   CU_ASSERT_STRING_EQUAL (homes[1], "m1");
@@ -188,7 +188,7 @@
   CU_ASSERT (ash_config_knows_homes (&config, "s", at (1000), 1, 1000));
   /* More changes than are remembered: what came before is not known. */
   for (uint64_t i = 4; i < 4 + ASH_CONFIG_HISTORY_MAX; i++)
-    offer (&config, 300, i, i % 2 ? DOC_START ENDPOINT ("m1") : DOC_START ENDPOINT ("m2"));
+    offer_config (&config, 300, i, i % 2 ? DOC_START ENDPOINT ("m1") : DOC_START ENDPOINT ("m2"));
   CU_ASSERT_FALSE (ash_config_knows_homes (&config, "s", at (1000), 1, 1000));
   ash_config_finish (&config);
 }
@@ -200,7 +200,7 @@
 {
   struct ash_account account = { .name = "a", .rate_per_s = 10, .burst = 6 };
   struct ash_limits limits[3];
-  uint32_t taken = 0;
+  uint32_t admitted = 0;
 
   for (int i = 0; i < 3; i++)
     ash_limits_init (&limits[i]);
@@ -208,9 +208,9 @@
    * ten seconds: together within the whole. */
   for (int64_t ms = 0; ms < 10000; ms++)
     for (int i = 0; i < 3; i++)
-      taken += ash_limits_take (&limits[i], at (ms), &account, 3) == 0;
-  CU_ASSERT (taken <= 106);
-  CU_ASSERT (taken >= 102);
+      admitted += ash_limits_take (&limits[i], at (ms), &account, 3) == 0;
+  CU_ASSERT (admitted <= 106);
+  CU_ASSERT (admitted >= 102);
   CU_ASSERT (ash_limits_take (&limits[0], at (10000), &account, 3) > 0);
   CU_ASSERT (ash_limits_take (&limits[0], at (10000), &account, 3) <= 301);
   for (int i = 0; i < 3; i++)
@@ -344,7 +344,7 @@
 }
 
 static void
-test_expert_policy_patience (void)
+test_expert_policy_hysteresis (void)
 {
   struct ash_expert_weights weights = { .skew = 1, .cost = 0.1, .horizon = 10, .moves = 5 };
   struct ash_expert_placement placement = { .rank_count = RANKS,
@@ -353,24 +353,24 @@
   struct ash_expert_policy policy;
   struct ash_expert_decision decision;
   struct ash_random random;
-  double usual[EXPERTS];
-  double other[EXPERTS];
+  double usual_tokens[EXPERTS];
+  double other_tokens[EXPERTS];
 
   ash_random_init (&random, 2);
-  make_tokens (&random, usual);
-  make_tokens (&random, other);
-  ash_expert_repack (&placement, usual);
+  make_tokens (&random, usual_tokens);
+  make_tokens (&random, other_tokens);
+  ash_expert_repack (&placement, usual_tokens);
   ash_expert_policy_init (&policy, EXPERTS, &weights);
   for (int i = 0; i < 30; i++)
-    ash_expert_policy_report (&policy, usual);
+    ash_expert_policy_report (&policy, usual_tokens);
   ash_expert_policy_decide (&policy, &placement, even_speeds, &decision);
   CU_ASSERT_EQUAL (decision.move_count, 0);
   /* One odd report moves nothing; what lasts does, and is explained. */
-  ash_expert_policy_report (&policy, other);
+  ash_expert_policy_report (&policy, other_tokens);
   ash_expert_policy_decide (&policy, &placement, even_speeds, &decision);
   CU_ASSERT_EQUAL (decision.move_count, 0);
   for (int i = 0; i < 20; i++)
-    ash_expert_policy_report (&policy, other);
+    ash_expert_policy_report (&policy, other_tokens);
   ash_expert_policy_decide (&policy, &placement, even_speeds, &decision);
   CU_ASSERT (decision.move_count > 0);
   CU_ASSERT (decision.skew_after < decision.skew_before);
@@ -525,21 +525,21 @@
 }
 
 static void
-test_lateness (void)
+test_frame_delay (void)
 {
-  struct ash_frame_delay lateness;
+  struct ash_frame_delay delay;
   int64_t latest = 0;
 
-  ash_frame_delay_init (&lateness);
+  ash_frame_delay_init (&delay);
   /* The delay grows by 5 ms with each heartbeat: never a silence, ever later. */
   for (int64_t i = 0; i < 1000; i++)
-    latest = ash_frame_delay_ms (&lateness, at (1000000 + i * 500 + i * 5), (uint32_t) (i * 500));
+    latest = ash_frame_delay_ms (&delay, at (1000000 + i * 500 + i * 5), (uint32_t) (i * 500));
   CU_ASSERT (latest > 4000);
   /* Clocks that drift by 100 parts in a million for a day, and wrap around. */
-  ash_frame_delay_init (&lateness);
+  ash_frame_delay_init (&delay);
   for (int64_t i = 0; i < 86400; i++)
     {
-      int64_t late = ash_frame_delay_ms (&lateness, at (i * 1000 + i / 10),
+      int64_t late = ash_frame_delay_ms (&delay, at (i * 1000 + i / 10),
                                          (uint32_t) (UINT32_MAX - 1000 + i * 1000));
 
       latest = late > latest || i == 0 ? late : latest;
@@ -703,14 +703,14 @@
   CU_add_test (suite, "retry budget", test_retry_budget);
   CU_add_test (suite, "membership: leaving, life by life", test_membership_leaving);
   CU_add_test (suite, "experts: any loads", test_expert_policy_any);
-  CU_add_test (suite, "experts: patience, and a price", test_expert_policy_patience);
+  CU_add_test (suite, "experts: patience, and a price", test_expert_policy_hysteresis);
   CU_add_test (suite, "keys: minted", test_minted_keys);
   CU_add_test (suite, "keys: ids", test_ids_of_keys);
   CU_add_test (suite, "requests: ids of what is asked", test_ids_of_requests);
   CU_add_test (suite, "links: frames", test_frames);
   CU_add_test (suite, "links: frames are bounded", test_frames_bounded);
   CU_add_test (suite, "links: handshake", test_handshake);
-  CU_add_test (suite, "links: lateness", test_lateness);
+  CU_add_test (suite, "links: lateness", test_frame_delay);
   CU_add_test (suite, "texts: events", test_events_as_text);
   CU_add_test (suite, "texts: the catalogue of events", test_event_catalogue);
   CU_add_test (suite, "texts: log", test_log_forms);
--- a/test/unit_config.c
+++ b/test/unit_config.c
@@ -113,7 +113,7 @@
   struct ash_config_text texts[2];
   struct Ash__ConfigDelta *delta;
   size_t length;
-  size_t fresh = 0;
+  size_t new_bytes = 0;
   char *result;
 
   for (int i = 0; i < 2; i++)
@@ -128,8 +128,8 @@
     }
   delta = ash_config_delta_make (&texts[0], &texts[1]);
   for (size_t i = 0; i < delta->n_pieces; i++)
-    fresh += delta->pieces[i]->text.len;
-  CU_ASSERT (fresh < 200);
+    new_bytes += delta->pieces[i]->text.len;
+  CU_ASSERT (new_bytes < 200);
   result = ash_config_delta_apply (&texts[0], delta, &length);
   CU_ASSERT_EQUAL (length, texts[1].length);
   CU_ASSERT (result && memcmp (result, texts[1].bytes, length) == 0);
@@ -169,7 +169,7 @@
 #define HALLS "[[hall]]\nname='h'\n[[hall]]\nname='i'\n"
 #define ENTRY(name, hall)                                                                          \
   "[[entry]]\nbox='" name "'\nhall='" hall "'\nhttp='127.0.0.1:1'\npeer='127.0.0.1:2'\n"
-#define FOUR ENTRY ("a", "h") ENTRY ("b", "h") ENTRY ("c", "h") ENTRY ("d", "i")
+#define FOUR_ENTRIES ENTRY ("a", "h") ENTRY ("b", "h") ENTRY ("c", "h") ENTRY ("d", "i")
 #define ACCOUNT                                                                                    \
   "[[class]]\nname='c'\n[[account]]\nname='x'\nclass='c'\nentries=4\nkey_hash='"                   \
   "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff'\n"
@@ -177,9 +177,9 @@
 static const char *const names[] = { "a", "b", "c", "d" };
 
 static void
-start_four (struct ash_config *config, struct ash_membership *membership)
+init_four_entries (struct ash_config *config, struct ash_membership *membership)
 {
-  static const char text[] = HALLS FOUR ACCOUNT;
+  static const char text[] = HALLS FOUR_ENTRIES ACCOUNT;
   struct ash_findings findings;
 
   ash_config_init (config);
@@ -193,7 +193,7 @@
 
 /* What each of the four believes, if all say whether they read. */
 static void
-hear (struct ash_membership *membership, const bool reads[4])
+deliver_heartbeats (struct ash_membership *membership, const bool reads[4])
 {
   for (int i = 0; i < 4; i++)
     {
@@ -221,10 +221,10 @@
   ash_config_init (&config);
   ash_membership_init (&membership);
   CU_ASSERT (ash_readers_should_read (&config, &membership, "a", 2));
-  start_four (&config, &membership);
+  init_four_entries (&config, &membership);
   CU_ASSERT (ash_readers_should_read (&config, &membership, "nobody", 2));
   CU_ASSERT_FALSE (ash_readers_any (&membership));
-  hear (&membership, reads);
+  deliver_heartbeats (&membership, reads);
   CU_ASSERT (ash_readers_any (&membership));
   for (int i = 0; i < 3; i++)
     {
@@ -239,10 +239,10 @@
   CU_ASSERT_EQUAL (readers, 2);
   CU_ASSERT (ash_readers_should_read (&config, &membership, "d", 2));
   reads[other] = false;
-  hear (&membership, reads);
+  deliver_heartbeats (&membership, reads);
   CU_ASSERT (idle >= 0 && ash_readers_should_read (&config, &membership, names[idle], 2));
   reads[other] = true;
-  hear (&membership, reads);
+  deliver_heartbeats (&membership, reads);
   ash_membership_link_down (&membership, names[other]);
   CU_ASSERT (idle >= 0 && ash_readers_should_read (&config, &membership, names[idle], 2));
   ash_membership_finish (&membership);
@@ -251,7 +251,7 @@
 
 /* One that sees hardly anybody does not tell callers that all others are gone. */
 static void
-test_alone (void)
+test_isolated (void)
 {
   static const bool reads[4] = { false, false, false, false };
   struct ash_settings settings;
@@ -263,8 +263,8 @@
   ash_random_init (&random, 1);
   ash_settings_init (&settings);
   strcpy (settings.box, "a");
-  start_four (&config, &membership);
-  hear (&membership, reads);
+  init_four_entries (&config, &membership);
+  deliver_heartbeats (&membership, reads);
   CU_ASSERT_FALSE (ash_membership_isolated (&membership, &config.document, "a"));
   ash_membership_link_down (&membership, "b");
   ash_membership_tick (&membership, (struct ash_time){ 1000 }, &config.document, &settings);
@@ -311,7 +311,7 @@
 
 /* Tells where the first finding in an entry's settings is, with that much more in them. */
 static void
-find_in_entry (const char *more, char place[128])
+first_entry_finding (const char *more, char place[128])
 {
   static const char start[] =
       "box = 'e'\nrole = 'entry'\nhall = 'h'\npeer_listen = '127.0.0.1:1'\n"
@@ -349,7 +349,7 @@
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      find_in_entry (cases[i].more, place);
+      first_entry_finding (cases[i].more, place);
       CU_ASSERT_STRING_EQUAL (place, cases[i].place);
     }
 }
@@ -363,5 +363,5 @@
   CU_add_test (suite, "configuration: a short delta", test_short_delta);
   CU_add_test (suite, "configuration: a delta of one long line", test_one_line_delta);
   CU_add_test (suite, "configuration: who reads the platform", test_readers);
-  CU_add_test (suite, "membership: alone", test_alone);
+  CU_add_test (suite, "membership: alone", test_isolated);
 }
--- a/test/unit_declared.c
+++ b/test/unit_declared.c
@@ -75,15 +75,15 @@
 {
   struct ash_reservation reservation = { .name = "r", .rate_per_s = 30 };
   struct ash_limits limits[3];
-  uint32_t taken = 0;
+  uint32_t admitted = 0;
 
   for (int i = 0; i < 3; i++)
     ash_limits_init (&limits[i]);
   for (int64_t ms = 0; ms < 10000; ms++)
     for (int i = 0; i < 3; i++)
-      taken += ash_limits_take_reserved (&limits[i], (struct ash_time){ ms }, &reservation, 3);
-  CU_ASSERT (taken <= 330);
-  CU_ASSERT (taken >= 325);
+      admitted += ash_limits_take_reserved (&limits[i], (struct ash_time){ ms }, &reservation, 3);
+  CU_ASSERT (admitted <= 330);
+  CU_ASSERT (admitted >= 325);
   for (int i = 0; i < 3; i++)
     ash_limits_finish (&limits[i]);
 }
--- a/test/unit_era.c
+++ b/test/unit_era.c
@@ -15,7 +15,7 @@
 }
 
 static void
-test_places (void)
+test_store_positions (void)
 {
   CU_ASSERT (ash_store_position (3, 1) > ash_store_position (2, ASH_STORE_POSITION_REVISIONS - 1));
   CU_ASSERT (ash_store_position (2, 8) > ash_store_position (2, 7));
@@ -42,7 +42,7 @@
 }
 
 static void
-test_era_told (void)
+test_era_header (void)
 {
   static const char *const bad[] = { "",    "-1",  "+1",  " 1",       "1 ",
                                      "1,2", "0x1", "1e3", "18000001", "99999999999999999999999" };
@@ -62,7 +62,7 @@
 #define ENDPOINT 77
 
 static void
-note (struct ash_tombstones *tombstones, int64_t born_ms, uint64_t era, bool draining)
+add_tombstone (struct ash_tombstones *tombstones, int64_t born_ms, uint64_t era, bool draining)
 {
   ash_tombstones_add (tombstones,
                       &(struct ash_tombstone){ ENDPOINT, born_ms, era, .draining = draining });
@@ -70,12 +70,12 @@
 
 /* One that was missing: doubted in a later era until its entry must have lapsed. */
 static void
-test_departed_missing (void)
+test_tombstone_missing (void)
 {
   struct ash_tombstones tombstones = { 0 };
 
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (1), ENDPOINT, 5, 3));
-  note (&tombstones, 5, 3, false);
+  add_tombstone (&tombstones, 5, 3, false);
   CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (100), ENDPOINT, 5, 4));
   CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (6099), ENDPOINT, 5, 4));
   CU_ASSERT_EQUAL (ash_tombstones_pop_expired (&tombstones, at (6099)), 0);
@@ -84,31 +84,31 @@
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (6100), ENDPOINT, 5, 4));
   /* In the era in which it went it can only have written its entry again; so has another life,
    * whichever its machine's clock says came first. */
-  note (&tombstones, 5, 4, false);
+  add_tombstone (&tombstones, 5, 4, false);
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (7000), ENDPOINT, 5, 4));
-  note (&tombstones, 5, 4, false);
+  add_tombstone (&tombstones, 5, 4, false);
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (7000), ENDPOINT, 6, 5));
-  note (&tombstones, 5, 4, true);
+  add_tombstone (&tombstones, 5, 4, true);
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (7000), ENDPOINT, 4, 5));
 }
 
 /* One that said it was leaving does so for its life, however long an older copy says otherwise. */
 static void
-test_departed_draining (void)
+test_tombstone_draining (void)
 {
   struct ash_tombstones tombstones = { 0 };
 
-  note (&tombstones, 5, 3, true);
+  add_tombstone (&tombstones, 5, 3, true);
   CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (100), ENDPOINT, 5, 4));
   CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (100000), ENDPOINT, 5, 6));
   CU_ASSERT_EQUAL (ash_tombstones_pop_expired (&tombstones, at (100000)), 0);
   /* Then it is missing too. */
-  note (&tombstones, 5, 6, false);
+  add_tombstone (&tombstones, 5, 6, false);
   CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (200000), ENDPOINT, 5, 7));
   CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (300000), ENDPOINT, 5, 7));
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (300000), ENDPOINT, 9, 7));
   /* The oldest make room. */
-  note (&tombstones, 5, 3, true);
+  add_tombstone (&tombstones, 5, 3, true);
   for (uint64_t i = 0; i < ASH_TOMBSTONES_MAX; i++)
     ash_tombstones_add (&tombstones, &(struct ash_tombstone){ 1000 + i, 1, 3, .draining = true });
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (1), ENDPOINT, 5, 4));
@@ -117,8 +117,8 @@
 void
 add_era_tests (CU_pSuite suite)
 {
-  CU_add_test (suite, "older copy: places", test_places);
-  CU_add_test (suite, "older copy: the era as told", test_era_told);
-  CU_add_test (suite, "older copy: one that was missing", test_departed_missing);
-  CU_add_test (suite, "older copy: one that was leaving", test_departed_draining);
+  CU_add_test (suite, "older copy: places", test_store_positions);
+  CU_add_test (suite, "older copy: the era as told", test_era_header);
+  CU_add_test (suite, "older copy: one that was missing", test_tombstone_missing);
+  CU_add_test (suite, "older copy: one that was leaving", test_tombstone_draining);
 }
--- a/test/unit_experts.c
+++ b/test/unit_experts.c
@@ -30,11 +30,11 @@
 
 /* Experts in turn, rank after rank; what is left of the slots is empty. */
 static void
-deal_sized (struct ash_layer_map *map,
-            uint32_t layer_count,
-            uint32_t rank_count,
-            uint32_t slot_count,
-            uint32_t expert_count)
+fill_map_sized (struct ash_layer_map *map,
+                uint32_t layer_count,
+                uint32_t rank_count,
+                uint32_t slot_count,
+                uint32_t expert_count)
 {
   ash_layer_map_init (map, layer_count, rank_count, slot_count, expert_count);
   for (uint32_t layer = 0; layer < layer_count; layer++)
@@ -48,14 +48,14 @@
 }
 
 static void
-deal (struct ash_layer_map *map)
+fill_map (struct ash_layer_map *map)
 {
-  deal_sized (map, LAYERS, RANKS, SLOTS, EXPERTS);
+  fill_map_sized (map, LAYERS, RANKS, SLOTS, EXPERTS);
 }
 
 /* Every expert stands somewhere, and none twice at a rank. */
 static void
-expect_sound (const struct ash_layer_map *map)
+expect_valid_map (const struct ash_layer_map *map)
 {
   for (uint32_t layer = 0; layer < map->layer_count; layer++)
     for (uint16_t expert = 0; expert < map->expert_count; expert++)
@@ -92,7 +92,7 @@
   const struct ash_layer_weights weights = {
     .decay = 0.5, .similarity_min = 0.9, .min_gain = 0.02, .layer_moves = 2, .rank_moves = 3
   };
-  const struct ash_change_terms lasting = { .expert_fraction = 0.5, .remaining_ms = 1e5 };
+  const struct ash_change_terms long_lasting = { .expert_fraction = 0.5, .remaining_ms = 1e5 };
   double counts[LAYERS * EXPERTS];
   struct ash_layer_policy policy;
   struct ash_layer_map map;
@@ -100,7 +100,7 @@
   struct ash_layer_decision decision;
   double skew;
 
-  deal (&map);
+  fill_map (&map);
   ash_layer_policy_init (&policy, LAYERS, EXPERTS, &weights);
   for (int i = 0; i < LAYERS * EXPERTS; i++)
     counts[i] = 1;
@@ -112,8 +112,8 @@
   for (int i = 0; i < 4; i++)
     {
       before = map;
-      ash_layer_policy_decide (&policy, &lasting, &map, &decision);
-      expect_sound (&map);
+      ash_layer_policy_decide (&policy, &long_lasting, &map, &decision);
+      expect_valid_map (&map);
       for (uint32_t rank = 0; rank < RANKS; rank++)
         CU_ASSERT (changed_slots (&before, &map, rank) <= weights.rank_moves);
       CU_ASSERT (decision.skew_after <= decision.skew_before);
@@ -128,8 +128,8 @@
   CU_ASSERT (policy.demand[0][5] < 0.05);
   CU_ASSERT (ash_layer_skew (&policy, &map) > 1.4);
   for (int i = 0; i < 4; i++)
-    ash_layer_policy_decide (&policy, &lasting, &map, &decision);
-  expect_sound (&map);
+    ash_layer_policy_decide (&policy, &long_lasting, &map, &decision);
+  expect_valid_map (&map);
   CU_ASSERT (decision.skew_after < 1.3);
 }
 
@@ -173,7 +173,7 @@
 test_large_groups (void)
 {
   static const uint32_t rank_counts[] = { 64, 65, 96, 300, ASH_LAYER_RANKS_MAX };
-  const struct ash_change_terms lasting = { .expert_fraction = 0.5, .remaining_ms = 1e5 };
+  const struct ash_change_terms long_lasting = { .expert_fraction = 0.5, .remaining_ms = 1e5 };
   struct many_ranks many = many_ranks_new ();
   struct ash_layer_decision decision;
 
@@ -183,11 +183,11 @@
     {
       uint32_t slot_count = (MANY_EXPERTS + rank_counts[i] - 1) / rank_counts[i] + 1;
 
-      deal_sized (many.map, MANY_LAYERS, rank_counts[i], slot_count, MANY_EXPERTS);
+      fill_map_sized (many.map, MANY_LAYERS, rank_counts[i], slot_count, MANY_EXPERTS);
       ash_layer_policy_init (many.policy, MANY_LAYERS, MANY_EXPERTS, &many_ranks_weights);
       ash_layer_policy_report (many.policy, many.counts);
-      ash_layer_policy_decide (many.policy, &lasting, many.map, &decision);
-      expect_sound (many.map);
+      ash_layer_policy_decide (many.policy, &long_lasting, many.map, &decision);
+      expect_valid_map (many.map);
       CU_ASSERT (decision.moves > 0);
       CU_ASSERT (decision.skew_before > 3);
       CU_ASSERT (decision.skew_after < 0.75 * decision.skew_before);
@@ -209,13 +209,13 @@
   struct ash_random random;
 
   ash_random_init (&random, 7);
-  deal_sized (many.map, MANY_LAYERS, 96, 3, MANY_EXPERTS);
+  fill_map_sized (many.map, MANY_LAYERS, 96, 3, MANY_EXPERTS);
   ash_layer_policy_init (many.policy, MANY_LAYERS, MANY_EXPERTS, &many_ranks_weights);
   for (uint32_t i = 0; i < MANY_LAYERS * MANY_EXPERTS; i++)
     many.counts[i] = exp ((double) ash_random_below (&random, 1000) / 333 - 1);
   ash_layer_policy_report (many.policy, many.counts);
   ash_layer_policy_decide (many.policy, &terms, many.map, &decision);
-  expect_sound (many.map);
+  expect_valid_map (many.map);
   CU_ASSERT (decision.skew_before > 2.4);
   CU_ASSERT (decision.skew_after < 1.45);
   many_ranks_free (&many);
@@ -248,7 +248,7 @@
     pace[rank] = 1;
   for (uint32_t i = 0; i < MANY_LAYERS * MANY_EXPERTS; i++)
     many.counts[i] = 1 + i % 7;
-  deal_sized (many.map, MANY_LAYERS, 32, 8, MANY_EXPERTS);
+  fill_map_sized (many.map, MANY_LAYERS, 32, 8, MANY_EXPERTS);
   ash_layer_policy_init (many.policy, MANY_LAYERS, MANY_EXPERTS, &many_ranks_weights);
   ash_layer_policy_report (many.policy, many.counts);
   for (int i = 0; i < 6; i++)
@@ -256,20 +256,20 @@
   held = held_slots (many.map, slow);
   pace[slow] = 4;
   ash_layer_policy_decide (many.policy, &terms, many.map, &decision);
-  expect_sound (many.map);
+  expect_valid_map (many.map);
   CU_ASSERT (held_slots (many.map, slow) <= held);
   CU_ASSERT (decision.skew_before > 3);
   CU_ASSERT (decision.skew_after < 0.75 * decision.skew_before);
   for (int i = 0; i < 6; i++)
     ash_layer_policy_decide (many.policy, &terms, many.map, &decision);
-  expect_sound (many.map);
+  expect_valid_map (many.map);
   /* Others hold by now what it held alone. */
   CU_ASSERT (held_slots (many.map, slow) < held);
   CU_ASSERT (decision.skew_after < 1.3);
   pace[slow] = 1;
   for (int i = 0; i < 6; i++)
     ash_layer_policy_decide (many.policy, &terms, many.map, &decision);
-  expect_sound (many.map);
+  expect_valid_map (many.map);
   CU_ASSERT (decision.skew_after < 1.3);
   many_ranks_free (&many);
 }
@@ -334,7 +334,7 @@
 test_change_plan (void)
 {
   const double after[] = { 1.7, 1.25, 1.2 };
-  const double little[] = { 1.22, 1.21, 1.2 };
+  const double small_gain[] = { 1.22, 1.21, 1.2 };
 
   /* Copying takes 0.4 s, 0.13 s, 0.03 s, 2 s. */
   CU_ASSERT_EQUAL (copies_of (3000, 3500, 3.2, after, 3), 1);
@@ -342,8 +342,8 @@
   CU_ASSERT_EQUAL (copies_of (220, 3500, 3.2, after, 3), 3);
   CU_ASSERT_EQUAL (copies_of (15000, 1500, 3.2, after, 3), 0);
   /* What takes little off pays only if it lasts, or costs nothing much. */
-  CU_ASSERT_EQUAL (copies_of (3000, 2500, 1.3, little, 3), 0);
-  CU_ASSERT (copies_of (3000, 60000, 1.4, little, 3) > 0);
+  CU_ASSERT_EQUAL (copies_of (3000, 2500, 1.3, small_gain, 3), 0);
+  CU_ASSERT (copies_of (3000, 60000, 1.4, small_gain, 3) > 0);
   CU_ASSERT_EQUAL (copies_of (3000, 3500, 3.2, after, 0), 0);
 }
 
--- a/test/unit_maps.c
+++ b/test/unit_maps.c
@@ -26,7 +26,7 @@
 
 /* Answers whatever is ordered until a step is to be held. @return that step. */
 static uint64_t
-held_step (struct ash_map_switch *sw, struct ash_time now)
+order_until_hold (struct ash_map_switch *sw, struct ash_time now)
 {
   struct ash_rank_order orders[ASH_LAYER_RANKS_MAX];
   uint32_t count = ash_map_switch_orders (sw, now, orders);
@@ -54,7 +54,7 @@
   ash_map_switch_set_pass_ms (&sw, 50);
   CU_ASSERT (ash_map_switch_ready (&sw, now));
   ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
-  CU_ASSERT_EQUAL (held_step (&sw, now), 1);
+  CU_ASSERT_EQUAL (order_until_hold (&sw, now), 1);
   /* The group has been idle since its last step. */
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 100);
@@ -62,14 +62,14 @@
   now = ash_time_add (now, 60000);
   report_all (&sw, now, 100);
   ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
-  CU_ASSERT_EQUAL (held_step (&sw, now), 101);
+  CU_ASSERT_EQUAL (order_until_hold (&sw, now), 101);
   /* It is at work: what it has gone on since it told is counted in. */
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 100);
   ash_map_switch_set_pass_ms (&sw, 50);
   now = ash_time_add (now, 300);
   ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
-  CU_ASSERT (held_step (&sw, now) >= 106);
+  CU_ASSERT (order_until_hold (&sw, now) >= 106);
   /* No stream of this router shows its passes, but ranks have told steps: of the second group of a
    * deployment nine steps were tried, each a round trip, before one had not begun. */
   ash_map_switch_init (&sw, 4, 200, 0);
@@ -80,7 +80,7 @@
   ash_map_switch_sample_step (&sw, now, 112);
   now = ash_time_add (now, 300);
   ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
-  step = held_step (&sw, now);
+  step = order_until_hold (&sw, now);
   CU_ASSERT (step >= 115 && step <= 118);
 }
 
@@ -89,8 +89,8 @@
 answer_all (struct ash_map_switch *sw,
             struct ash_time now,
             enum ash_rank_order_kind kind,
-            uint32_t odd_rank,
-            uint16_t odd_status)
+            uint32_t other_rank,
+            uint16_t other_status)
 {
   struct ash_rank_order orders[ASH_LAYER_RANKS_MAX];
   uint32_t count = ash_map_switch_orders (sw, now, orders);
@@ -100,7 +100,7 @@
     {
       CU_ASSERT_EQUAL (orders[i].kind, kind);
       ash_map_switch_handle_answer (sw, now, &orders[i],
-                                    orders[i].rank == odd_rank ? odd_status : 200);
+                                    orders[i].rank == other_rank ? other_status : 200);
     }
 }
 
@@ -153,7 +153,7 @@
 /* A report that a rank is armed with the version does not say for which step: another router may
  * have armed it for another one. Taken for the answer to the arm, a pass had two maps. */
 static void
-test_report_is_no_answer (void)
+test_report_does_not_confirm_arm (void)
 {
   static const uint32_t copy_ms[ASH_LAYER_RANKS_MAX];
   struct ash_time now = { 65000000 };
@@ -283,7 +283,7 @@
 
 /* Another router's order to go for a first hold of a step would end a second one at that rank. */
 static void
-test_let_go_before (void)
+test_released_step (void)
 {
   static const uint32_t copy_ms[ASH_LAYER_RANKS_MAX];
   static const uint64_t prepared[] = { 7, 7, 7, 7 };
@@ -310,7 +310,7 @@
 
 /* What a report from before the hold told to be armed is not what is to be taken back. */
 static void
-test_armed_before (void)
+test_stale_armed_report (void)
 {
   struct ash_time now = { 65000000 };
   struct ash_map_switch sw;
@@ -384,13 +384,13 @@
 void
 add_map_tests (CU_pSuite suite)
 {
-  CU_add_test (suite, "expert layers: a step that was let go before another", test_let_go_before);
-  CU_add_test (suite, "expert layers: what was armed before the hold", test_armed_before);
+  CU_add_test (suite, "expert layers: a step that was let go before another", test_released_step);
+  CU_add_test (suite, "expert layers: what was armed before the hold", test_stale_armed_report);
   CU_add_test (suite, "groups: memory follows the size", test_memory_of_small_group);
   CU_add_test (suite, "expert layers: a hold is near", test_hold_is_near);
   CU_add_test (suite, "expert layers: an arm after the disarm", test_late_arm);
   CU_add_test (suite, "expert layers: a refused hold", test_refused_hold);
-  CU_add_test (suite, "expert layers: a report is no answer", test_report_is_no_answer);
+  CU_add_test (suite, "expert layers: a report is no answer", test_report_does_not_confirm_arm);
   CU_add_test (suite, "expert layers: finishing what is prepared unevenly", test_finish_uneven);
   CU_add_test (suite, "expert layers: two holds", test_two_holds);
 }
--- a/test/unit_prompts.c
+++ b/test/unit_prompts.c
@@ -29,14 +29,15 @@
 static int64_t
 wait_ms (struct ash_prompt_gate *gate,
          const struct ash_prompt_terms *terms,
-         int64_t came,
+         int64_t arrived_at_ms,
          int64_t ms)
 {
-  return ash_time_diff (at (ms), ash_prompt_gate_send_time (gate, terms, at (came), at (ms)));
+  return ash_time_diff (at (ms),
+                        ash_prompt_gate_send_time (gate, terms, at (arrived_at_ms), at (ms)));
 }
 
 static void
-see (struct ash_prompt_gate *gate, int64_t ms, int64_t pause_ms)
+add_pause (struct ash_prompt_gate *gate, int64_t ms, int64_t pause_ms)
 {
   ash_prompt_gate_add_pause (gate, at (ms), pause_ms, PAUSE_AIM_MS);
 }
@@ -44,16 +45,16 @@
 /* ---- decisions ---- */
 
 static void
-test_jump (void)
+test_sudden_long_pass (void)
 {
   struct ash_prompt_gate gate = { 0 };
   struct ash_prompt_terms slow = usual_terms;
 
   slow.maps_adapt_in_time = false;
-  see (&gate, 0, 55);
-  see (&gate, 55, 56);
+  add_pause (&gate, 0, 55);
+  add_pause (&gate, 55, 56);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 60, 60), 0);
-  see (&gate, 150, 95);
+  add_pause (&gate, 150, 95);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 150, 150), 160);
   /* One that has waited as long goes; so does one whose maps take too long to follow. */
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 0, 160), 0);
@@ -65,22 +66,22 @@
 
 /* Passes that stay long are the usual ones, and short ones leave room for prompts. */
 static void
-test_no_jump (void)
+test_steady_passes (void)
 {
   struct ash_prompt_gate gate = { 0 };
 
-  see (&gate, 0, 55);
+  add_pause (&gate, 0, 55);
   for (int64_t ms = 100; ms < 700; ms += 100)
-    see (&gate, ms, 100);
+    add_pause (&gate, ms, 100);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 700, 700), 0);
-  see (&gate, 800, 102);
+  add_pause (&gate, 800, 102);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 800, 800), 0);
   gate = (struct ash_prompt_gate){ 0 };
-  see (&gate, 0, 30);
-  see (&gate, 60, 60);
+  add_pause (&gate, 0, 30);
+  add_pause (&gate, 60, 60);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 60, 60), 0);
   /* A group that stood still tells nothing of its passes. */
-  see (&gate, 2000, 1900);
+  add_pause (&gate, 2000, 1900);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 2000, 2000), 0);
 }
 
@@ -91,7 +92,7 @@
   struct ash_prompt_terms resumed = usual_terms;
 
   resumed.resumed = true;
-  see (&gate, 0, 50);
+  add_pause (&gate, 0, 50);
   for (int i = 0; i < 2; i++)
     {
       CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 100, 100), 0);
@@ -111,7 +112,7 @@
 }
 
 static void
-test_figures (void)
+test_engine_facts (void)
 {
   struct ash_engine_facts engine = { .read_tokens_s = 80000, .usual_prompt_tokens = 800 };
 
@@ -138,54 +139,55 @@
 #define PASS_EVEN_MS 54.0
 #define PASS_SKEW_MS 11.0
 #define PROMPT_MS 0.16
-#define COPYING_PART 1.15
+#define COPYING_FACTOR 1.15
 
 /* From its sending until a prompt may be read. */
-#define FIRST_MS 70
+#define READ_DELAY_MS 70
 
 /* Demand shifts, the map follows, and meanwhile ranks copy. */
 #define SHIFT_MS 2000
-#define COPIES_MS 2240
-#define FOLLOWED_MS 2340
+#define COPY_START_MS 2240
+#define MAP_CHANGED_MS 2340
 #define SHIFTED_SKEW 3.5
 #define USUAL_SKEW 1.2
 
 struct prompt
 {
-  int64_t came_ms;
+  int64_t arrived_ms;
   int64_t sent_ms; /* -1: not yet */
   bool resumed;
   bool read;
 };
 
-struct play
+struct simulation
 {
   bool gated;
   struct ash_prompt_gate gates[ROUTERS];
   struct prompt prompts[PROMPTS_MAX];
   int count;
-  double longest_ms; /* pass */
-  int late;          /* first events beyond the aim, of those that come new */
+  double longest_pass_ms; /* pass */
+  int late_count;         /* first events beyond the aim, of those that come new */
 };
 
 static void
-add_prompt (struct play *play, int64_t ms, bool resumed)
+add_prompt (struct simulation *simulation, int64_t ms, bool resumed)
 {
-  if (play->count < PROMPTS_MAX)
-    play->prompts[play->count++] = (struct prompt){ ms, -1, resumed, false };
+  if (simulation->count < PROMPTS_MAX)
+    simulation->prompts[simulation->count++] = (struct prompt){ ms, -1, resumed, false };
 }
 
 static void
-send_due (struct play *play, int64_t ms)
+send_due (struct simulation *simulation, int64_t ms)
 {
-  for (int i = 0; i < play->count; i++)
+  for (int i = 0; i < simulation->count; i++)
     {
-      struct prompt *prompt = &play->prompts[i];
-      struct ash_prompt_gate *gate = &play->gates[i % ROUTERS];
+      struct prompt *prompt = &simulation->prompts[i];
+      struct ash_prompt_gate *gate = &simulation->gates[i % ROUTERS];
       struct ash_prompt_terms terms = usual_terms;
 
       terms.resumed = prompt->resumed;
-      if (prompt->sent_ms >= 0 || (play->gated && wait_ms (gate, &terms, prompt->came_ms, ms) > 0))
+      if (prompt->sent_ms >= 0 ||
+          (simulation->gated && wait_ms (gate, &terms, prompt->arrived_ms, ms) > 0))
         continue;
       ash_prompt_gate_record_sent (gate);
       prompt->sent_ms = ms;
@@ -194,103 +196,103 @@
 
 /* @return how long the pass that begins now takes. */
 static double
-begin_pass (struct play *play, int64_t ms, bool shifts)
+begin_pass (struct simulation *simulation, int64_t ms, bool shifts)
 {
-  bool shifted = shifts && ms >= SHIFT_MS && ms < FOLLOWED_MS;
+  bool shifted = shifts && ms >= SHIFT_MS && ms < MAP_CHANGED_MS;
   double skew = shifted ? SHIFTED_SKEW : USUAL_SKEW;
   double pass_ms = PASS_EVEN_MS + PASS_SKEW_MS * skew;
 
-  for (int i = 0; i < play->count; i++)
+  for (int i = 0; i < simulation->count; i++)
     {
-      struct prompt *prompt = &play->prompts[i];
+      struct prompt *prompt = &simulation->prompts[i];
 
-      if (prompt->read || prompt->sent_ms < 0 || ms - prompt->sent_ms < FIRST_MS)
+      if (prompt->read || prompt->sent_ms < 0 || ms - prompt->sent_ms < READ_DELAY_MS)
         continue;
       prompt->read = true;
       pass_ms += PROMPT_MS * skew;
     }
-  return shifted && ms >= COPIES_MS ? pass_ms * COPYING_PART : pass_ms;
+  return shifted && ms >= COPY_START_MS ? pass_ms * COPYING_FACTOR : pass_ms;
 }
 
 static void
-end_pass (struct play *play, int64_t ms, double pass_ms)
+end_pass (struct simulation *simulation, int64_t ms, double pass_ms)
 {
-  for (int i = 0; i < play->count; i++)
+  for (int i = 0; i < simulation->count; i++)
     {
-      struct prompt *prompt = &play->prompts[i];
+      struct prompt *prompt = &simulation->prompts[i];
 
-      if (prompt->read && prompt->came_ms >= 0 && !prompt->resumed)
+      if (prompt->read && prompt->arrived_ms >= 0 && !prompt->resumed)
         {
-          play->late += ms - prompt->came_ms > AIM_MS;
-          prompt->came_ms = -1;
+          simulation->late_count += ms - prompt->arrived_ms > AIM_MS;
+          prompt->arrived_ms = -1;
         }
     }
-  if (pass_ms > play->longest_ms)
-    play->longest_ms = pass_ms;
+  if (pass_ms > simulation->longest_pass_ms)
+    simulation->longest_pass_ms = pass_ms;
   for (int r = 0; r < ROUTERS; r++)
-    see (&play->gates[r], ms, (int64_t) (pass_ms + 0.5));
+    add_pause (&simulation->gates[r], ms, (int64_t) (pass_ms + 0.5));
 }
 
 /* Four seconds with a prompt each 4 ms. */
 static void
-play_load (struct play *play, bool gated, bool shifts, int returning)
+simulate_load (struct simulation *simulation, bool gated, bool shifts, int resumed_count)
 {
   int64_t pass_ends_ms = 0;
   double pass_ms = 0;
 
-  memset (play, 0, sizeof *play);
-  play->gated = gated;
+  memset (simulation, 0, sizeof *simulation);
+  simulation->gated = gated;
   for (int64_t ms = 0; ms < 4000; ms++)
     {
       if (ms % 4 == 0)
-        add_prompt (play, ms, false);
-      for (int i = 0; ms == SHIFT_MS && i < returning; i++)
-        add_prompt (play, ms, true);
+        add_prompt (simulation, ms, false);
+      for (int i = 0; ms == SHIFT_MS && i < resumed_count; i++)
+        add_prompt (simulation, ms, true);
       if (ms >= pass_ends_ms)
         {
           if (pass_ms > 0)
-            end_pass (play, ms, pass_ms);
-          pass_ms = begin_pass (play, ms, shifts);
+            end_pass (simulation, ms, pass_ms);
+          pass_ms = begin_pass (simulation, ms, shifts);
           pass_ends_ms = ms + (int64_t) (pass_ms + 0.5);
         }
-      send_due (play, ms);
+      send_due (simulation, ms);
     }
 }
 
 /* Streams under way pause as long as the longest pass. */
 static void
-test_shift_played (void)
+test_shift_simulated (void)
 {
-  static struct play open;
-  static struct play gated;
-
-  play_load (&open, false, true, 0);
-  play_load (&gated, true, true, 0);
-  CU_ASSERT (open.longest_ms > PAUSE_AIM_MS);
-  CU_ASSERT (gated.longest_ms < PAUSE_AIM_MS);
-  CU_ASSERT_EQUAL (gated.late, 0);
+  static struct simulation open;
+  static struct simulation gated;
+
+  simulate_load (&open, false, true, 0);
+  simulate_load (&gated, true, true, 0);
+  CU_ASSERT (open.longest_pass_ms > PAUSE_AIM_MS);
+  CU_ASSERT (gated.longest_pass_ms < PAUSE_AIM_MS);
+  CU_ASSERT_EQUAL (gated.late_count, 0);
 }
 
 static void
-test_return_played (void)
+test_return_simulated (void)
 {
-  static struct play open;
-  static struct play gated;
-
-  play_load (&open, false, false, STREAMS);
-  play_load (&gated, true, false, STREAMS);
-  CU_ASSERT (open.longest_ms > PAUSE_AIM_MS - 10);
-  CU_ASSERT (gated.longest_ms < open.longest_ms - 20);
-  CU_ASSERT_EQUAL (gated.late, 0);
+  static struct simulation open;
+  static struct simulation gated;
+
+  simulate_load (&open, false, false, STREAMS);
+  simulate_load (&gated, true, false, STREAMS);
+  CU_ASSERT (open.longest_pass_ms > PAUSE_AIM_MS - 10);
+  CU_ASSERT (gated.longest_pass_ms < open.longest_pass_ms - 20);
+  CU_ASSERT_EQUAL (gated.late_count, 0);
 }
 
 void
 add_prompt_tests (CU_pSuite suite)
 {
-  CU_add_test (suite, "prompts: kept back when passes jump", test_jump);
-  CU_add_test (suite, "prompts: go where passes stay long", test_no_jump);
+  CU_add_test (suite, "prompts: kept back when passes jump", test_sudden_long_pass);
+  CU_add_test (suite, "prompts: go where passes stay long", test_steady_passes);
   CU_add_test (suite, "prompts: paced", test_paced);
-  CU_add_test (suite, "prompts: from the engine's figures", test_figures);
-  CU_add_test (suite, "prompts: a shift played", test_shift_played);
-  CU_add_test (suite, "prompts: many return, played", test_return_played);
+  CU_add_test (suite, "prompts: from the engine's figures", test_engine_facts);
+  CU_add_test (suite, "prompts: a shift played", test_shift_simulated);
+  CU_add_test (suite, "prompts: many return, played", test_return_simulated);
 }
--- a/test/unit_quarantine.c
+++ b/test/unit_quarantine.c
@@ -7,7 +7,7 @@
 
 #define MINUTE_MS (60 * 1000)
 
-static const struct ash_id asked = { 1, 2 };
+static const struct ash_id request_id = { 1, 2 };
 
 static struct ash_time
 at (int64_t ms)
@@ -22,57 +22,57 @@
 }
 
 static bool
-take (struct ash_quarantine *quarantine, int64_t sent_ms, int64_t ended_ms)
+add_run (struct ash_quarantine *quarantine, int64_t sent_ms, int64_t ended_ms)
 {
-  struct ash_quarantine_run run = run_of (asked, 7, sent_ms, ended_ms);
+  struct ash_quarantine_run run = run_of (request_id, 7, sent_ms, ended_ms);
 
   return ash_quarantine_add_run (quarantine, &run);
 }
 
 /* Two ends, one run after the other, under a request that gave no answer either time. */
 static void
-test_two_ends (void)
+test_two_exits (void)
 {
   struct ash_quarantine quarantine = { 0 };
   const struct ash_id other = { 1, 3 };
 
-  CU_ASSERT (take (&quarantine, 0, 100));
-  CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, asked, at (100)), 0);
-  CU_ASSERT (take (&quarantine, 100, 200));
-  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, asked), 2);
-  CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, asked, at (200)), 10 * MINUTE_MS);
+  CU_ASSERT (add_run (&quarantine, 0, 100));
+  CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, request_id, at (100)), 0);
+  CU_ASSERT (add_run (&quarantine, 100, 200));
+  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, request_id), 2);
+  CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, request_id, at (200)), 10 * MINUTE_MS);
   CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, other, at (200)), 0);
   ash_quarantine_finish (&quarantine);
 }
 
 /* One that had begun to answer may only have been there: three ends prove it. */
 static void
-test_three_ends (void)
+test_three_exits (void)
 {
   struct ash_quarantine quarantine = { 0 };
-  struct ash_quarantine_run run = run_of (asked, 7, 0, 100);
+  struct ash_quarantine_run run = run_of (request_id, 7, 0, 100);
 
   run.spoke = true;
   CU_ASSERT (ash_quarantine_add_run (&quarantine, &run));
-  CU_ASSERT (take (&quarantine, 100, 200));
-  CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, asked, at (200)), 0);
-  CU_ASSERT (take (&quarantine, 300, 400));
-  CU_ASSERT (ash_quarantine_left_ms (&quarantine, asked, at (400)) > 0);
+  CU_ASSERT (add_run (&quarantine, 100, 200));
+  CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, request_id, at (200)), 0);
+  CU_ASSERT (add_run (&quarantine, 300, 400));
+  CU_ASSERT (ash_quarantine_left_ms (&quarantine, request_id, at (400)) > 0);
   ash_quarantine_finish (&quarantine);
 }
 
 /* Many endpoints end at once, a rack say, while a request that is asked often runs at each: one of
  * these runs counts. What a peer tells again counts once too. */
 static void
-test_side_by_side (void)
+test_concurrent_runs (void)
 {
   struct ash_quarantine quarantine = { 0 };
 
-  CU_ASSERT (take (&quarantine, 0, 1000));
+  CU_ASSERT (add_run (&quarantine, 0, 1000));
   for (int i = 0; i < 8; i++)
-    CU_ASSERT_FALSE (take (&quarantine, 10 * i, 1000 + i));
-  CU_ASSERT_FALSE (take (&quarantine, 0, 1000));
-  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, asked), 1);
+    CU_ASSERT_FALSE (add_run (&quarantine, 10 * i, 1000 + i));
+  CU_ASSERT_FALSE (add_run (&quarantine, 0, 1000));
+  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, request_id), 1);
   ash_quarantine_finish (&quarantine);
 }
 
@@ -81,58 +81,58 @@
 {
   struct ash_quarantine quarantine = { 0 };
 
-  CU_ASSERT_FALSE (ash_quarantine_clear (&quarantine, asked));
-  take (&quarantine, 0, 100);
-  CU_ASSERT (ash_quarantine_clear (&quarantine, asked));
-  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, asked), 0);
-  take (&quarantine, 200, 300);
-  CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, asked, at (300)), 0);
+  CU_ASSERT_FALSE (ash_quarantine_clear (&quarantine, request_id));
+  add_run (&quarantine, 0, 100);
+  CU_ASSERT (ash_quarantine_clear (&quarantine, request_id));
+  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, request_id), 0);
+  add_run (&quarantine, 200, 300);
+  CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, request_id, at (300)), 0);
   ash_quarantine_finish (&quarantine);
 }
 
 /* It may run again after ten minutes; then one end is enough, and only an hour without one makes it
  * as any other. */
 static void
-test_time (void)
+test_expiry (void)
 {
   struct ash_quarantine quarantine = { 0 };
   int64_t later_ms = 200 + 10 * MINUTE_MS;
 
-  take (&quarantine, 0, 100);
-  take (&quarantine, 100, 200);
+  add_run (&quarantine, 0, 100);
+  add_run (&quarantine, 100, 200);
   ash_quarantine_tick (&quarantine, at (later_ms));
-  CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, asked, at (later_ms - 1)), 1);
-  CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, asked, at (later_ms)), 0);
-  take (&quarantine, later_ms, later_ms + 50);
-  CU_ASSERT (ash_quarantine_left_ms (&quarantine, asked, at (later_ms + 50)) > 0);
+  CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, request_id, at (later_ms - 1)), 1);
+  CU_ASSERT_EQUAL (ash_quarantine_left_ms (&quarantine, request_id, at (later_ms)), 0);
+  add_run (&quarantine, later_ms, later_ms + 50);
+  CU_ASSERT (ash_quarantine_left_ms (&quarantine, request_id, at (later_ms + 50)) > 0);
   ash_quarantine_tick (&quarantine, at (later_ms + 50 + 60 * MINUTE_MS));
-  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, asked), 0);
+  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, request_id), 0);
   ash_quarantine_finish (&quarantine);
 }
 
 /* The end of a connection alone is no evidence; that of the endpoint makes it some, for what ended
  * there shortly before. */
 static void
-test_cuts (void)
+test_disconnects (void)
 {
   struct ash_quarantine quarantine = { 0 };
   struct ash_quarantine_run found[ASH_QUARANTINE_DISCONNECTS];
-  struct ash_quarantine_run here = run_of (asked, 7, 0, 1000);
-  struct ash_quarantine_run elsewhere = run_of ((struct ash_id){ 5, 5 }, 8, 0, 1000);
+  struct ash_quarantine_run local = run_of (request_id, 7, 0, 1000);
+  struct ash_quarantine_run remote = run_of ((struct ash_id){ 5, 5 }, 8, 0, 1000);
 
-  ash_quarantine_note_disconnect (&quarantine, &here);
-  ash_quarantine_note_disconnect (&quarantine, &elsewhere);
-  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, asked), 0);
+  ash_quarantine_note_disconnect (&quarantine, &local);
+  ash_quarantine_note_disconnect (&quarantine, &remote);
+  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, request_id), 0);
   /* Asked only later: something else has ended it. */
   CU_ASSERT_EQUAL (
       ash_quarantine_note_exit (&quarantine, 8, ASH_QUARANTINE_CONNECT_REFUSED, at (3000), found),
       0);
   CU_ASSERT_EQUAL (
       ash_quarantine_note_exit (&quarantine, 7, ASH_QUARANTINE_RESTARTED, at (4000), found), 1);
-  CU_ASSERT (ash_id_equal (found[0].request, asked));
+  CU_ASSERT (ash_id_equal (found[0].request, request_id));
   CU_ASSERT_EQUAL (
       ash_quarantine_note_exit (&quarantine, 7, ASH_QUARANTINE_RESTARTED, at (4000), found), 0);
-  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, asked), 1);
+  CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, request_id), 1);
   ash_quarantine_finish (&quarantine);
 }
 
@@ -143,8 +143,8 @@
   struct ash_quarantine quarantine = { 0 };
   struct ash_quarantine_run found[ASH_QUARANTINE_DISCONNECTS];
 
-  take (&quarantine, 0, 100);
-  take (&quarantine, 100, 200);
+  add_run (&quarantine, 0, 100);
+  add_run (&quarantine, 100, 200);
   for (uint32_t i = 0; i < 2 * ASH_QUARANTINE_SUSPECTS_MAX; i++)
     {
       struct ash_quarantine_run run = run_of ((struct ash_id){ 9, i }, 7, 300, 400);
@@ -152,7 +152,7 @@
       CU_ASSERT (ash_quarantine_add_run (&quarantine, &run));
     }
   CU_ASSERT_EQUAL (HASH_COUNT (quarantine.suspects), ASH_QUARANTINE_SUSPECTS_MAX);
-  CU_ASSERT (ash_quarantine_left_ms (&quarantine, asked, at (400)) > 0);
+  CU_ASSERT (ash_quarantine_left_ms (&quarantine, request_id, at (400)) > 0);
   for (uint32_t i = 0; i < 2 * ASH_QUARANTINE_DISCONNECTS; i++)
     {
       struct ash_quarantine_run run = run_of ((struct ash_id){ 10, i }, 8, 300, 400);
@@ -168,11 +168,11 @@
 void
 add_quarantine_tests (CU_pSuite suite)
 {
-  CU_add_test (suite, "quarantine: two ends", test_two_ends);
-  CU_add_test (suite, "quarantine: three ends of one that spoke", test_three_ends);
-  CU_add_test (suite, "quarantine: runs side by side", test_side_by_side);
+  CU_add_test (suite, "quarantine: two ends", test_two_exits);
+  CU_add_test (suite, "quarantine: three ends of one that spoke", test_three_exits);
+  CU_add_test (suite, "quarantine: runs side by side", test_concurrent_runs);
   CU_add_test (suite, "quarantine: cleared by an answer", test_cleared);
-  CU_add_test (suite, "quarantine: time", test_time);
-  CU_add_test (suite, "quarantine: ends of connections", test_cuts);
+  CU_add_test (suite, "quarantine: time", test_expiry);
+  CU_add_test (suite, "quarantine: ends of connections", test_disconnects);
   CU_add_test (suite, "quarantine: bounds", test_bounds);
 }
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -30,14 +30,14 @@
   "\",\"RouteKind\":\"safe\",\"Service\":\"" service "\"}"
 
 static void
-read_table (struct ash_route_table *table, const char *text, uint32_t findings_wanted)
+read_table (struct ash_route_table *table, const char *text, uint32_t expected_findings)
 {
   struct ash_findings findings;
 
   ash_route_table_init (table);
   ash_findings_init (&findings, "configuration");
   ash_platform_config_read (table, NULL, text, strlen (text), &findings);
-  CU_ASSERT_EQUAL (findings.count, findings_wanted);
+  CU_ASSERT_EQUAL (findings.count, expected_findings);
   ash_findings_finish (&findings);
 }
 
@@ -64,10 +64,10 @@
 }
 
 static void
-test_route_parts (void)
+test_route_split (void)
 {
   struct ash_route_table table;
-  uint32_t drawn[2] = { 0 };
+  uint32_t picked[2] = { 0 };
 
   read_table (&table,
               "{\"Version\":4," SERVICES ",\"Routes\":[{\"Host\":\"h\",\"PathPrefix\":\"/\","
@@ -76,9 +76,9 @@
               0);
   CU_ASSERT (table.routes[0].stream && table.routes[0].resumable);
   CU_ASSERT_EQUAL (table.routes[0].repeat, ASH_REPEAT_SAFE);
-  for (uint64_t draw = 0; draw < 1000; draw++)
-    drawn[ash_route_table_pick_service (&table, &table.routes[0], draw)]++;
-  CU_ASSERT (drawn[0] == 900 && drawn[1] == 100);
+  for (uint64_t random_value = 0; random_value < 1000; random_value++)
+    picked[ash_route_table_pick_service (&table, &table.routes[0], random_value)]++;
+  CU_ASSERT (picked[0] == 900 && picked[1] == 100);
   ash_route_table_finish (&table);
 }
 
@@ -106,7 +106,7 @@
 /* ---- endpoints ---- */
 
 static struct ash_direct_endpoint *
-list (struct ash_direct_set *set, const char *id, bool draining)
+add_endpoint (struct ash_direct_set *set, const char *id, bool draining)
 {
   struct ash_direct_facts facts = { .service = "s", .slots = 4 };
 
@@ -138,8 +138,8 @@
 
   ash_direct_init (&set, 1);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (0), 9, 0), "-");
-  a = list (&set, "a", false);
-  b = list (&set, "b", false);
+  a = add_endpoint (&set, "a", false);
+  b = add_endpoint (&set, "b", false);
   a->in_flight = 2;
   b->elsewhere = 1;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (0), 9, 0), "b");
@@ -170,8 +170,8 @@
   struct ash_direct_endpoint *b;
 
   ash_direct_init (&set, 1);
-  a = list (&set, "a", false);
-  b = list (&set, "b", false);
+  a = add_endpoint (&set, "a", false);
+  b = add_endpoint (&set, "b", false);
   a->in_flight = 3;
   b->in_flight = 4;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (100), 8, 120), "a");
@@ -206,8 +206,8 @@
   struct ash_direct_set set;
 
   ash_direct_init (&set, 1);
-  near = list (&set, "near", false);
-  far = list (&set, "far", false);
+  near = add_endpoint (&set, "near", false);
+  far = add_endpoint (&set, "far", false);
   snprintf (near->facts.hall, sizeof near->facts.hall, "x");
   snprintf (far->facts.hall, sizeof far->facts.hall, "y");
   near->in_flight = 4;
@@ -230,8 +230,8 @@
   struct ash_direct_endpoint *b;
 
   ash_direct_init (&set, 1);
-  a = list (&set, "a", false);
-  b = list (&set, "b", false);
+  a = add_endpoint (&set, "a", false);
+  b = add_endpoint (&set, "b", false);
   b->in_flight = 1;
   ash_direct_set_pace (a, at (100), 3);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (200), 8, 120), "b");
@@ -251,7 +251,7 @@
 }
 
 static void
-list_at (struct ash_direct_set *set, const char *id, const char *address)
+add_endpoint_at (struct ash_direct_set *set, const char *id, const char *address)
 {
   struct ash_direct_facts facts = { .service = "s", .slots = 8 };
 
@@ -269,17 +269,17 @@
   struct ash_direct_set set;
 
   ash_direct_init (&set, 1);
-  list_at (&set, "a1", "10.0.0.1:80");
-  list_at (&set, "b1", "10.0.0.2:80");
-  list_at (&set, "c1", "10.0.0.3:80");
+  add_endpoint_at (&set, "a1", "10.0.0.1:80");
+  add_endpoint_at (&set, "b1", "10.0.0.2:80");
+  add_endpoint_at (&set, "c1", "10.0.0.3:80");
   /* The new one is listed before the former one is missing, or after. */
-  list_at (&set, "a2", "10.0.0.1:80");
+  add_endpoint_at (&set, "a2", "10.0.0.1:80");
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "a1")));
   ash_direct_remove (&set, "a1", false, at (9000));
   CU_ASSERT_FALSE (ash_direct_usable (ash_direct_find (&set, "a1")));
   ash_direct_remove (&set, "b1", false, at (9000));
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "b1")));
-  list_at (&set, "b2", "10.0.0.2:80");
+  add_endpoint_at (&set, "b2", "10.0.0.2:80");
   CU_ASSERT_FALSE (ash_direct_usable (ash_direct_find (&set, "b1")));
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "b2")));
   ash_direct_remove (&set, "c1", false, at (9000));
@@ -288,18 +288,18 @@
 }
 
 static void
-test_lapsing (void)
+test_removal (void)
 {
   struct ash_direct_set set;
 
   ash_direct_init (&set, 1);
-  list (&set, "a", false);
-  list (&set, "b", false);
+  add_endpoint (&set, "a", false);
+  add_endpoint (&set, "b", false);
   /* The list could not be trusted: used on for a while, and again if it comes back. */
   CU_ASSERT (ash_direct_remove (&set, "a", false, at (500)));
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "a")));
   ash_direct_tick (&set, at (400));
-  list (&set, "a", false);
+  add_endpoint (&set, "a", false);
   ash_direct_tick (&set, at (600));
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "a")));
   CU_ASSERT (ash_direct_remove (&set, "a", false, at (900)));
@@ -314,7 +314,7 @@
   ash_direct_tick (&set, at (1001));
   CU_ASSERT_PTR_NULL (ash_direct_find (&set, "b"));
   /* One that said it was leaving has left, whatever is trusted. */
-  list (&set, "c", true);
+  add_endpoint (&set, "c", true);
   CU_ASSERT (ash_direct_remove (&set, "c", false, at (9000)));
   CU_ASSERT_EQUAL (ash_direct_find (&set, "c")->presence, ASH_DIRECT_REMOVED);
   ash_direct_finish (&set);
@@ -326,7 +326,7 @@
 {
   struct ash_direct_set set;
   struct ash_resend_window window;
-  struct ash_forward_context world;
+  struct ash_forward_context context;
   struct ash_forward forward;
 };
 
@@ -335,9 +335,9 @@
 {
   *test = (struct forward_test){ 0 };
   ash_direct_init (&test->set, 1);
-  list (&test->set, "a", false);
-  list (&test->set, "b", false);
-  test->world = (struct ash_forward_context){
+  add_endpoint (&test->set, "a", false);
+  add_endpoint (&test->set, "b", false);
+  test->context = (struct ash_forward_context){
     .endpoints = &test->set,
     .window = &test->window,
     .bound = { 10000, 0.2, 20 },
@@ -357,38 +357,40 @@
 static struct ash_forward_decision
 next (struct forward_test *test, int64_t ms)
 {
-  return ash_forward_next (&test->forward, &test->world, at (ms));
+  return ash_forward_next (&test->forward, &test->context, at (ms));
 }
 
 static void
-expect_answer (struct ash_forward_decision verdict, uint16_t status, enum ash_forward_reason reason)
+expect_answer (struct ash_forward_decision decision,
+               uint16_t status,
+               enum ash_forward_reason reason)
 {
-  CU_ASSERT_EQUAL (verdict.action, ASH_FORWARD_ANSWER);
-  CU_ASSERT_EQUAL (verdict.answer.status, status);
-  CU_ASSERT_EQUAL (verdict.answer.reason, reason);
+  CU_ASSERT_EQUAL (decision.action, ASH_FORWARD_ANSWER);
+  CU_ASSERT_EQUAL (decision.answer.status, status);
+  CU_ASSERT_EQUAL (decision.answer.reason, reason);
   /* Whoever is told that it did not run is told when to come back. */
-  CU_ASSERT_EQUAL (verdict.answer.retry_after_ms != 0, status == 503);
+  CU_ASSERT_EQUAL (decision.answer.retry_after_ms != 0, status == 503);
 }
 
 static void
 test_forward_once (void)
 {
   struct forward_test test;
-  struct ash_forward_decision verdict;
+  struct ash_forward_decision decision;
 
   begin_forward (&test, ASH_REPEAT_ONCE);
-  verdict = next (&test, 1000);
-  CU_ASSERT_EQUAL_FATAL (verdict.action, ASH_FORWARD_SEND);
-  ash_forward_sent (&test.forward, verdict.endpoint);
+  decision = next (&test, 1000);
+  CU_ASSERT_EQUAL_FATAL (decision.action, ASH_FORWARD_SEND);
+  ash_forward_sent (&test.forward, decision.endpoint);
   /* No word from there: it may have run, and must not again. */
   expect_answer (next (&test, 1100), 502, ASH_FORWARD_FAILED);
   expect_answer (next (&test, 5000), 504, ASH_FORWARD_TIMEOUT);
   /* The endpoint vouches: another one, not the same. */
   ash_forward_not_run (&test.forward, true);
-  verdict = next (&test, 1200);
-  CU_ASSERT_EQUAL_FATAL (verdict.action, ASH_FORWARD_SEND);
-  CU_ASSERT_NOT_EQUAL (verdict.endpoint->hash, test.forward.tried[0]);
-  ash_forward_sent (&test.forward, verdict.endpoint);
+  decision = next (&test, 1200);
+  CU_ASSERT_EQUAL_FATAL (decision.action, ASH_FORWARD_SEND);
+  CU_ASSERT_NOT_EQUAL (decision.endpoint->hash, test.forward.tried[0]);
+  ash_forward_sent (&test.forward, decision.endpoint);
   ash_forward_not_run (&test.forward, true);
   /* Two endpoints were asked, both vouch: it did not run. */
   expect_answer (next (&test, 1300), 503, ASH_FORWARD_REJECTED);
@@ -411,17 +413,17 @@
 }
 
 static void
-test_forward_room (void)
+test_forward_capacity (void)
 {
   struct forward_test test;
-  struct ash_forward_decision verdict;
+  struct ash_forward_decision decision;
 
   begin_forward (&test, ASH_REPEAT_ONCE);
   ash_direct_find (&test.set, "a")->in_flight = 4;
   ash_direct_find (&test.set, "b")->elsewhere = 4;
-  verdict = next (&test, 1000);
-  CU_ASSERT_EQUAL (verdict.action, ASH_FORWARD_WAIT);
-  CU_ASSERT_EQUAL (verdict.until.ms, 1080);
+  decision = next (&test, 1000);
+  CU_ASSERT_EQUAL (decision.action, ASH_FORWARD_WAIT);
+  CU_ASSERT_EQUAL (decision.until.ms, 1080);
   expect_answer (next (&test, 1080), 503, ASH_FORWARD_NO_ROOM);
   ash_direct_find (&test.set, "a")->in_flight = 3;
   CU_ASSERT_EQUAL (next (&test, 1079).action, ASH_FORWARD_SEND);
@@ -437,7 +439,7 @@
  * (29.6 in 100 of the requests of days with slow endpoints, bursts and rolling stops). They are
  * told a part of the time that they have left, no more than the third that callers wait. */
 static void
-test_forward_return (void)
+test_forward_retry_after (void)
 {
   struct forward_test test;
   int64_t least_ms = INT64_MAX;
@@ -446,17 +448,17 @@
   begin_forward (&test, ASH_REPEAT_ONCE);
   ash_direct_find (&test.set, "a")->in_flight = 4;
   ash_direct_find (&test.set, "b")->in_flight = 4;
-  test.world.wait_ms = 0;
+  test.context.wait_ms = 0;
   test.forward.deadline = at (9000);
   for (int i = 0; i < 200; i++)
     {
-      struct ash_forward_decision verdict = next (&test, 1000);
+      struct ash_forward_decision decision = next (&test, 1000);
 
-      expect_answer (verdict, 503, ASH_FORWARD_NO_ROOM);
-      if (verdict.answer.retry_after_ms < least_ms)
-        least_ms = verdict.answer.retry_after_ms;
-      if (verdict.answer.retry_after_ms > most_ms)
-        most_ms = verdict.answer.retry_after_ms;
+      expect_answer (decision, 503, ASH_FORWARD_NO_ROOM);
+      if (decision.answer.retry_after_ms < least_ms)
+        least_ms = decision.answer.retry_after_ms;
+      if (decision.answer.retry_after_ms > most_ms)
+        most_ms = decision.answer.retry_after_ms;
     }
   CU_ASSERT (least_ms >= 8000 / 8);
   CU_ASSERT (most_ms <= 8000 / 3);
@@ -475,7 +477,7 @@
 }
 
 static void
-test_resends (void)
+test_resend_bound (void)
 {
   const struct ash_resend_bound bound = { 10000, 0.2, 20 };
   struct ash_resend_window window = { 0 };
@@ -570,7 +572,7 @@
  * heartbeat each 300 ms and loads each 50 ms, 2,800 messages a second. Fleets of up to 30 routers
  * in other halls talk as the settings say. */
 static void
-test_talk (void)
+test_peer_periods (void)
 {
   CU_ASSERT_EQUAL (ash_peer_period_remote_heartbeat_ms (300, 0), 300);
   CU_ASSERT_EQUAL (ash_peer_period_remote_heartbeat_ms (300, 30), 300);
@@ -588,34 +590,34 @@
 
 /* ---- endpoints of other halls in a large fleet ---- */
 
-#define SPILL_ENDPOINTS 150
-#define SPILL_ROUTERS 120
-#define SPILL_CAP 6
+#define SPILLOVER_ENDPOINTS 150
+#define SPILLOVER_ROUTERS 120
+#define SPILLOVER_CAP 6
 
 /* All routers see the same free places of another hall and hear of each other late: what they send
  * meanwhile. @return requests at the endpoint that got most. */
 static uint32_t
-spill (struct ash_direct_set *set, uint32_t remote_parts, uint32_t *sent)
+spill_over (struct ash_direct_set *set, uint32_t remote_parts, uint32_t *sent)
 {
-  uint32_t got[SPILL_ENDPOINTS] = { 0 };
+  uint32_t got[SPILLOVER_ENDPOINTS] = { 0 };
   struct ash_direct_endpoint *chosen;
   uint32_t most = 0;
 
   *sent = 0;
-  for (uint64_t router = 1; router <= SPILL_ROUTERS; router++)
+  for (uint64_t router = 1; router <= SPILLOVER_ROUTERS; router++)
     {
       struct ash_direct_criteria criteria = { .service = "s",
                                               .hall = "own",
                                               .own = router * UINT64_C (0x2545f4914f6cdd1d),
                                               .remote_parts = remote_parts,
-                                              .cap = SPILL_CAP };
+                                              .cap = SPILLOVER_CAP };
 
       if (ash_direct_choose (set, at (0), &criteria, &chosen) != ASH_DIRECT_CHOSEN)
         continue;
       ++*sent;
       got[chosen->facts.slots]++;
     }
-  for (uint32_t i = 0; i < SPILL_ENDPOINTS; i++)
+  for (uint32_t i = 0; i < SPILLOVER_ENDPOINTS; i++)
     most = got[i] > most ? got[i] : most;
   return most;
 }
@@ -623,14 +625,14 @@
 /* With 149 routers, 192 ranks with a cap of 6 had up to 23 requests each: loads of other halls are
  * known 0.3 s late, and whoever found its own hall full took the same last places elsewhere. */
 static void
-test_spill (void)
+test_spillover (void)
 {
   struct ash_direct_set set;
   struct ash_direct_endpoint *own;
   uint32_t sent;
 
   ash_direct_init (&set, 1);
-  for (uint32_t i = 0; i < SPILL_ENDPOINTS; i++)
+  for (uint32_t i = 0; i < SPILLOVER_ENDPOINTS; i++)
     {
       struct ash_direct_facts facts = { .service = "s", .address = "127.0.0.1:1", .hall = "far" };
       struct ash_direct_endpoint *endpoint;
@@ -639,41 +641,41 @@
       facts.slots = i;
       ash_direct_update (&set, &facts);
       endpoint = ash_direct_find (&set, facts.id);
-      endpoint->elsewhere = i < 3 ? SPILL_CAP - 1 : SPILL_CAP;
+      endpoint->elsewhere = i < 3 ? SPILLOVER_CAP - 1 : SPILLOVER_CAP;
     }
   own = ash_direct_find (&set, "e149");
   CU_ASSERT_PTR_NOT_NULL_FATAL (own);
   snprintf (own->facts.hall, sizeof own->facts.hall, "own");
   /* Three last places, and all go there. */
-  CU_ASSERT (spill (&set, 1, &sent) > SPILL_ROUTERS / 5);
-  CU_ASSERT_EQUAL (sent, SPILL_ROUTERS);
+  CU_ASSERT (spill_over (&set, 1, &sent) > SPILLOVER_ROUTERS / 5);
+  CU_ASSERT_EQUAL (sent, SPILLOVER_ROUTERS);
   /* They are left to what is not known yet. */
-  spill (&set, 6, &sent);
+  spill_over (&set, 6, &sent);
   CU_ASSERT_EQUAL (sent, 0);
   /* An endpoint with many places gets some of the routers, and each has some. */
   for (struct ash_direct_endpoint *endpoint = set.endpoints; endpoint != own;
        endpoint = endpoint->hh.next)
     endpoint->elsewhere = 1;
-  CU_ASSERT (spill (&set, 6, &sent) < 8);
-  CU_ASSERT_EQUAL (sent, SPILL_ROUTERS);
+  CU_ASSERT (spill_over (&set, 6, &sent) < 8);
+  CU_ASSERT_EQUAL (sent, SPILLOVER_ROUTERS);
   /* Without one of the own hall, nor of its part, a router takes any. */
   own->facts.draining = true;
-  for (uint32_t i = 1; i < SPILL_ENDPOINTS - 1; i++)
+  for (uint32_t i = 1; i < SPILLOVER_ENDPOINTS - 1; i++)
     {
       char id[16];
 
       snprintf (id, sizeof id, "e%u", i);
       ash_direct_find (&set, id)->facts.draining = true;
     }
-  spill (&set, 6, &sent);
-  CU_ASSERT_EQUAL (sent, SPILL_ROUTERS);
+  spill_over (&set, 6, &sent);
+  CU_ASSERT_EQUAL (sent, SPILLOVER_ROUTERS);
   ash_direct_finish (&set);
 }
 
 /* ---- lives of an endpoint ---- */
 
 static void
-count_reborn (void *data, struct ash_direct_endpoint *endpoint)
+count_restart (void *data, struct ash_direct_endpoint *endpoint)
 {
   (void) endpoint;
   ++*(uint32_t *) data;
@@ -681,7 +683,7 @@
 
 /* A server may start again under its id: what the former life did says nothing of this one. */
 static void
-test_rebirth (void)
+test_restart (void)
 {
   struct ash_direct_facts facts = {
     .id = "a", .service = "s", .address = "127.0.0.1:1", .slots = 4, .born_ms = 1000
@@ -691,7 +693,7 @@
   uint32_t restarted = 0;
 
   ash_direct_init (&set, 1);
-  set.restarted = count_reborn;
+  set.restarted = count_restart;
   set.data = &restarted;
   ash_direct_update (&set, &facts);
   a = ash_direct_find (&set, "a");
@@ -724,25 +726,25 @@
 /* ---- what peers have ---- */
 
 static void
-test_peer_news (void)
+test_peer_version (void)
 {
-  struct ash_peer_version news = { 0 };
+  struct ash_peer_version version = { 0 };
 
-  ash_peer_version_reported (&news, (struct ash_time){ 100 }, 4, 4);
-  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, (struct ash_time){ 900 }, 4, 0));
+  ash_peer_version_reported (&version, (struct ash_time){ 100 }, 4, 4);
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 900 }, 4, 0));
   /* Behind from when a newer one is told, not from when the last one arrived. */
-  ash_peer_version_reported (&news, (struct ash_time){ 1000 }, 6, 4);
-  CU_ASSERT (ash_peer_version_is_behind (&news, (struct ash_time){ 1250 }, 4, 250));
-  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, (struct ash_time){ 1250 }, 4, 251));
+  ash_peer_version_reported (&version, (struct ash_time){ 1000 }, 6, 4);
+  CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1250 }, 4, 250));
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1250 }, 4, 251));
   /* Newer ones yet, and old ones, do not begin the wait anew. */
-  ash_peer_version_reported (&news, (struct ash_time){ 1300 }, 9, 4);
-  ash_peer_version_reported (&news, (struct ash_time){ 1350 }, 5, 4);
-  CU_ASSERT (ash_peer_version_is_behind (&news, (struct ash_time){ 1400 }, 4, 400));
+  ash_peer_version_reported (&version, (struct ash_time){ 1300 }, 9, 4);
+  ash_peer_version_reported (&version, (struct ash_time){ 1350 }, 5, 4);
+  CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1400 }, 4, 400));
   /* What comes in between does: the source speaks. */
-  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, (struct ash_time){ 1500 }, 6, 1));
-  CU_ASSERT (ash_peer_version_is_behind (&news, (struct ash_time){ 1600 }, 6, 100));
-  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, (struct ash_time){ 1600 }, 6, 101));
-  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, (struct ash_time){ 1700 }, 9, 0));
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1500 }, 6, 1));
+  CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1600 }, 6, 100));
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1600 }, 6, 101));
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1700 }, 9, 0));
 }
 
 /* What a review saw: a router that lacked nothing asked a peer for a whole list, and the store
@@ -750,42 +752,42 @@
  * of an earlier revision; from then on both lists said the same. Cause: the revision told while
  * they differed was kept. */
 static void
-test_peer_news_settled (void)
+test_peer_version_equal (void)
 {
-  struct ash_peer_version news = { 0 };
+  struct ash_peer_version version = { 0 };
 
-  ash_peer_version_reported (&news, at (1000), 9, 4);
-  ash_peer_version_equal (&news, at (1100), 9, 4);
-  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, at (1900), 4, 0));
+  ash_peer_version_reported (&version, at (1000), 9, 4);
+  ash_peer_version_equal (&version, at (1100), 9, 4);
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, at (1900), 4, 0));
   /* One that differs and is older than that lacks something itself. */
-  ash_peer_version_reported (&news, at (1900), 8, 4);
-  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, at (1950), 4, 0));
+  ash_peer_version_reported (&version, at (1900), 8, 4);
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, at (1950), 4, 0));
   /* Who has an older one says nothing of the newest. */
-  ash_peer_version_reported (&news, at (2000), 12, 4);
-  ash_peer_version_equal (&news, at (2100), 11, 4);
-  CU_ASSERT (ash_peer_version_is_behind (&news, at (2700), 4, 700));
+  ash_peer_version_reported (&version, at (2000), 12, 4);
+  ash_peer_version_equal (&version, at (2100), 11, 4);
+  CU_ASSERT (ash_peer_version_is_behind (&version, at (2700), 4, 700));
   /* A change after that begins a new wait. */
-  ash_peer_version_equal (&news, at (2800), 13, 4);
-  ash_peer_version_reported (&news, at (3000), 14, 4);
-  CU_ASSERT (ash_peer_version_is_behind (&news, at (3100), 4, 100));
-  CU_ASSERT_FALSE (ash_peer_version_is_behind (&news, at (3100), 4, 101));
+  ash_peer_version_equal (&version, at (2800), 13, 4);
+  ash_peer_version_reported (&version, at (3000), 14, 4);
+  CU_ASSERT (ash_peer_version_is_behind (&version, at (3100), 4, 100));
+  CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, at (3100), 4, 101));
 }
 
 /* ---- who asks the store often ---- */
 
-#define ASKERS_MAX 400
-#define ASKERS_WANTED 3
+#define POLLERS_MAX 400
+#define POLLERS_WANTED 3
 
-struct fleet_of
+struct fleet
 {
-  char boxes[ASKERS_MAX][16];
-  char halls[ASKERS_MAX][16];
+  char boxes[POLLERS_MAX][16];
+  char halls[POLLERS_MAX][16];
   uint32_t count;
 };
 
 /* @param hall_of the hall of each router, by its place by name. */
 static void
-build_fleet (struct fleet_of *fleet, uint32_t count, uint32_t (*hall_of) (uint32_t i))
+build_fleet (struct fleet *fleet, uint32_t count, uint32_t (*hall_of) (uint32_t i))
 {
   fleet->count = count;
   for (uint32_t i = 0; i < count; i++)
@@ -796,9 +798,9 @@
 }
 
 static bool
-asks_often (const struct fleet_of *fleet, uint32_t own)
+is_poller (const struct fleet *fleet, uint32_t own)
 {
-  struct ash_poller others[ASKERS_MAX];
+  struct ash_poller others[POLLERS_MAX];
   uint32_t count = 0;
 
   /* In another order for each: links come up as they like. */
@@ -809,23 +811,23 @@
       others[count++] = (struct ash_poller){ fleet->boxes[other], fleet->halls[other], 0 };
     }
   return ash_pollers_is_chosen ((struct ash_poller){ fleet->boxes[own], fleet->halls[own], 0 },
-                                others, count, ASKERS_WANTED);
+                                others, count, POLLERS_WANTED);
 }
 
 /* Those that say that they ask often, as one bit each of the first 64. */
 static uint64_t
-askers_of (const struct fleet_of *fleet, uint32_t *count)
+pollers_of (const struct fleet *fleet, uint32_t *count)
 {
-  uint64_t askers = 0;
+  uint64_t pollers = 0;
 
   *count = 0;
   for (uint32_t i = 0; i < fleet->count; i++)
-    if (asks_often (fleet, i))
+    if (is_poller (fleet, i))
       {
         ++*count;
-        askers |= i < 64 ? UINT64_C (1) << i : 0;
+        pollers |= i < 64 ? UINT64_C (1) << i : 0;
       }
-  return askers;
+  return pollers;
 }
 
 static uint32_t
@@ -858,32 +860,32 @@
  * which all stood in one hall. With that hall cut off, the others heard of a change when their own
  * long question ended. */
 static void
-test_askers (void)
+test_pollers (void)
 {
-  static struct fleet_of fleet;
+  static struct fleet fleet;
   uint32_t count;
 
   build_fleet (&fleet, 30, halls_of_ten);
-  CU_ASSERT_EQUAL (askers_of (&fleet, &count), UINT64_C (1) << 0 | UINT64_C (1) << 10 | 1 << 20);
-  CU_ASSERT_EQUAL (count, ASKERS_WANTED);
+  CU_ASSERT_EQUAL (pollers_of (&fleet, &count), UINT64_C (1) << 0 | UINT64_C (1) << 10 | 1 << 20);
+  CU_ASSERT_EQUAL (count, POLLERS_WANTED);
   build_fleet (&fleet, 400, halls_of_ten);
-  CU_ASSERT_EQUAL (askers_of (&fleet, &count), UINT64_C (1) << 0 | UINT64_C (1) << 10 | 1 << 20);
-  CU_ASSERT_EQUAL (count, ASKERS_WANTED);
+  CU_ASSERT_EQUAL (pollers_of (&fleet, &count), UINT64_C (1) << 0 | UINT64_C (1) << 10 | 1 << 20);
+  CU_ASSERT_EQUAL (count, POLLERS_WANTED);
   build_fleet (&fleet, 400, three_halls_in_turn);
-  CU_ASSERT_EQUAL (askers_of (&fleet, &count), 7);
-  CU_ASSERT_EQUAL (count, ASKERS_WANTED);
+  CU_ASSERT_EQUAL (pollers_of (&fleet, &count), 7);
+  CU_ASSERT_EQUAL (count, POLLERS_WANTED);
   /* Fewer halls than that: the second ones of halls are next. */
   build_fleet (&fleet, 30, two_halls);
-  CU_ASSERT_EQUAL (askers_of (&fleet, &count), 1 << 0 | 1 << 1 | 1 << 5);
-  CU_ASSERT_EQUAL (count, ASKERS_WANTED);
+  CU_ASSERT_EQUAL (pollers_of (&fleet, &count), 1 << 0 | 1 << 1 | 1 << 5);
+  CU_ASSERT_EQUAL (count, POLLERS_WANTED);
   build_fleet (&fleet, 400, one_hall);
-  CU_ASSERT_EQUAL (askers_of (&fleet, &count), 7);
-  CU_ASSERT_EQUAL (count, ASKERS_WANTED);
+  CU_ASSERT_EQUAL (pollers_of (&fleet, &count), 7);
+  CU_ASSERT_EQUAL (count, POLLERS_WANTED);
   /* Few routers: all of them. */
   build_fleet (&fleet, 2, one_hall);
-  CU_ASSERT_EQUAL (askers_of (&fleet, &count), 3);
+  CU_ASSERT_EQUAL (pollers_of (&fleet, &count), 3);
   build_fleet (&fleet, 1, one_hall);
-  CU_ASSERT_EQUAL (askers_of (&fleet, &count), 1);
+  CU_ASSERT_EQUAL (pollers_of (&fleet, &count), 1);
 }
 
 /* The router that led after the first one by name had a link of 40 Mbit/s: a map for two groups of
@@ -968,27 +970,27 @@
 add_router_tests (CU_pSuite suite)
 {
   CU_add_test (suite, "routes: host, longest prefix, keys", test_routes);
-  CU_add_test (suite, "routes: parts by weight", test_route_parts);
+  CU_add_test (suite, "routes: parts by weight", test_route_split);
   CU_add_test (suite, "routes: all findings of a bad table", test_bad_tables);
   CU_add_test (suite, "endpoints: choice by load and evidence", test_choice);
   CU_add_test (suite, "endpoints: pauses of streams", test_pauses);
   CU_add_test (suite, "endpoints: those of the own hall", test_own_hall);
   CU_add_test (suite, "endpoints: a slow one", test_slow_endpoint);
-  CU_add_test (suite, "endpoints: lapsed and gone", test_lapsing);
+  CU_add_test (suite, "endpoints: lapsed and gone", test_removal);
   CU_add_test (suite, "endpoints: an address taken over", test_address_taken_over);
   CU_add_test (suite, "forward: at most once", test_forward_once);
   CU_add_test (suite, "forward: repeatable", test_forward_repeatable);
-  CU_add_test (suite, "forward: waiting for room", test_forward_room);
-  CU_add_test (suite, "forward: when to come back", test_forward_return);
-  CU_add_test (suite, "forward: bound on resends", test_resends);
+  CU_add_test (suite, "forward: waiting for room", test_forward_capacity);
+  CU_add_test (suite, "forward: when to come back", test_forward_retry_after);
+  CU_add_test (suite, "forward: bound on resends", test_resend_bound);
   CU_add_test (suite, "settings: seconds with fractions", test_seconds);
   CU_add_test (suite, "router settings: bounds that are fractions", test_fractions);
-  CU_add_test (suite, "router talk: how often to other halls", test_talk);
+  CU_add_test (suite, "router talk: how often to other halls", test_peer_periods);
   CU_add_test (suite, "router talk: fast links first", test_fast_links_first);
-  CU_add_test (suite, "endpoints: last places of other halls", test_spill);
-  CU_add_test (suite, "endpoints: started anew under the same id", test_rebirth);
-  CU_add_test (suite, "peers: what they have and this process lacks", test_peer_news);
-  CU_add_test (suite, "peers: what they have is the same after all", test_peer_news_settled);
-  CU_add_test (suite, "store: who asks often", test_askers);
+  CU_add_test (suite, "endpoints: last places of other halls", test_spillover);
+  CU_add_test (suite, "endpoints: started anew under the same id", test_restart);
+  CU_add_test (suite, "peers: what they have and this process lacks", test_peer_version);
+  CU_add_test (suite, "peers: what they have is the same after all", test_peer_version_equal);
+  CU_add_test (suite, "store: who asks often", test_pollers);
   CU_add_test (suite, "log: bounded, and never waits", test_log_bound);
 }
--- a/test/unit_router_world.c
+++ b/test/unit_router_world.c
@@ -7,7 +7,7 @@
 #include "controllers/pass_model.h"
 #include "test/unit.h"
 
-static const struct router_world_setup usual = {
+static const struct router_world_setup default_setup = {
   .seed = 3,
   .length_ms = 10000,
   .calls_s = 63,
@@ -24,7 +24,7 @@
 }
 
 static struct router_world_class
-play (const struct router_world_setup *setup)
+simulate (const struct router_world_setup *setup)
 {
   struct router_world_result result;
 
@@ -44,17 +44,17 @@
 static void
 test_repeatable (void)
 {
-  struct router_world_setup setup = usual;
+  struct router_world_setup setup = default_setup;
   struct router_world_class first;
   struct router_world_class again;
   struct router_world_class other;
 
   setup.calls_s = 150;
-  first = play (&setup);
-  again = play (&setup);
+  first = simulate (&setup);
+  again = simulate (&setup);
   CU_ASSERT (is_same (&first, &again));
   setup.seed++;
-  other = play (&setup);
+  other = simulate (&setup);
   CU_ASSERT_FALSE (is_same (&first, &other));
 }
 
@@ -62,7 +62,7 @@
 static void
 test_ends (void)
 {
-  struct router_world_setup setup = usual;
+  struct router_world_setup setup = default_setup;
   struct router_world_class all;
 
   setup.calls_s = 200;
@@ -75,7 +75,7 @@
   setup.slow_for_ms = 5000;
   setup.slow_times = 4;
   setup.slow_groups = 2;
-  all = play (&setup);
+  all = simulate (&setup);
   CU_ASSERT (all.asked > 1800 && all.asked < 2200);
   CU_ASSERT (all.refused_twice > 0);
   CU_ASSERT (all.refused_twice <= all.refused_once);
@@ -88,13 +88,13 @@
 
 /* With room for all, no policy shows: all in aim, nobody refused or overtaken. */
 static void
-test_calm (void)
+test_spare_capacity (void)
 {
-  struct router_world_setup setup = usual;
+  struct router_world_setup setup = default_setup;
   struct router_world_class all;
 
   setup.calls_s = 30;
-  all = play (&setup);
+  all = simulate (&setup);
   CU_ASSERT_EQUAL (all.in_aim, all.asked);
   CU_ASSERT_EQUAL (all.refused_once + all.held + all.cut + all.overtaken, 0);
   CU_ASSERT_EQUAL (all.big_served, all.big);
@@ -118,7 +118,7 @@
 static void
 test_cap (void)
 {
-  struct router_world_setup setup = usual;
+  struct router_world_setup setup = default_setup;
   struct router_world_result result;
 
   setup.calls_s = 30;
@@ -132,15 +132,15 @@
 
 /* Callers leave after two seconds without an event: a long wait makes no refusal good. */
 static void
-test_held (void)
+test_waiting_callers (void)
 {
-  struct router_world_setup setup = usual;
+  struct router_world_setup setup = default_setup;
   struct router_world_class all;
 
   setup.calls_s = 250;
   setup.wait_ms = 7000;
   setup.returned_wait_ms = 7000;
-  all = play (&setup);
+  all = simulate (&setup);
   CU_ASSERT_EQUAL (all.refused_once, 0);
   CU_ASSERT (all.held > all.asked / 10);
   CU_ASSERT (all.held_s / all.held < 2.1);
@@ -152,7 +152,7 @@
 static void
 test_overtaken (void)
 {
-  struct router_world_setup setup = usual;
+  struct router_world_setup setup = default_setup;
   struct router_world_result arrival;
   struct router_world_result ordered;
 
@@ -198,10 +198,10 @@
 {
   CU_add_test (suite, "router world: the same seed gives the same run", test_repeatable);
   CU_add_test (suite, "router world: every call ends once", test_ends);
-  CU_add_test (suite, "router world: calm", test_calm);
+  CU_add_test (suite, "router world: calm", test_spare_capacity);
   CU_add_test (suite, "router world: passes", test_passes);
   CU_add_test (suite, "router world: cap over all routers", test_cap);
-  CU_add_test (suite, "router world: held callers leave", test_held);
+  CU_add_test (suite, "router world: held callers leave", test_waiting_callers);
   CU_add_test (suite, "router world: overtaken", test_overtaken);
   CU_add_test (suite, "router world: streams of engines never seen", test_streams_of_engines);
 }
--- a/test/unit_terms.c
+++ b/test/unit_terms.c
@@ -13,17 +13,17 @@
 
 #define ROUTERS_MAX 300
 #define STEP_MS 10
-#define PLAY_MS 30000
-#define STEPS (PLAY_MS / STEP_MS)
+#define SIMULATION_MS 30000
+#define STEPS (SIMULATION_MS / STEP_MS)
 
 /* What is borne of a rate in any such window: half of it more, and five requests. */
 #define WINDOW_MS 4000
 #define WINDOW_BUCKETS (WINDOW_MS / STEP_MS)
-#define BORNE_FACTOR 1.5
-#define BORNE_SLACK 5
+#define ALLOWED_FACTOR 1.5
+#define ALLOWED_SLACK 5
 
 /* Part of a rate that is of use, where there is more demand. */
-#define USED_PART 0.8
+#define MIN_UTILIZATION 0.8
 
 static struct ash_time
 at (int64_t ms)
@@ -37,37 +37,37 @@
 {
   uint32_t count;
   struct ash_rate_limit limits[ROUTERS_MAX];
-  bool away[ROUTERS_MAX];
+  bool disconnected[ROUTERS_MAX];
   uint32_t sent[STEPS];
 };
 
 static uint64_t
-name_of (uint32_t router)
+hash_of (uint32_t router)
 {
   return ash_hash_bytes (&router, sizeof router);
 }
 
 /* @param unseen one router that this one does not see. */
 static void
-deal (struct fleet *fleet, uint32_t own, struct ash_time now, uint32_t unseen)
+assign_share (struct fleet *fleet, uint32_t own, struct ash_time now, uint32_t unseen_router)
 {
   uint32_t count = 0;
   uint32_t before = 0;
 
   for (uint32_t i = 0; i < fleet->count; i++)
-    if (!fleet->away[i] && (i != unseen || i == own))
+    if (!fleet->disconnected[i] && (i != unseen_router || i == own))
       {
         count++;
-        before += ash_rate_limit_order (1, name_of (i)) < ash_rate_limit_order (1, name_of (own));
+        before += ash_rate_limit_order (1, hash_of (i)) < ash_rate_limit_order (1, hash_of (own));
       }
   ash_rate_limit_assign (&fleet->limits[own], now, 1, count, before);
 }
 
 static void
-deal_all (struct fleet *fleet, struct ash_time now, bool alike)
+assign_shares (struct fleet *fleet, struct ash_time now, bool same_view)
 {
   for (uint32_t i = 0; i < fleet->count; i++)
-    deal (fleet, i, now, alike ? UINT32_MAX : (i + 1) % fleet->count);
+    assign_share (fleet, i, now, same_view ? UINT32_MAX : (i + 1) % fleet->count);
 }
 
 /* All that may send, do. */
@@ -80,7 +80,7 @@
     {
       uint32_t router = (first + i) % fleet->count;
 
-      if (fleet->away[router] || ash_rate_limit_wait_ms (&fleet->limits[router], now))
+      if (fleet->disconnected[router] || ash_rate_limit_wait_ms (&fleet->limits[router], now))
         continue;
       ash_rate_limit_spend (&fleet->limits[router], now);
       fleet->sent[n]++;
@@ -114,29 +114,29 @@
 /* More demand at each router than the endpoint takes of all. A third of the routers is away for a
  * third of the time. */
 static void
-play_rate (uint32_t routers, uint32_t milli_per_s, bool alike, uint64_t seed)
+simulate_rate (uint32_t routers, uint32_t milli_per_s, bool same_view, uint64_t seed)
 {
   struct fleet *fleet = calloc (1, sizeof *fleet);
   double per_s = milli_per_s / 1000.0;
   struct ash_random random;
-  double borne = BORNE_FACTOR * per_s * WINDOW_MS / 1000 + BORNE_SLACK;
+  double allowed = ALLOWED_FACTOR * per_s * WINDOW_MS / 1000 + ALLOWED_SLACK;
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (fleet);
   ash_random_init (&random, seed);
   fleet->count = routers;
   for (uint32_t i = 0; i < routers; i++)
     ash_rate_limit_update (&fleet->limits[i], milli_per_s, at (1), at (0));
-  deal_all (fleet, at (1), alike);
+  assign_shares (fleet, at (1), same_view);
   for (uint32_t n = 0; n < STEPS; n++)
     {
       for (uint32_t i = 0; i < routers / 3 && n % (STEPS / 3) == 0; i++)
-        fleet->away[i] = n == STEPS / 3;
+        fleet->disconnected[i] = n == STEPS / 3;
       if (n % (STEPS / 3) == 0)
-        deal_all (fleet, at ((int64_t) (n + 1) * STEP_MS), alike);
+        assign_shares (fleet, at ((int64_t) (n + 1) * STEP_MS), same_view);
       step (fleet, n, ash_random_below (&random, routers));
     }
-  CU_ASSERT (worst_window (fleet) <= borne);
-  CU_ASSERT (sum_of (fleet, 0, STEPS) >= USED_PART * per_s * PLAY_MS / 1000);
+  CU_ASSERT (worst_window (fleet) <= allowed);
+  CU_ASSERT (sum_of (fleet, 0, STEPS) >= MIN_UTILIZATION * per_s * SIMULATION_MS / 1000);
   free (fleet);
 }
 
@@ -149,16 +149,16 @@
   for (uint32_t i = 0; i < sizeof sizes / sizeof sizes[0]; i++)
     for (uint32_t k = 0; k < sizeof rates_milli / sizeof rates_milli[0]; k++)
       {
-        play_rate (sizes[i], rates_milli[k], true, 1 + k);
+        simulate_rate (sizes[i], rates_milli[k], true, 1 + k);
         /* Each does not see one of the others. Two that see nobody are cut off from each other:
          * what each sends is bounded, what both send is not. */
         if (sizes[i] > 2)
-          play_rate (sizes[i], rates_milli[k], false, 1 + k);
+          simulate_rate (sizes[i], rates_milli[k], false, 1 + k);
       }
 }
 
 static void
-test_rate_heard (void)
+test_rate_updates (void)
 {
   struct ash_rate_limit limit = { 0 };
 
@@ -214,26 +214,26 @@
 }
 
 static struct ash_forward_decision
-ask (struct ash_direct_set *set, struct ash_resend_window *window, int64_t now_ms)
+forward_request (struct ash_direct_set *set, struct ash_resend_window *window, int64_t now_ms)
 {
   struct ash_forward forward = new_forward (now_ms);
-  struct ash_forward_context world = {
+  struct ash_forward_context context = {
     .endpoints = set, .window = window, .bound = { 10000, 0.2, 100 }, .entries = 1, .hall = "h"
   };
-  struct ash_forward_decision verdict = ash_forward_next (&forward, &world, at (now_ms));
+  struct ash_forward_decision decision = ash_forward_next (&forward, &context, at (now_ms));
 
-  if (verdict.action == ASH_FORWARD_SEND)
-    ash_direct_note_sent (verdict.endpoint, at (now_ms));
-  return verdict;
+  if (decision.action == ASH_FORWARD_SEND)
+    ash_direct_note_sent (decision.endpoint, at (now_ms));
+  return decision;
 }
 
 /* Refused at once, and told to come back when an endpoint takes requests again. */
 static void
-test_all_at_their_rate (void)
+test_all_throttled (void)
 {
   struct ash_resend_window window = { 0 };
   struct ash_direct_set set;
-  struct ash_forward_decision verdict;
+  struct ash_forward_decision decision;
   uint32_t sent = 0;
 
   ash_direct_init (&set, 1);
@@ -245,30 +245,30 @@
       ash_rate_limit_assign (&endpoint->limit, at (1), 1, 1, 0);
     }
   for (int64_t now_ms = 1; now_ms <= 2000; now_ms++)
-    sent += ask (&set, &window, now_ms).action == ASH_FORWARD_SEND;
+    sent += forward_request (&set, &window, now_ms).action == ASH_FORWARD_SEND;
   CU_ASSERT_EQUAL (sent, 0);
-  sent = ask (&set, &window, 2010).action == ASH_FORWARD_SEND;
-  sent += ask (&set, &window, 2010).action == ASH_FORWARD_SEND;
+  sent = forward_request (&set, &window, 2010).action == ASH_FORWARD_SEND;
+  sent += forward_request (&set, &window, 2010).action == ASH_FORWARD_SEND;
   CU_ASSERT_EQUAL (sent, 2);
-  verdict = ask (&set, &window, 2010);
-  CU_ASSERT_FATAL (verdict.action == ASH_FORWARD_ANSWER);
-  CU_ASSERT (verdict.answer.status == 503 && verdict.answer.reason == ASH_FORWARD_THROTTLED);
-  CU_ASSERT (verdict.answer.retry_after_ms >= 1990 && verdict.answer.retry_after_ms <= 8000 / 3);
+  decision = forward_request (&set, &window, 2010);
+  CU_ASSERT_FATAL (decision.action == ASH_FORWARD_ANSWER);
+  CU_ASSERT (decision.answer.status == 503 && decision.answer.reason == ASH_FORWARD_THROTTLED);
+  CU_ASSERT (decision.answer.retry_after_ms >= 1990 && decision.answer.retry_after_ms <= 8000 / 3);
   /* A new life has named none. */
   CU_ASSERT (ash_direct_update (
       &set, &(struct ash_direct_facts){
                 .id = "a", .service = "s", .hall = "h", .address = "1.2.3.4:9", .slots = 8 }));
-  CU_ASSERT (ask (&set, &window, 2011).action == ASH_FORWARD_SEND);
+  CU_ASSERT (forward_request (&set, &window, 2011).action == ASH_FORWARD_SEND);
   ash_direct_finish (&set);
 }
 
 /* Those that turn requests away have the least work. */
 static void
-test_rest (void)
+test_back_off (void)
 {
   struct ash_resend_window window = { 0 };
   struct ash_direct_set set;
-  struct ash_forward_decision verdict;
+  struct ash_forward_decision decision;
 
   ash_direct_init (&set, 1);
   ash_direct_back_off (add_endpoint (&set, "a"), at (0), 3000);
@@ -277,34 +277,34 @@
   add_endpoint (&set, "b");
   for (int i = 0; i < 8; i++)
     {
-      verdict = ask (&set, &window, 2990);
-      CU_ASSERT (verdict.action == ASH_FORWARD_SEND && verdict.endpoint->facts.id[0] == 'b');
+      decision = forward_request (&set, &window, 2990);
+      CU_ASSERT (decision.action == ASH_FORWARD_SEND && decision.endpoint->facts.id[0] == 'b');
     }
   /* The other one is full: refused at once. */
-  verdict = ask (&set, &window, 2990);
-  CU_ASSERT (verdict.action == ASH_FORWARD_ANSWER && verdict.answer.status == 503);
-  verdict = ask (&set, &window, 3000);
-  CU_ASSERT (verdict.action == ASH_FORWARD_SEND && verdict.endpoint->facts.id[0] == 'a');
+  decision = forward_request (&set, &window, 2990);
+  CU_ASSERT (decision.action == ASH_FORWARD_ANSWER && decision.answer.status == 503);
+  decision = forward_request (&set, &window, 3000);
+  CU_ASSERT (decision.action == ASH_FORWARD_SEND && decision.endpoint->facts.id[0] == 'a');
   ash_direct_finish (&set);
 }
 
 /* A caller that comes back as told meets endpoints that take requests again. */
 static void
-test_all_rest (void)
+test_all_back_off (void)
 {
   struct ash_resend_window window = { 0 };
   struct ash_direct_set set;
-  struct ash_forward_decision verdict;
+  struct ash_forward_decision decision;
 
   ash_direct_init (&set, 1);
   ash_direct_back_off (add_endpoint (&set, "a"), at (0), 2500);
   ash_direct_back_off (add_endpoint (&set, "b"), at (0), 9000);
   for (int i = 0; i < 50; i++)
     {
-      verdict = ask (&set, &window, 100);
-      CU_ASSERT (verdict.action == ASH_FORWARD_ANSWER && verdict.answer.status == 503);
-      CU_ASSERT (verdict.answer.retry_after_ms >= 2400 &&
-                 verdict.answer.retry_after_ms <= 8000 / 3);
+      decision = forward_request (&set, &window, 100);
+      CU_ASSERT (decision.action == ASH_FORWARD_ANSWER && decision.answer.status == 503);
+      CU_ASSERT (decision.answer.retry_after_ms >= 2400 &&
+                 decision.answer.retry_after_ms <= 8000 / 3);
     }
   ash_direct_finish (&set);
 }
@@ -312,14 +312,14 @@
 /* A router of a large fleet takes one part of the endpoints of other halls, and more of them where
  * those of its part want nothing. */
 static void
-test_part_rests (void)
+test_partition_backs_off (void)
 {
   struct ash_direct_criteria criteria = {
     .service = "s", .hall = "x", .own = 1, .remote_parts = 4, .cap = 8
   };
   struct ash_direct_endpoint *chosen;
   struct ash_direct_set set;
-  uint32_t rested = 0;
+  uint32_t backed_off = 0;
 
   ash_direct_init (&set, 1);
   for (int i = 0; i < ENDPOINTS; i++)
@@ -330,27 +330,27 @@
                              ASH_DIRECT_CHOSEN);
       CU_ASSERT_EQUAL (ash_direct_backoff_ms (chosen, at (0)), 0);
       ash_direct_back_off (chosen, at (0), 1000);
-      rested++;
+      backed_off++;
     }
-  CU_ASSERT_EQUAL (rested, ENDPOINTS);
+  CU_ASSERT_EQUAL (backed_off, ENDPOINTS);
   CU_ASSERT_EQUAL (ash_direct_choose (&set, at (0), &criteria, &chosen), ASH_DIRECT_THROTTLED);
   CU_ASSERT_EQUAL (ash_direct_wait_ms (&set, at (0), &criteria), 1000);
   ash_direct_finish (&set);
 }
 
-#define TURNING_AWAY 5
+#define REJECTING_ENDPOINTS 5
 #define RUN_MS 1000
 
 /* Of ten requests these turn nine away, without a word about rest. They keep no work, and get no
  * more than their share all the same. */
 static void
-test_turning_away (void)
+test_rejecting_endpoints (void)
 {
   struct ash_resend_window window = { 0 };
   struct ash_direct_endpoint *runs[RUN_MS / STEP_MS] = { NULL };
   struct ash_direct_set set;
   struct ash_random random;
-  uint32_t at_turning = 0;
+  uint32_t at_rejecting = 0;
 
   ash_direct_init (&set, 1);
   ash_random_init (&random, 1);
@@ -360,8 +360,8 @@
     {
       struct ash_time now = at ((int64_t) (n + 1) * STEP_MS);
       struct ash_direct_endpoint **run = &runs[n % (RUN_MS / STEP_MS)];
-      struct ash_forward_decision verdict;
-      bool is_turning;
+      struct ash_forward_decision decision;
+      bool is_rejecting;
 
       if (*run)
         {
@@ -369,27 +369,27 @@
           ash_direct_note_result (*run, now, ASH_DIRECT_ANSWERED);
           *run = NULL;
         }
-      verdict = ask (&set, &window, now.ms);
-      CU_ASSERT_FATAL (verdict.action == ASH_FORWARD_SEND);
-      is_turning = verdict.endpoint->facts.id[0] < 'a' + TURNING_AWAY;
-      at_turning += is_turning;
-      if (is_turning && ash_random_below (&random, 10))
+      decision = forward_request (&set, &window, now.ms);
+      CU_ASSERT_FATAL (decision.action == ASH_FORWARD_SEND);
+      is_rejecting = decision.endpoint->facts.id[0] < 'a' + REJECTING_ENDPOINTS;
+      at_rejecting += is_rejecting;
+      if (is_rejecting && ash_random_below (&random, 10))
         {
-          verdict.endpoint->in_flight--;
-          ash_direct_note_result (verdict.endpoint, now, ASH_DIRECT_FULL);
+          decision.endpoint->in_flight--;
+          ash_direct_note_result (decision.endpoint, now, ASH_DIRECT_FULL);
         }
       else
-        *run = verdict.endpoint;
+        *run = decision.endpoint;
     }
-  CU_ASSERT (at_turning <= STEPS * TURNING_AWAY / ENDPOINTS);
+  CU_ASSERT (at_rejecting <= STEPS * REJECTING_ENDPOINTS / ENDPOINTS);
   /* They are tried again: they may have recovered. */
-  CU_ASSERT (at_turning >= TURNING_AWAY * PLAY_MS / 10000);
+  CU_ASSERT (at_rejecting >= REJECTING_ENDPOINTS * SIMULATION_MS / 10000);
   ash_direct_finish (&set);
 }
 
 /* Whatever the list says of this life. */
 static void
-test_leaves (void)
+test_announced_leaving (void)
 {
   struct ash_resend_window window = { 0 };
   struct ash_direct_facts facts;
@@ -401,7 +401,7 @@
   endpoint->announced_leaving = true;
   facts = endpoint->facts;
   ash_direct_update (&set, &facts);
-  CU_ASSERT (ask (&set, &window, 1).action == ASH_FORWARD_ANSWER);
+  CU_ASSERT (forward_request (&set, &window, 1).action == ASH_FORWARD_ANSWER);
   CU_ASSERT_EQUAL (ash_direct_count (&set, "s"), 0);
   /* A list that can't be trusted has lost it: it has left. */
   CU_ASSERT (ash_direct_remove (&set, "a", false, at (5000)));
@@ -410,7 +410,7 @@
   facts.born_ms = 7;
   strcpy (facts.address, "1.2.3.4:9");
   ash_direct_update (&set, &facts);
-  CU_ASSERT (ask (&set, &window, 2).action == ASH_FORWARD_SEND);
+  CU_ASSERT (forward_request (&set, &window, 2).action == ASH_FORWARD_SEND);
   ash_direct_finish (&set);
 }
 
@@ -418,11 +418,12 @@
 add_terms_tests (CU_pSuite suite)
 {
   CU_add_test (suite, "rates: a fleet of any size keeps to one, and uses it", test_rate_of_fleets);
-  CU_add_test (suite, "rates: the newest word holds", test_rate_heard);
-  CU_add_test (suite, "rates: all endpoints at theirs, refused at once", test_all_at_their_rate);
-  CU_add_test (suite, "rest: an endpoint that asks for it gets it", test_rest);
-  CU_add_test (suite, "rest: all endpoints, refused until the first one is back", test_all_rest);
-  CU_add_test (suite, "rest: a router's part of far endpoints", test_part_rests);
-  CU_add_test (suite, "rest: endpoints that turn requests away", test_turning_away);
-  CU_add_test (suite, "leaving: by an endpoint's own answer", test_leaves);
+  CU_add_test (suite, "rates: the newest word holds", test_rate_updates);
+  CU_add_test (suite, "rates: all endpoints at theirs, refused at once", test_all_throttled);
+  CU_add_test (suite, "rest: an endpoint that asks for it gets it", test_back_off);
+  CU_add_test (suite, "rest: all endpoints, refused until the first one is back",
+               test_all_back_off);
+  CU_add_test (suite, "rest: a router's part of far endpoints", test_partition_backs_off);
+  CU_add_test (suite, "rest: endpoints that turn requests away", test_rejecting_endpoints);
+  CU_add_test (suite, "leaving: by an endpoint's own answer", test_announced_leaving);
 }
