--- a/test/expert_schedule.c
+++ b/test/expert_schedule.c
@@ -1,15 +1,15 @@
 /**
  * @file
  * Random schedules of changes of an expert map: four ranks in lock-step, three
- * coordinators, orders and answers that are lost, doubled and late, coordinators
- * that stop or forget, ranks that are replaced. After every event: whatever ranks
- * have begun a step have begun it with one map. At the end one coordinator must
- * bring the group into order, and all ranks go on.
+ * coordinators, orders and answers that are lost, duplicated or late, coordinators that
+ * restart, ranks that are replaced. After every event: all ranks that have begun a step
+ * have begun it with the same map. At the end one coordinator must complete a change,
+ * and all ranks must make progress.
  *
- * In half of the schedules the engines check no orders, and their agents, which
- * restart and forget, do so in their place.
+ * In half of the schedules the engines do not check orders; their agents, which restart
+ * and lose their state, check the orders instead.
  *
- * usage: test-expert-schedule [COUNT [FIRST_SEED]]
+ * usage: test-expert-schedule [COUNT [FIRST_SEED [stop]]]
  */
 #include "common/random.h"
 #include "controllers/expert_change.h"
@@ -35,7 +35,7 @@
 {
   int to_rank; /* -1: to a coordinator */
   int coordinator;
-  uint64_t agent_incarnation; /* at an engine: the agent's that gave the order */
+  uint64_t agent_incarnation; /* at an engine: incarnation of the agent that forwarded the order */
   struct ash_time sent_at;
   struct Ash__RankOrder order;
   struct Ash__RankState state;
@@ -46,19 +46,19 @@
   struct ash_random random;
   struct ash_time now;
   struct ash_expert_rank ranks[RANKS];
-  uint64_t step_maps[RANKS][STEPS_KEPT]; /* map of each step; 0: not begun by this life */
-  bool guarded;                          /* engines check nothing, their agents do */
+  uint64_t step_maps[RANKS][STEPS_KEPT]; /* map of each step; 0: not begun by this incarnation */
+  bool guarded;                          /* engines do not check orders, their agents do */
   struct ash_expert_guard guards[RANKS];
-  struct frame engine_orders[FRAMES_MAX]; /* orders under way from an agent to its engine */
+  struct frame engine_orders[FRAMES_MAX]; /* orders on the way from an agent to its engine */
   unsigned engine_order_count;
   struct ash_expert_change changes[COORDINATORS];
-  int sender; /* whose messages are being emitted */
+  int sender; /* coordinator whose messages are being emitted */
   struct frame frames[FRAMES_MAX];
   unsigned frame_count;
   uint64_t last_incarnation;
   uint64_t last_map;
   bool traced;
-  bool calm; /* the end: nothing is lost or late any more */
+  bool calm; /* end of the schedule: no more losses or delays */
   const char *violation;
 };
 
@@ -90,7 +90,7 @@
 static void
 enqueue (struct world *world, const struct frame *frame)
 {
-  /* A full network loses what comes. */
+  /* When the network is full, further messages are lost. */
   if (world->frame_count < FRAMES_MAX)
     world->frames[world->frame_count++] = *frame;
 }
@@ -117,7 +117,7 @@
 
 /* ---- events ---- */
 
-/* A failing seed is played again with this, as its session. */
+/* Prints an event when a failing seed is run again with tracing. */
 static void
 trace (const struct world *world, const char *to, Ash__Event__KindCase kind, const void *message)
 {
@@ -132,7 +132,8 @@
 
 /* ---- engines that check nothing, behind their agents ---- */
 
-/* The agent asks its engine for its state now and then: that settles it. */
+/* The agent polls its engine for its state. An answer ends the wait for orders that may still be on
+ * the way to the engine. */
 static void
 poll_engine (struct world *world, int r)
 {
@@ -177,7 +178,7 @@
   *(struct Ash__RankState *) data = *event->rank_state;
 }
 
-/* An order reaches its engine, whatever has become of the agent meanwhile. */
+/* Delivers an order to its engine, even if the agent that forwarded it has restarted. */
 static void
 deliver_to_engine (struct world *world, unsigned index)
 {
@@ -209,7 +210,8 @@
     deliver_to_engine (world, world->calm ? 0 : pick (world, world->engine_order_count));
 }
 
-/* What was forwarded to an engine reaches it soon, if the engine answers at all. */
+/* Advances the time and delivers the orders that have been on the way to an engine for
+ * ASH_EXPERT_SETTLE_MS: an engine that answers has received them by then. */
 static void
 advance_time (struct world *world, uint32_t wait_ms)
 {
@@ -266,7 +268,7 @@
     return;
   index = world->calm ? 0 : pick (world, world->frame_count);
   frame = world->frames[index];
-  /* One in ten stays in the network as a copy that comes again, late. */
+  /* One message in ten stays in the network as a duplicate that is delivered again later. */
   if (fate >= 10)
     {
       world->frame_count--;
@@ -287,7 +289,7 @@
   return true;
 }
 
-/* Lock-step: a rank begins a step when all have begun the one before. */
+/* Ranks run in lock-step: a rank begins a step when all have begun the previous one. */
 static void
 begin_step (struct world *world, int r)
 {
@@ -312,8 +314,8 @@
 {
   int others = 0;
 
-  /* If all that knew are replaced at once, the group is started anew, which is
-   * not this protocol's matter. */
+  /* If all ranks that know the map are replaced at once, the group must be started anew, which this
+   * protocol does not cover. */
   for (int q = 0; q < RANKS; q++)
     others += q != r && !world->ranks[q].blank;
   if (!others)
@@ -323,7 +325,7 @@
   totals[TOTAL_REPLACED]++;
 }
 
-/* A coordinator that forgets all, and its ballots. */
+/* Restarts a coordinator, which loses its state and its ballots. */
 static void
 restart_coordinator (struct world *world, int c)
 {
@@ -387,7 +389,7 @@
   else if (choice < 98)
     restart_coordinator (world, c);
   else if (choice < 99)
-    start_change (world, c); /* gives its own up and begins another */
+    start_change (world, c); /* abandons the current change and begins another */
   else if (pick (world, 4) == 0)
     replace_rank (world, r);
   else if (world->guarded)
--- a/test/fuzz_document.c
+++ b/test/fuzz_document.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Fuzzing of published documents and settings: whatever bytes come, there are
- * findings or an accepted document, and nothing else.
+ * Fuzzes the parsers of published documents and settings: any input must give either findings or
+ * a valid result, without a crash or a leak.
  */
 #include "options/document.h"
 #include "options/settings.h"
@@ -21,7 +21,7 @@
 
   ash_findings_init (&findings, "fuzz");
   ash_document_init (&document, 1, (const char *) bytes, length, &findings);
-  /* What is accepted must be usable. */
+  /* An accepted document must be usable. */
   if (findings.count == 0)
     for (uint32_t i = 0; i < document.service_count; i++)
       ash_document_home (&document, document.services[i].name, id);
--- a/test/fuzz_frame.c
+++ b/test/fuzz_frame.c
@@ -1,8 +1,7 @@
 /**
  * @file
- * Fuzzing of what a peer may send before it has proved itself, and of the
- * messages that a proved one may send: no crash, no leak, no frame of a kind that
- * is local to a process.
+ * Fuzzes what peers can send, before and after they have authenticated: no crash, no leak, and no
+ * event of a kind that is local to a process is accepted.
  */
 #include "controllers/config_delta.h"
 #include "net/frame.h"
@@ -13,7 +12,8 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *bytes, size_t length);
 
-/* The digests are made to fit, so that only the pieces decide. */
+/* The base digest is set to the matching one, so that only the pieces decide whether the delta
+ * applies. */
 static void
 apply_delta (struct Ash__ConfigDelta *delta)
 {
@@ -60,7 +60,7 @@
   struct Ash__Event *event;
 
   read_all (bytes, length);
-  /* The text form of golden sessions as well. */
+  /* Also the text form that golden sessions use. */
   memcpy (text, bytes, length);
   text[length] = '\0';
   event = ash_event_parse (text, &error);
--- a/test/golden.c
+++ b/test/golden.c
@@ -1,11 +1,11 @@
 /**
  * @file
- * Plays golden files: whole sessions of a core, one text file each, with a
- * time and a message a line. What the core gives out must be the file's text.
+ * Replays golden files. Each is a text file with one session of a core: its events, one a line,
+ * with their times. The transcript of the replay must equal the file.
  *
  * `core entry|agent|rank BOX SEED`, `set KEY VALUE` and `config REVISION FILE` come
- * before or between `TIME < message` lines; `TIME > message` lines are what is
- * expected. GOLDEN_UPDATE=1 writes the files anew, to be read before committing.
+ * before or between `TIME < message` lines; `TIME > message` lines are the expected
+ * output. GOLDEN_UPDATE=1 rewrites the files; review the changes before committing them.
  */
 #include "test/session.h"
 
@@ -112,7 +112,7 @@
   const char *word = strrchr (line, ' ');
 
   line[strcspn (line, "\n")] = '\0';
-  /* What is expected comes from the core itself, in the transcript. */
+  /* Expected output is skipped: the replay writes the actual output into the transcript. */
   if (strstr (line, " > ") && line[0] != '#' && strspn (line, "0123456789") > 0 &&
       strncmp (line + strspn (line, "0123456789"), " > ", 3) == 0)
     return;
@@ -140,7 +140,8 @@
     fprintf (player->out, "%s\n", line);
 }
 
-/* @return the session's transcript as the core gives it now, or NULL. */
+/* @return the transcript of replaying the file, which the caller frees, or NULL if it can't be
+ * opened. */
 static char *
 play_file (const char *folder, const char *path)
 {
--- a/test/map_schedule.c
+++ b/test/map_schedule.c
@@ -1,10 +1,10 @@
 /**
  * @file
- * Random schedules of changes of a group's map, ordered by routers from outside:
- * orders that are lost, answered late, overtaken by later ones or carried out seconds
- * late, ranks that copy for longer than expected, routers that die or are paused at any
- * point, two that lead at once, ranks that restart. In each pass all ranks must use one
- * and the same map, and a group that is left alone goes on.
+ * Random schedules of changes of a group's map by routers outside the group: orders that
+ * are lost, answered late, overtaken by later ones or carried out seconds late, ranks that
+ * copy for longer than expected, routers that are killed or suspended at any point, two
+ * routers that lead at once, groups that form anew. In each pass all ranks must use the same
+ * map, and a group must make progress once the faults have ended.
  */
 #include "common/random.h"
 #include "controllers/map_switch.h"
@@ -22,39 +22,40 @@
 #define COPY_MS 150
 #define LISTS_RETRY_MS 400
 
-/* In one schedule of three, copies take up to so long, and some orders so long on their way:
- * those sent later on another connection pass them. */
+/* In a third of the schedules copying takes up to this long, and some orders are delayed by up to
+ * this long: later orders on another connection overtake them. */
 #define SLOW_COPY_MAX_MS 600
 #define SLOW_ORDER_MAX_MS 300
 
-/* Trouble lasts so long, then the group has so long to be in order again. */
+/* Duration of the faults, then of the recovery, by the end of which the group must make
+ * progress. */
 #define FAULTS_MS 12000
 #define RECOVERY_MS 26000
 #define MESSAGES_MAX 512
 
-/* Longest that a group may stand still once all is calm. */
+/* The longest time without a pass after the faults have ended. */
 #define STALL_MAX_MS 3000
 
-/* Routers start long after their clock, and the group makes its first pass some time after. */
+/* Routers start with a clock far from 0; the first pass of the group follows some time later. */
 #define CLOCK_START_MS 60000000
 #define FIRST_PASS_MAX_MS 1500
 
-/* Furthest ahead that a rank may be armed: till then it takes no other map. */
+/* The most steps in advance that a rank may be armed: until that step it accepts no other map. */
 #define ARMED_AHEAD_MAX_STEPS 100
 
 struct rank
 {
   uint64_t map;
   uint64_t prepared;
-  int64_t copied_ms; /* when what is prepared is all there */
+  int64_t copied_ms; /* when copying the prepared map ends */
   uint64_t last_prepared;
   uint64_t armed;
   uint64_t armed_step;
   uint64_t held;
 };
 
-/* Something that happens later: an order or a question for its lists at a rank, the answer, or a
- * report. */
+/* A message that is delivered later: to a rank an order or a request for its lists; to a router an
+ * answer or a report. */
 struct message
 {
   bool used;
@@ -62,10 +63,10 @@
   bool is_answer;
   bool is_report;
   bool is_lists;
-  struct ash_time asked; /* the question for lists */
+  struct ash_time asked; /* when the lists were requested */
   bool unanswered;
   int router;
-  uint32_t incarnation; /* of the router */
+  uint32_t incarnation; /* incarnation of the router */
   uint16_t status;
   struct ash_rank_order order;
   struct ash_rank_report report;
@@ -92,9 +93,9 @@
   struct rank ranks[RANKS];
   struct router routers[ROUTERS];
   struct message messages[MESSAGES_MAX];
-  uint32_t loss_percent; /* of a hundred orders, those whose answer is lost */
-  uint32_t late_percent; /* those that are carried out seconds late */
-  uint32_t slow_percent; /* those that later ones may pass */
+  uint32_t loss_percent; /* percentage of orders whose answer is lost */
+  uint32_t late_percent; /* percentage of orders that are carried out seconds late */
+  uint32_t slow_percent; /* percentage of orders that later ones may overtake */
   bool two_leaders;
   bool traced;
   const char *violation;
@@ -276,7 +277,7 @@
 request_report (struct run *run, int r, uint32_t rank)
 {
   struct message message = {
-    /* As it stands now, told when it is old. */
+    /* The state of now, delivered with the lag of reports. */
     .due_ms = run->now_ms + LAG_MS + ash_random_below (&run->random, 6),
     .is_report = true,
     .router = r,
@@ -344,11 +345,11 @@
   struct ash_rank_order orders[ASH_LAYER_RANKS_MAX];
   uint32_t count;
 
-  /* One that no longer leads finishes what holds the group. */
+  /* A router that no longer leads still finishes a change in which a step is held. */
   if ((!router->leads && router->map_switch.phase < ASH_MAP_HOLD) ||
       run->now_ms < router->paused_until_ms)
     return;
-  /* Streams tell how long a pass takes, sooner than reports tell of its step. */
+  /* Streams show the time of a pass earlier than reports show its step. */
   if (run->step && chance (run, 20))
     ash_map_switch_set_pass_ms (&router->map_switch, PASS_MS);
   for (uint32_t i = 0; i < RANKS; i++)
@@ -363,7 +364,7 @@
     ash_map_switch_begin (
         &router->map_switch, now (run),
         ash_map_switch_new_version (&router->map_switch, ash_random_next (&run->random)), copy_ms);
-  /* What map is in use may have to be asked first. */
+  /* The router may have to request the map in use first. */
   if (ash_map_switch_needs_fence (&router->map_switch) && chance (run, 50))
     ash_map_switch_set_fence (
         &router->map_switch,
@@ -374,7 +375,7 @@
     send_order (run, r, &orders[i]);
 }
 
-/* A rank is asked for its lists, or its answer comes. */
+/* Delivers a request for lists to the rank, or its answer to the router. */
 static void
 deliver_lists (struct run *run, struct message *message, bool reaches_router)
 {
@@ -444,12 +445,12 @@
 
   switch (ash_random_below (&run->random, 5))
     {
-    case 0: /* killed; the other one leads */
+    case 0: /* killed; the other router leads */
       restart_router (run, r);
       router->leads = false;
       run->routers[1 - r].leads = true;
       break;
-    case 1: /* paused: wakes and forgets */
+    case 1: /* suspended; it loses its state, and the other router leads */
       if (run->now_ms < router->paused_until_ms)
         break;
       router->paused_until_ms = run->now_ms + 1000 + ash_random_below (&run->random, 3000);
@@ -457,7 +458,7 @@
       router->leads = false;
       run->routers[1 - r].leads = true;
       break;
-    case 2: /* both believe that they lead, or one only */
+    case 2: /* this router leads; depending on the seed the other one does too */
       router->leads = true;
       run->routers[1 - r].leads = run->two_leaders;
       break;
@@ -503,7 +504,7 @@
           begin_pass (run);
           run->next_pass_ms = run->now_ms + PASS_MS;
         }
-      /* Late orders come for twelve seconds after the trouble. */
+      /* Late orders arrive for up to twelve seconds after the faults have ended. */
       if (run->now_ms > FAULTS_MS + 15000 && run->now_ms - run->last_pass_ms > STALL_MAX_MS)
         run->violation = "the group stands still";
     }
--- a/test/schedule.c
+++ b/test/schedule.c
@@ -1,11 +1,11 @@
 /**
  * @file
- * Random schedules of the request cores: callers, two entries, two agents with
- * their engines, links that break, processes that die, are paused and wake
- * late, and homes that move. After every event the promises are checked.
+ * Random schedules of the request cores: callers, two entries, two agents with their
+ * engines, links that break, processes that are killed, stopped, or suspended and resumed,
+ * and homes that move. The invariants are checked after every event.
  *
- * usage: schedule [COUNT [FIRST_SEED]]
- * A failing seed prints its sessions as golden files and exits 1.
+ * usage: schedule [COUNT [FIRST_SEED [stop]]]
+ * A failing seed prints its sessions as golden files; the exit status is then 1.
  */
 #include "test/session.h"
 #include "test/workers.h"
@@ -32,25 +32,25 @@
 struct frame
 {
   struct Ash__Event *event;
-  unsigned session; /* of the wire that it is on */
+  unsigned session; /* of the link when it was sent */
   int64_t sent_ms;
   struct frame *prev;
   struct frame *next;
 };
 
-/* One link between an entry and an agent: a queue each way. */
+/* A link between an entry and an agent: a queue each way. */
 struct wire
 {
   int e;
   int a;
   bool open;
-  unsigned session;       /* counts how often the link was opened */
-  unsigned agent_session; /* the one that the agent knows; 0: none */
+  unsigned session;       /* number of times that the link was opened */
+  unsigned agent_session; /* the session that the agent uses; 0: none */
   unsigned entry_session;
   int64_t closed_ms;
   struct frame *to_agent;
   struct frame *to_entry;
-  struct Ash__Event *last_submit; /* to come once more, on whichever link */
+  struct Ash__Event *last_submit; /* sent again later, on whichever session is open */
   int64_t last_submit_ms;
 };
 
@@ -60,13 +60,13 @@
   bool alive;
   bool paused;
   int64_t resumed_ms;
-  int64_t stop_ms; /* since when it stops as planned; 0: it does not */
+  int64_t stop_ms; /* start of its planned stop; 0: not stopping */
   uint64_t incarnation;
   char *transcript;
   size_t transcript_bytes;
 };
 
-/* A run at an engine. */
+/* A run of a request at an engine. */
 struct run
 {
   int agent;
@@ -76,12 +76,12 @@
   unsigned serial;
   unsigned step;
   bool active;
-  bool refused; /* the engine takes no connection: certainly not run */
+  bool refused; /* the engine refuses the connection, so the request certainly did not run */
   bool no_repeat;
-  uint32_t attempt; /* the caller's, stated or not; 0: without a key */
+  uint32_t attempt; /* number of the caller's attempt, whether stated or not; 0: without a key */
 };
 
-/* A submission by a caller. */
+/* A request submitted by a caller. */
 struct call
 {
   int entry;
@@ -94,11 +94,11 @@
   int64_t sent_ms;
   int64_t deadline_ms;
   bool delivered;
-  bool lost;  /* its entry died */
-  bool ended; /* it has its final answer */
+  bool lost;  /* its entry was killed */
+  bool ended; /* its final answer has arrived */
   int outcome;
   struct ash_id id;
-  char text[512]; /* of the answer */
+  char text[512]; /* body of the answer */
   size_t text_bytes;
 };
 
@@ -116,7 +116,7 @@
   unsigned call_count;
   uint32_t key_attempts[KEYS];
   uint64_t revision;
-  unsigned endpoint_set; /* which endpoints the newest document declares */
+  unsigned endpoint_set; /* bit mask of the agents that the newest document declares */
   uint64_t last_incarnation;
   bool record;
   const char *violation;
@@ -235,7 +235,7 @@
   free (frame);
 }
 
-/* Loses everything from a random frame on, then ends the link for that side. */
+/* Drops all frames of the queue from a random one on, then queues LINK_DOWN. */
 static void
 break_queue (struct world *world, struct wire *wire, struct frame **queue, const char *peer)
 {
@@ -290,8 +290,8 @@
     drop_frame (queue, *queue);
 }
 
-/* Whether what a side sends now goes out on the link that is open: it may still
- * believe in an earlier one. */
+/* Whether a side sends on the session that is open now; it may not have noticed yet that an earlier
+ * one was closed. */
 static bool
 is_current_link (const struct wire *wire, bool entry_side)
 {
@@ -383,7 +383,7 @@
       append (&world->wires[e][a], &world->wires[e][a].to_entry, world->now.ms, &copy);
 }
 
-/* What the engine generates in run @p serial of that request. */
+/* Fills in the piece of output that run @p serial of the request generates at that index. */
 static void
 piece_text (struct ash_id id, unsigned serial, unsigned index, char text[64])
 {
@@ -593,7 +593,7 @@
   start_process (world, &world->agents[a], agent_names[a], false);
 }
 
-/* A planned stop: it goes on with what it has until it is over. */
+/* Starts a planned stop: the process finishes the work that it has, and takes no more. */
 static void
 begin_stop (struct world *world, struct process *process)
 {
@@ -605,8 +605,8 @@
   session_deliver_message (&process->session, world->now, "", ASH__EVENT__KIND_STOP, &stop);
 }
 
-/* Whether a process that stops ends now: when nothing is in its hands, at the latest when its
- * grace is over. */
+/* @return whether a stopping process exits now. It may exit when it is idle, and must be idle when
+ * its grace time is over. */
 static bool
 is_stopped (struct world *world, const struct process *process)
 {
@@ -632,7 +632,8 @@
       kill_agent (world, a);
 }
 
-/* A process that wakes finds all its links too old, and closes them. */
+/* Resumes a suspended process: it finds that all its links have been silent for too long, and
+ * closes them. */
 static void
 resume_process (struct world *world, struct process *process, int index, bool is_entry)
 {
@@ -693,7 +694,7 @@
   struct process *process = &world->entries[call->entry];
   struct Ash__Call message = ASH__CALL__INIT;
   uint8_t hash[ASH_KEY_HASH_BYTES];
-  /* Goes through to the engine: which attempt it is, stated or not. */
+  /* Passed through to the engine: the number of the attempt, stated or not. */
   uint8_t body = (uint8_t) call->attempt;
   char key[16];
 
@@ -744,14 +745,14 @@
     *session = frame->session;
   else if (kind == ASH__EVENT__KIND_LINK_DOWN)
     *session = 0;
-  /* What is too late is not acted on: the link is closed instead. */
+  /* A frame that is older than the silence limit is not processed; the link is closed instead. */
   if (frame->sent_ms != INT64_MAX && world->now.ms - frame->sent_ms > SILENCE_MS)
     {
       drop_frame (queue, frame);
       close_wire (world, wire->e, wire->a);
       return;
     }
-  /* A piece of an answer is lost now and then; the next one shows the hole. */
+  /* Sometimes a DATA frame is lost; the receiver detects the gap with the next one. */
   if (kind == ASH__EVENT__KIND_DATA && pick (world, 30) == 0)
     {
       drop_frame (queue, frame);
@@ -763,7 +764,7 @@
   drop_frame (queue, frame);
 }
 
-/* A Submit once more, late, perhaps to another life than it was meant for. */
+/* Sends the last SUBMIT again, possibly to a later incarnation than the one it was addressed to. */
 static void
 repeat_submit (struct world *world, struct wire *wire)
 {
@@ -835,8 +836,9 @@
     session_deliver_message (&process->session, world->now, "", ASH__EVENT__KIND_TICK, &message);
 }
 
-/* Frames are never later than a silent link is kept, nor a caller's request
- * later than the guard: when time moves on, what would be is dropped or done. */
+/* Handles late frames of closed links after the time was advanced: a frame can't arrive later than
+ * the silence limit, so all but the last of each queue (LINK_DOWN) are dropped, and that is
+ * delivered. */
 static void
 settle_late_frames (struct world *world)
 {
@@ -856,7 +858,7 @@
       }
 }
 
-/* On an open link frames arrive in time, or the link is closed. */
+/* Delivers all frames of open links, or closes the link. */
 static void
 deliver_in_time (struct world *world)
 {
@@ -971,7 +973,7 @@
     }
 }
 
-/* Lets everything come to rest, then checks that nothing is left over. */
+/* Lets all work end, then checks that nothing is left over. */
 static void
 finish_schedule (struct world *world)
 {
@@ -1019,7 +1021,8 @@
     start_process (world, &world->entries[e], entry_names[e], true);
   for (int a = 0; a < AGENTS; a++)
     start_process (world, &world->agents[a], agent_names[a], false);
-  /* Two schedules in three are of lives that are old enough to know all. */
+  /* In two of three schedules the processes have been running for longer than keys live, so they
+   * know of all earlier requests. */
   if (seed % 3)
     world->now.ms += 2 * KEY_LIFETIME_MS;
   for (int e = 0; e < ENTRIES; e++)
--- a/test/session.c
+++ b/test/session.c
@@ -62,7 +62,7 @@
     ash_agent_finish (&session->agent);
 }
 
-/* A rank takes orders, and begins a step with each tick if it may. */
+/* Delivers an order to the rank; on a tick the rank begins its next step if it may. */
 static void
 give_rank (struct session *session, const struct Ash__Event *event)
 {
--- a/test/session.h
+++ b/test/session.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A core under test, entry or agent, with a transcript of its session: every
- * message in and out with its time, as a golden file holds it.
+ * A core under test (entry, agent or rank) and a transcript of its session: each event in and out
+ * with its time, in the format of a golden file.
  */
 #ifndef ASH_TEST_SESSION_H
 #define ASH_TEST_SESSION_H
@@ -15,10 +15,10 @@
 {
   SESSION_ENTRY,
   SESSION_AGENT,
-  SESSION_RANK, /**< a rank's side of a change of an expert map */
+  SESSION_RANK, /**< the fence of a rank during a change of an expert map */
 };
 
-/** A core and what it is driven with. */
+/** A core under test, its settings and its transcript. */
 struct session
 {
   enum session_core core;
@@ -32,32 +32,35 @@
   void *data;
 };
 
-/** Starts a core. Its settings must be filled before; the seed is an agent's incarnation too. */
+/**
+ * Starts the core. The settings must be filled in before. The seed also serves as an agent's
+ * incarnation.
+ */
 void session_init (struct session *session, uint64_t seed, struct ash_time now);
 
 void session_finish (struct session *session);
 
-/** Gives a message to the core. */
+/** Delivers an event to the core. */
 void session_deliver (struct session *session, struct ash_time now, const struct Ash__Event *event);
 
-/** Offers a published document. */
+/** Offers a published document to the core's configuration. */
 enum ash_config_result session_offer_config (struct session *session,
                                              struct ash_time now,
                                              uint64_t revision,
                                              const char *text,
                                              size_t text_bytes);
 
-/** Gives a message that is on the stack. */
+/** Wraps a message in an event and delivers it to the core. The message stays the caller's. */
 void session_deliver_message (struct session *session,
                               struct ash_time now,
                               const char *peer,
                               Ash__Event__KindCase kind,
                               const void *message);
 
-/** Fills settings with defaults and a fleet key. */
+/** Fills in default settings and a fleet key. */
 void session_settings (struct ash_settings *settings, const char *box, bool is_entry);
 
-/** @return a new copy, freed by ash__event__free_unpacked(). */
+/** @return a new copy, which the caller frees with ash__event__free_unpacked(). */
 struct Ash__Event *session_copy_event (const struct Ash__Event *event);
 
 #endif
--- a/test/unit.c
+++ b/test/unit.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Unit tests: settings and documents, limits, membership, configuration,
- * frames and handshakes, keys, the log's catalogue.
+ * Unit tests of settings, documents, configuration, limits, membership, expert placement, keys,
+ * frames, handshakes, log events and metrics, and the main function of test-unit.
  */
 #include "common/log.h"
 #include "common/metrics.h"
@@ -182,11 +182,12 @@
   CU_ASSERT_STRING_EQUAL (homes[1], "m1");
   CU_ASSERT_EQUAL (ash_config_past_homes (&config, "s", id, at (1150), 1000, homes), 1);
   CU_ASSERT_EQUAL (ash_config_past_homes (&config, "s", id, at (1250), 1000, homes), 0);
-  /* homes_since_s is 1: at 2 s of wall clock the set is a life old. */
+  /* homes_since_s is 1: at 2 s of wall clock the set of homes is older than the key lifetime of
+   * 1000 ms, so no key can have an earlier home. */
   CU_ASSERT (ash_config_knows_homes (&config, "s", at (300), 2, 1000));
   CU_ASSERT_FALSE (ash_config_knows_homes (&config, "s", at (300), 1, 1000));
   CU_ASSERT (ash_config_knows_homes (&config, "s", at (1000), 1, 1000));
-  /* More changes than are remembered: what came before is not known. */
+  /* After more changes than the history holds, earlier homes are unknown. */
   for (uint64_t i = 4; i < 4 + ASH_CONFIG_HISTORY_MAX; i++)
     offer_config (&config, 300, i, i % 2 ? DOC_START ENDPOINT ("m1") : DOC_START ENDPOINT ("m2"));
   CU_ASSERT_FALSE (ash_config_knows_homes (&config, "s", at (1000), 1, 1000));
@@ -204,8 +205,8 @@
 
   for (int i = 0; i < 3; i++)
     ash_limits_init (&limits[i]);
-  /* Three entries that see nothing of each other, asked every millisecond for
-   * ten seconds: together within the whole. */
+  /* Three entries that do not communicate each receive a request every millisecond for ten seconds.
+   * Together they must stay within the account's rate and burst. */
   for (int64_t ms = 0; ms < 10000; ms++)
     for (int i = 0; i < 3; i++)
       admitted += ash_limits_take (&limits[i], at (ms), &account, 3) == 0;
@@ -249,25 +250,26 @@
   ash_membership_link_up (&membership, at (0), "m1", ASH__ROLE__ENDPOINT, 11, 0);
   box = ash_membership_find (&membership, "m1");
   CU_ASSERT (ash_box_usable (box));
-  /* A peer's word on that life. */
+  /* A peer reports that this incarnation is leaving. */
   heartbeat.leaving_boxes = boxes;
   heartbeat.n_leaving_boxes = 1;
   heartbeat.leaving_incarnations = incarnations;
   heartbeat.n_leaving_incarnations = 1;
   CU_ASSERT_EQUAL (ash_membership_heartbeat (&membership, "e2", &heartbeat), 1);
   CU_ASSERT_FALSE (ash_box_usable (box));
-  /* A new life is not leaving, and the late word on the old one changes nothing. */
+  /* A new incarnation is not leaving; a late report about the old incarnation changes nothing. */
   ash_membership_link_up (&membership, at (1), "m1", ASH__ROLE__ENDPOINT, 12, 0);
   CU_ASSERT (ash_box_usable (box));
   CU_ASSERT_EQUAL (ash_membership_heartbeat (&membership, "e2", &heartbeat), 0);
   CU_ASSERT (ash_box_usable (box));
-  /* Its own word. */
+  /* The endpoint itself reports that it is leaving. */
   heartbeat.n_leaving_boxes = 0;
   heartbeat.n_leaving_incarnations = 0;
   heartbeat.leaving = true;
   CU_ASSERT_EQUAL (ash_membership_heartbeat (&membership, "m1", &heartbeat), 1);
   CU_ASSERT_FALSE (ash_box_usable (box));
-  /* The platform's list, and a new life that the list does not know yet. */
+  /* The platform lists the endpoint as leaving; the mark does not apply to an incarnation that the
+   * platform has not listed yet. */
   ash_membership_link_up (&membership, at (2), "m1", ASH__ROLE__ENDPOINT, 13, 0);
   CU_ASSERT (ash_membership_set_listed_leaving (&membership, "m1", true));
   CU_ASSERT_FALSE (ash_box_usable (box));
@@ -308,8 +310,8 @@
   return true;
 }
 
-/* Whatever the loads: no expert is lost, the store's rate is kept, and what is
- * moved makes the predicted skew no worse. */
+/* For random loads: no expert is lost, each decision stays within the maximum number of moves, and
+ * the moves do not increase the predicted skew. */
 static void
 test_expert_policy_any (void)
 {
@@ -365,7 +367,7 @@
     ash_expert_policy_report (&policy, usual_tokens);
   ash_expert_policy_decide (&policy, &placement, even_speeds, &decision);
   CU_ASSERT_EQUAL (decision.move_count, 0);
-  /* One odd report moves nothing; what lasts does, and is explained. */
+  /* A single unusual report causes no moves; a lasting change of load does. */
   ash_expert_policy_report (&policy, other_tokens);
   ash_expert_policy_decide (&policy, &placement, even_speeds, &decision);
   CU_ASSERT_EQUAL (decision.move_count, 0);
@@ -374,7 +376,8 @@
   ash_expert_policy_decide (&policy, &placement, even_speeds, &decision);
   CU_ASSERT (decision.move_count > 0);
   CU_ASSERT (decision.skew_after < decision.skew_before);
-  /* The same at a price that nothing is worth. */
+  /* At a cost that no gain can outweigh, the policy moves nothing and reports the gain that it
+   * refused. */
   policy.weights.cost = 1000;
   ash_expert_policy_decide (&policy, &placement, even_speeds, &decision);
   CU_ASSERT_EQUAL (decision.move_count, 0);
@@ -420,7 +423,7 @@
   CU_ASSERT_FALSE (ash_id_equal (id, ash_id_from_key ("a", "sk", "")));
 }
 
-/* What is asked has one name in each submission; another account, target or body has another. */
+/* Equal requests get the same id; another account, target or body gives another id. */
 static void
 test_ids_of_requests (void)
 {
@@ -454,14 +457,14 @@
   CU_ASSERT (ash_frame_write (&buffer, &out_key, &event));
   length = buffer.length;
   memcpy (copy, buffer.bytes, length);
-  /* In pieces: nothing before the last byte. */
+  /* A frame that lacks its last byte is incomplete. */
   buffer.length = length - 1;
   CU_ASSERT_EQUAL (ash_frame_read (&buffer, &in_key, &read), ASH_FRAME_INCOMPLETE);
   buffer.length = length;
   CU_ASSERT_EQUAL (ash_frame_read (&buffer, &in_key, &read), ASH_FRAME_COMPLETE);
   CU_ASSERT_EQUAL (read->cancel->attempt, 77);
   ash__event__free_unpacked (read, NULL);
-  /* The same frame once more is not the next one. */
+  /* A replayed frame is invalid: the receiver expects the next sequence number. */
   memcpy (ash_buffer_reserve (&buffer, length), copy, length);
   buffer.length = length;
   CU_ASSERT_EQUAL (ash_frame_read (&buffer, &in_key, &read), ASH_FRAME_INVALID);
@@ -478,12 +481,13 @@
   struct Ash__Event *read;
   uint8_t *at_start = ash_buffer_reserve (&buffer, 8);
 
-  /* Before a peer has proved itself, four bytes must not make room for more. */
+  /* Before the handshake has authenticated the peer, a length prefix must not make the receiver
+   * allocate a large buffer. */
   memcpy (at_start, "\x00\x01\x00\x00xxxx", 8);
   buffer.length = 8;
   CU_ASSERT_EQUAL (ash_frame_read (&buffer, &key, &read), ASH_FRAME_INVALID);
   ash_buffer_finish (&buffer);
-  /* What is local to a process is refused from a link, and so is garbage. */
+  /* Events that are local to a process, and garbage, are rejected when received on a link. */
   event.kind_case = ASH__EVENT__KIND_STOP;
   event.stop = &stop;
   CU_ASSERT (ash_frame_write (&buffer, &key, &event));
@@ -514,7 +518,7 @@
   hello.proof.len = sizeof proof;
   CU_ASSERT (ash_handshake_check (fleet_key, &nonces, ASH_SIDE_DIAL, &hello));
   CU_ASSERT_FALSE (ash_handshake_check (other_key, &nonces, ASH_SIDE_DIAL, &hello));
-  /* Replayed on another link, or sent back to its sender. */
+  /* Replayed on another link, or reflected to its sender. */
   CU_ASSERT_FALSE (ash_handshake_check (fleet_key, &other_link, ASH_SIDE_DIAL, &hello));
   CU_ASSERT_FALSE (ash_handshake_check (fleet_key, &nonces, ASH_SIDE_ACCEPT, &hello));
   hello.incarnation = 6;
@@ -531,11 +535,12 @@
   int64_t latest = 0;
 
   ash_frame_delay_init (&delay);
-  /* The delay grows by 5 ms with each heartbeat: never a silence, ever later. */
+  /* The delay grows by 5 ms with each heartbeat: the link is never silent, but its frames arrive
+   * later and later. */
   for (int64_t i = 0; i < 1000; i++)
     latest = ash_frame_delay_ms (&delay, at (1000000 + i * 500 + i * 5), (uint32_t) (i * 500));
   CU_ASSERT (latest > 4000);
-  /* Clocks that drift by 100 parts in a million for a day, and wrap around. */
+  /* The clocks drift by 100 parts per million for a day, and the 32-bit send time wraps around. */
   ash_frame_delay_init (&delay);
   for (int64_t i = 0; i < 86400; i++)
     {
@@ -602,7 +607,7 @@
 #define CATALOGUE_ROW(number, level, name, text) { number, #level, #name, text },
 static const struct catalogue_row catalogue[] = { ASH_EVENT_LIST (CATALOGUE_ROW) };
 
-/* Each event stands in docs/EVENTS.md with its level and meaning, and no other. */
+/* docs/EVENTS.md lists exactly the events of the source, with their levels and meanings. */
 static void
 test_event_catalogue (void)
 {
--- a/test/unit.h
+++ b/test/unit.h
@@ -1,49 +1,52 @@
 /**
  * @file
- * Unit tests in files by topic: each adds its own to the one suite.
+ * Unit tests, one file per topic. Each function adds the tests of its file to the suite.
  */
 #ifndef ASH_TEST_UNIT_H
 #define ASH_TEST_UNIT_H
 
 #include <CUnit/CUnit.h>
 
-/** Declared events: rows, times, reservations, expected loads of experts. */
+/**
+ * Declared events: rows of the document, start and end times, reservations, expected loads of
+ * experts.
+ */
 void add_declared_tests (CU_pSuite suite);
 
-/** How a configuration spreads, and a box that sees few others. */
+/** Configuration deltas, the choice of entries that read the platform, isolated entries. */
 void add_config_tests (CU_pSuite suite);
 
-/** The router's cores. */
+/** The router's components: routes, endpoints, forwarding, settings, peers, log. */
 void add_router_tests (CU_pSuite suite);
 
-/** Requests under which endpoints ended. */
+/** Quarantine of requests that repeatedly make endpoints exit. */
 void add_quarantine_tests (CU_pSuite suite);
 
-/** What endpoints say of how they want to be used. */
+/** Rates, back-off times and leaving that endpoints announce in their answers. */
 void add_terms_tests (CU_pSuite suite);
 
-/** A store that comes back from an older copy. */
+/** A store that is restored from an older copy. */
 void add_era_tests (CU_pSuite suite);
 
-/** Passes of groups and expert maps. */
+/** Expert maps, and the model and watch of pass times. */
 void add_expert_tests (CU_pSuite suite);
 
-/** Changes of maps. */
+/** Switching a group of ranks to another expert map. */
 void add_map_tests (CU_pSuite suite);
 
-/** The platform's formats, and HTTP. */
+/** The platform's formats, HTTP messages, event streams, TCP keep-alive. */
 void add_platform_tests (CU_pSuite suite);
 
-/** Configurations that are read route by route. */
+/** Configurations that are parsed route by route. */
 void add_rows_tests (CU_pSuite suite);
 
-/** When prompts go to engines. */
+/** The gate that decides when prompts are sent to engines. */
 void add_prompt_tests (CU_pSuite suite);
 
-/** The model that the router's policy is weighed in. */
+/** The simulation in which the router's policies are compared. */
 void add_router_world_tests (CU_pSuite suite);
 
-/** A request's way through logs. */
+/** Tracing a request through the logs of several processes. */
 void add_trace_tests (CU_pSuite suite);
 
 #endif
--- a/test/unit_config.c
+++ b/test/unit_config.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Unit tests of how a configuration spreads: deltas, who reads the platform, and a
- * box that sees few others.
+ * Unit tests of configuration deltas, the choice of entries that read the platform, isolated
+ * entries, and related settings.
  */
 #include "common/random.h"
 #include "controllers/addresses.h"
@@ -32,7 +32,7 @@
   for (uint32_t i = 0; i < rows->count; i++)
     length += (size_t) sprintf (bytes + length, "[[account]]\nname = \"a%u\"\nrate = 100\n%s",
                                 rows->numbers[i], rows->numbers[i] % 7 ? "" : "burst = 9\n");
-  /* Not each text ends with a line's end. */
+  /* Some texts lack the final newline. */
   if (rows->count % 2)
     length--;
   *text = (struct ash_config_text){ revision, bytes, length };
@@ -62,8 +62,8 @@
     }
 }
 
-/* Whatever was changed: the result is the text that was published, byte by byte, and
- * on another base nothing comes of it. */
+/* For random edits: the delta yields the published text byte by byte, and does not apply to another
+ * base text or revision. */
 static void
 test_any_delta (void)
 {
@@ -100,10 +100,10 @@
     }
 }
 
-/* A store may give a document of 1,573 routes as one line of half a megabyte. Each router of a hall
- * got it whole from the few that ask the store, many times while configurations came in quick
- * succession: one of these, which also led the changes of maps, could send nothing else for 3 s,
- * its peers took it for dead, and two groups of ranks stood still. */
+/* Guards against deltas that resend a whole document which is a single long line. Stores may
+ * publish 1,573 routes as one line of half a megabyte. When configurations changed in quick
+ * succession, a router that forwarded them whole to its hall and also led the map changes could
+ * send nothing else for 3 s: its peers considered it dead, and two groups of ranks stalled. */
 static void
 test_one_line_delta (void)
 {
@@ -137,7 +137,8 @@
   ash__config_delta__free_unpacked (delta, NULL);
 }
 
-/* One row of many: a delta is short. Pieces out of the base are refused. */
+/* A changed row among many gives a short delta. Pieces beyond the end of the base text are
+ * rejected. */
 static void
 test_short_delta (void)
 {
@@ -191,7 +192,7 @@
   ash_findings_finish (&findings);
 }
 
-/* What each of the four believes, if all say whether they read. */
+/* Delivers a heartbeat from each of the four entries that reports whether it reads the platform. */
 static void
 deliver_heartbeats (struct ash_membership *membership, const bool reads[4])
 {
@@ -206,8 +207,8 @@
     }
 }
 
-/* Of three in a hall two go on reading, the one in another hall does, too; where the
- * platform fails one of the two, the third reads. */
+/* Of three entries in a hall two read the platform; the only entry of the other hall reads it too.
+ * When a reader reports that it can't, or disconnects, the third entry takes over. */
 static void
 test_readers (void)
 {
@@ -249,7 +250,8 @@
   ash_config_finish (&config);
 }
 
-/* One that sees hardly anybody does not tell callers that all others are gone. */
+/* An entry that is connected to few of the others must not remove the others from the addresses
+ * that it gives to callers. */
 static void
 test_isolated (void)
 {
@@ -284,7 +286,8 @@
   ash_config_finish (&config);
 }
 
-/* A box must not be suspect only because its heartbeats come as they are set to. */
+/* suspect_ms must be at least twice heartbeat_ms: otherwise regular heartbeats could leave a box
+ * suspect. */
 static void
 test_silence_settings (void)
 {
@@ -309,7 +312,8 @@
   ash_findings_finish (&findings);
 }
 
-/* Tells where the first finding in an entry's settings is, with that much more in them. */
+/* @param place receives the place of the first finding in an entry's settings with @p more
+ * appended, or an empty text. */
 static void
 first_entry_finding (const char *more, char place[128])
 {
@@ -328,7 +332,8 @@
   ash_findings_finish (&findings);
 }
 
-/* A planned stop that ends before callers give up the address serves nobody who keeps it. */
+/* A planned stop must last longer than callers keep the address: otherwise callers would still
+ * connect to an entry that has exited. */
 static void
 test_grace_settings (void)
 {
--- a/test/unit_declared.c
+++ b/test/unit_declared.c
@@ -68,8 +68,8 @@
   ash_findings_finish (&findings);
 }
 
-/* Three entries that see nothing of each other, asked for more than is reserved:
- * together within the reservation, and its second's worth at once. */
+/* Three entries that do not communicate receive more requests than are reserved. Together they must
+ * stay within the reserved rate plus a burst of one second. */
 static void
 test_reserved_parts (void)
 {
@@ -88,8 +88,8 @@
     ash_limits_finish (&limits[i]);
 }
 
-/* What is expected is moved for before a report shows it, and is corrected by
- * reports if it does not come. */
+/* Experts are moved for the expected load before reports show it; if the load does not come, later
+ * reports correct the placement. */
 static void
 test_forecast (void)
 {
@@ -113,7 +113,8 @@
   CU_ASSERT_EQUAL (decision.move_count, 2);
   CU_ASSERT (decision.skew_after < 1.01);
   ash_expert_placement_apply (&placement, decision.moves, decision.move_count);
-  /* Called off: what was reported counts again. Begun: what was expected does. */
+  /* If the event is called off, the reported loads count again. If it has begun, the expected loads
+   * count until reports replace them. */
   ash_expert_policy_end_forecast (&policy, false);
   CU_ASSERT (policy.fast[0] < 0.26);
   ash_expert_policy_set_forecast (&policy, expected);
--- a/test/unit_era.c
+++ b/test/unit_era.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Unit tests of a store that comes back from an older copy: the order of what it says, its era as
- * it is told, and endpoints that it lists again though they left.
+ * Unit tests of a store that is restored from an older copy: the order of store positions, the
+ * Store-Era header, and endpoints that the store lists again after they were removed.
  */
 #include "controllers/tombstones.h"
 #include "controllers/store_position.h"
@@ -23,7 +23,7 @@
                    ASH_STORE_POSITION_ERA_MAX);
   CU_ASSERT_EQUAL (ash_store_position_revision (ash_store_position (ASH_STORE_POSITION_ERA_MAX, 5)),
                    5);
-  /* A store that tells no era, and no place at all. */
+  /* Era 0: the store sends no era. Revision 0: there is no store position. */
   CU_ASSERT_EQUAL (ash_store_position (0, 282), 282);
   CU_ASSERT_EQUAL (ash_store_position (3, 0), 0);
 }
@@ -68,7 +68,8 @@
                       &(struct ash_tombstone){ ENDPOINT, born_ms, era, .draining = draining });
 }
 
-/* One that was missing: doubted in a later era until its entry must have lapsed. */
+/* After an endpoint went missing from the list, a listing of it in a later era is stale until its
+ * store entry must have expired. */
 static void
 test_tombstone_missing (void)
 {
@@ -82,8 +83,9 @@
   CU_ASSERT_EQUAL (ash_tombstones_pop_expired (&tombstones, at (6100)), ENDPOINT);
   CU_ASSERT_EQUAL (ash_tombstones_pop_expired (&tombstones, at (6100)), 0);
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (6100), ENDPOINT, 5, 4));
-  /* In the era in which it went it can only have written its entry again; so has another life,
-   * whichever its machine's clock says came first. */
+  /* A listing in the era of the removal must be a new write by the endpoint itself. So must a
+   * listing of another incarnation, even one with an earlier start time: the clocks of boxes may
+   * differ. */
   add_tombstone (&tombstones, 5, 4, false);
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (7000), ENDPOINT, 5, 4));
   add_tombstone (&tombstones, 5, 4, false);
@@ -92,7 +94,8 @@
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (7000), ENDPOINT, 4, 5));
 }
 
-/* One that said it was leaving does so for its life, however long an older copy says otherwise. */
+/* The tombstone of an endpoint that announced that it was leaving applies for the whole
+ * incarnation, however long an older copy lists the endpoint as ready. */
 static void
 test_tombstone_draining (void)
 {
@@ -102,12 +105,12 @@
   CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (100), ENDPOINT, 5, 4));
   CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (100000), ENDPOINT, 5, 6));
   CU_ASSERT_EQUAL (ash_tombstones_pop_expired (&tombstones, at (100000)), 0);
-  /* Then it is missing too. */
+  /* The endpoint then goes missing from the list as well. */
   add_tombstone (&tombstones, 5, 6, false);
   CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (200000), ENDPOINT, 5, 7));
   CU_ASSERT (ash_tombstones_is_stale (&tombstones, at (300000), ENDPOINT, 5, 7));
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (300000), ENDPOINT, 9, 7));
-  /* The oldest make room. */
+  /* When the table is full, the oldest tombstones are dropped. */
   add_tombstone (&tombstones, 5, 3, true);
   for (uint64_t i = 0; i < ASH_TOMBSTONES_MAX; i++)
     ash_tombstones_add (&tombstones, &(struct ash_tombstone){ 1000 + i, 1, 3, .draining = true });
--- a/test/unit_experts.c
+++ b/test/unit_experts.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Unit tests of what the router that leads knows and decides of groups of ranks: how long passes
- * take, whether a change of the expert map pays, and the maps.
+ * Unit tests of what the leading router models and decides for groups of ranks: the time of passes,
+ * whether a change of the expert map pays off, and the new maps.
  */
 #include "bench/router_world.h"
 #include "common/random.h"
@@ -28,7 +28,7 @@
 #define EXPERTS 16
 #define SLOTS 6
 
-/* Experts in turn, rank after rank; what is left of the slots is empty. */
+/* Assigns experts round-robin over the ranks; slots left over stay empty. */
 static void
 fill_map_sized (struct ash_layer_map *map,
                 uint32_t layer_count,
@@ -53,7 +53,7 @@
   fill_map_sized (map, LAYERS, RANKS, SLOTS, EXPERTS);
 }
 
-/* Every expert stands somewhere, and none twice at a rank. */
+/* Every expert is on at least one rank, and on no rank twice. */
 static void
 expect_valid_map (const struct ash_layer_map *map)
 {
@@ -120,7 +120,7 @@
     }
   CU_ASSERT (decision.skew_after < 1.25);
   CU_ASSERT_EQUAL (decision.moves, 0);
-  /* A shift: what was counted before says nothing. */
+  /* Demand shifts to another expert: the earlier counts are discarded. */
   counts[5] = 1;
   counts[2] = 20;
   ash_layer_policy_report (&policy, counts);
@@ -140,7 +140,7 @@
   .decay = 0.5, .similarity_min = 0.9, .min_gain = 0.03, .layer_moves = 2, .rank_moves = 2
 };
 
-/* What a change for a group of many ranks is drawn up with: too large for the stack. */
+/* The data of a change for a group with many ranks; too large for the stack. */
 struct many_ranks
 {
   double *counts; /* of each expert of each layer */
@@ -166,9 +166,10 @@
   free (many->map);
 }
 
-/* A group of 96 ranks kept its first map all day: holders of an expert were a set of 64 bits, and
- * its reports were dropped without a word. The most loaded rank had 3.7 times the mean, 15,000 of
- * 22,800 streams were late. Also drawn up for 300 ranks, whose bits fill the fifth word in part. */
+/* Groups with more than 64 ranks must get new maps. With the holders of an expert kept as a set of
+ * 64 bits, the reports of a group of 96 ranks were silently dropped and it kept its first map: the
+ * most loaded rank had 3.7 times the mean load, and 15,000 of 22,800 streams were late. 300 ranks
+ * use only part of the fifth 64-bit word. */
 static void
 test_large_groups (void)
 {
@@ -196,8 +197,9 @@
   many_ranks_free (&many);
 }
 
-/* Demand of 16 layers has shifted for 96 ranks with one place more a rank than experts need. With
- * the least gain of a move as for few ranks, the change left a skew of 1.8 here; it leaves 1.3. */
+/* Demand has shifted in 16 layers of a group with 96 ranks, each with one slot more than the
+ * experts need. A minimum gain of a move that is tuned for few ranks rejected moves that pay here:
+ * it left a skew of 1.8, while a minimum that fits many ranks leaves 1.3. */
 static void
 test_skew_of_many_ranks (void)
 {
@@ -232,8 +234,9 @@
   return held;
 }
 
-/* All ranks wait for a slow one: others come to hold what it holds, it gives that up, and the time
- * of the slowest rank falls. As usual again, it takes its part. */
+/* All ranks wait for a slow rank. New maps must give its experts to other ranks and remove them
+ * from it, which reduces the time of the slowest rank. Once its pace is normal again, it takes its
+ * share. */
 static void
 test_slow_rank (void)
 {
@@ -263,7 +266,7 @@
   for (int i = 0; i < 6; i++)
     ash_layer_policy_decide (many.policy, &terms, many.map, &decision);
   expect_valid_map (many.map);
-  /* Others hold by now what it held alone. */
+  /* By now other ranks hold the experts that only the slow rank held. */
   CU_ASSERT (held_slots (many.map, slow) < held);
   CU_ASSERT (decision.skew_after < 1.3);
   pace[slow] = 1;
@@ -276,8 +279,8 @@
 
 /* ---- passes and changes ---- */
 
-/* The experiment tool's engine, whose ranks copy an expert of that size over a link of 60 gigabits.
- */
+/* An engine of the simulation in bench/router_world.h, whose ranks copy an expert of @p expert_mb
+ * megabytes over a link of 60 Gbit/s. */
 static struct ash_engine_facts
 engine_of (double sequence_ms, double expert_mb)
 {
@@ -287,9 +290,10 @@
   return engine;
 }
 
-/* Nine streams a rank, right on one engine, had passes of 145 ms on another whose streams cost 2.5
- * times as much, once demand had shifted: callers waited over 120 ms for an event, and 0.25 of them
- * got a good stream where 0.6 did with six. */
+/* The number of streams per rank must follow the engine. Nine streams, right for one engine, gave
+ * passes of 145 ms after a shift of demand on an engine whose streams cost 2.5 times as much:
+ * callers waited over 120 ms between events, and only 0.25 of them got a good stream, where six
+ * streams gave 0.6. */
 static void
 test_pass_streams (void)
 {
@@ -303,12 +307,13 @@
 
       CU_ASSERT (streams >= 1 && streams <= engine.slots);
       CU_ASSERT (sequence_ms > 0.95 || shifted_ms < 120);
-      /* Not fewer than needed. */
+      /* One more stream makes a pass longer than 100 ms at a skew of 4. */
       CU_ASSERT (streams == engine.slots || ash_pass_model_ms (&engine, streams + 1, 4) > 100);
-      /* In time while demand does not shift. */
+      /* Within 120 ms while demand does not shift. */
       CU_ASSERT (ash_pass_model_ms (&engine, streams, 1.2) < 120);
     }
-  /* An engine that is late in any case serves as many as it can; one without figures is bounded. */
+  /* An engine that can't keep 120 ms with any number of streams gets the maximum, and so does an
+   * engine without figures. */
   CU_ASSERT_EQUAL (
       ash_pass_model_streams (&(struct ash_engine_facts){ .stride = 50, .step_ms = 9 }, 120, 12),
       12);
@@ -328,20 +333,20 @@
   return ash_change_plan_copies (&terms, skew, after, most);
 }
 
-/* Two copies a rank in one change took 0.93 s where one copy takes 0.4 s: passes were long twice as
- * long as with one at a time. */
+/* A change must not copy more experts than pays off. Copying two per rank in one change took 0.93
+ * s, copying one takes 0.4 s: passes stayed long for twice the time. */
 static void
 test_change_plan (void)
 {
   const double after[] = { 1.7, 1.25, 1.2 };
   const double small_gain[] = { 1.22, 1.21, 1.2 };
 
-  /* Copying takes 0.4 s, 0.13 s, 0.03 s, 2 s. */
+  /* Copying an expert takes 0.4 s, 0.13 s, 0.03 s and 2 s. */
   CU_ASSERT_EQUAL (copies_of (3000, 3500, 3.2, after, 3), 1);
   CU_ASSERT_EQUAL (copies_of (1000, 3500, 3.2, after, 3), 1);
   CU_ASSERT_EQUAL (copies_of (220, 3500, 3.2, after, 3), 3);
   CU_ASSERT_EQUAL (copies_of (15000, 1500, 3.2, after, 3), 0);
-  /* What takes little off pays only if it lasts, or costs nothing much. */
+  /* A small reduction of skew pays off only if the demand lasts long or copying is cheap. */
   CU_ASSERT_EQUAL (copies_of (3000, 2500, 1.3, small_gain, 3), 0);
   CU_ASSERT (copies_of (3000, 60000, 1.4, small_gain, 3) > 0);
   CU_ASSERT_EQUAL (copies_of (3000, 3500, 3.2, after, 0), 0);
@@ -359,7 +364,7 @@
   ash_shift_times_record (&times, at (13600));
   ash_shift_times_record (&times, at (17200));
   CU_ASSERT_DOUBLE_EQUAL (ash_shift_times_remaining_ms (&times, at (17700)), 3100, 1);
-  /* Overdue: soon, but not at once. */
+  /* The next shift is overdue: it is expected soon, but not immediately. */
   CU_ASSERT_DOUBLE_EQUAL (ash_shift_times_remaining_ms (&times, at (30000)), 1000, 1);
 }
 
@@ -372,16 +377,18 @@
   struct ash_pass_watch watch;
 
   ash_pass_watch_reset (&watch);
-  /* An even pass of four streams takes 38 ms, 9 of them for tokens; a skew of 1.2 adds 1.5. */
+  /* A pass of four streams with evenly loaded ranks takes 38 ms, 9 ms of it for tokens; a skew of
+   * 1.2 adds 1.5 ms. */
   for (int i = 0; i < 50; i++)
     ash_pass_watch_add_pause (&watch, &engine, 4, 46);
   CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 1.2));
   for (int i = 0; i < 15; i++)
     ash_pass_watch_add_pause (&watch, &engine, 4, 80);
   CU_ASSERT (ash_pass_watch_is_slow (&watch, 16, 1.2));
-  /* Nor does a skew of 2.5 explain twice an even pass: steps have a fixed time too. */
+  /* A skew of 2.5 does not explain a pass of twice that time either: part of each step takes a
+   * fixed time. */
   CU_ASSERT (ash_pass_watch_is_slow (&watch, 16, 2.5));
-  /* More streams explain longer passes: 55 ms, 26 of them for tokens. */
+  /* Twelve streams explain longer passes: 55 ms, 26 ms of it for tokens. */
   ash_pass_watch_reset (&watch);
   for (int i = 0; i < 50; i++)
     ash_pass_watch_add_pause (&watch, &engine, 12, 70);
@@ -390,20 +397,21 @@
     ash_pass_watch_add_pause (&watch, &engine, 12, 95);
   CU_ASSERT (ash_pass_watch_is_slow (&watch, 16, 1.2));
   CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 2.5));
-  /* More ranks share the price of a look: less is enough for one. */
+  /* The more ranks share the cost of reading the counts, the smaller is the excess that justifies
+   * it. */
   for (int i = 0; i < 50; i++)
     ash_pass_watch_add_pause (&watch, &engine, 12, 76);
   CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 1.2));
   CU_ASSERT (ash_pass_watch_is_slow (&watch, 64, 1.2));
   for (int i = 0; i < 50; i++)
     ash_pass_watch_add_pause (&watch, &engine, 12, 95);
-  /* A look found no shift: only what is longer again is looked into. */
+  /* The counts showed no shift: this ratio is accepted, and only longer passes are slow again. */
   ash_pass_watch_accept_ratio (&watch);
   CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 1.2));
   for (int i = 0; i < 50; i++)
     ash_pass_watch_add_pause (&watch, &engine, 12, 130);
   CU_ASSERT (ash_pass_watch_is_slow (&watch, 16, 1.2));
-  /* What was accepted holds no longer once passes were short in between. */
+  /* The accepted ratio no longer applies after passes were short in between. */
   for (int i = 0; i < 50; i++)
     ash_pass_watch_add_pause (&watch, &engine, 12, 60);
   for (int i = 0; i < 50; i++)
--- a/test/unit_maps.c
+++ b/test/unit_maps.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Unit tests of a change of a group's map from outside: when it begins, what it holds, what another
- * router finishes, and what a group takes of memory.
+ * Unit tests of the map switch, with which a router outside a group changes the group's expert map:
+ * which step it holds, how it finishes the change of another router, and how much memory a group
+ * takes.
  */
 #include "controllers/map_switch.h"
 #include "test/unit.h"
@@ -10,7 +11,7 @@
 #include <sys/mman.h>
 #include <unistd.h>
 
-/* All ranks tell the same. */
+/* Delivers the same report from all ranks. */
 static void
 report_all (struct ash_map_switch *sw, struct ash_time now, uint64_t step)
 {
@@ -24,7 +25,7 @@
     }
 }
 
-/* Answers whatever is ordered until a step is to be held. @return that step. */
+/* Answers all orders with 200 until a step is to be held. @return that step. */
 static uint64_t
 order_until_hold (struct ash_map_switch *sw, struct ash_time now)
 {
@@ -38,8 +39,8 @@
   return orders[0].step;
 }
 
-/* A step that is held far ahead would leave all ranks armed, and the map as it is, for as
- * long as it takes to get there. */
+/* The held step must be near: until the group reaches it, all ranks stay armed and the map can't be
+ * changed again. */
 static void
 test_hold_is_near (void)
 {
@@ -48,7 +49,7 @@
   struct ash_map_switch sw;
   uint64_t step;
 
-  /* No step was seen as yet, though streams have told how long a pass takes. */
+  /* No step has been reported yet, though streams have shown how long a pass takes. */
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 0);
   ash_map_switch_set_pass_ms (&sw, 50);
@@ -63,15 +64,16 @@
   report_all (&sw, now, 100);
   ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
   CU_ASSERT_EQUAL (order_until_hold (&sw, now), 101);
-  /* It is at work: what it has gone on since it told is counted in. */
+  /* The group is working: the steps since its last report are extrapolated. */
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 100);
   ash_map_switch_set_pass_ms (&sw, 50);
   now = ash_time_add (now, 300);
   ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
   CU_ASSERT (order_until_hold (&sw, now) >= 106);
-  /* No stream of this router shows its passes, but ranks have told steps: of the second group of a
-   * deployment nine steps were tried, each a round trip, before one had not begun. */
+  /* No stream of this router shows the time of passes, but ranks have reported steps, from which it
+   * is derived. Without that, the router tried nine steps, a round trip each, before it found one
+   * that had not begun. */
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 100);
   ash_map_switch_sample_step (&sw, now, 110);
@@ -84,7 +86,8 @@
   CU_ASSERT (step >= 115 && step <= 118);
 }
 
-/* Answers all that is due, which must be of that kind; that rank with another status. */
+/* Answers all due orders, which must be of @p kind, with 200, and that of @p other_rank with @p
+ * other_status. */
 static void
 answer_all (struct ash_map_switch *sw,
             struct ash_time now,
@@ -104,10 +107,10 @@
     }
 }
 
-/* Users of a group had passes with two maps: a rank that copied longer than expected refused its
- * arm seven times in 0.3 s, which was taken for never; all were disarmed and the step let go. The
- * arm sent last came after the disarm, as the rank had just copied all, and was taken there alone.
- * Seen at 12.368 s of a day of rolling stops, step 108: one rank with version 6127193. */
+/* Guards against a pass with two maps: a rank that copied for longer than expected rejected its arm
+ * order seven times in 0.3 s, so the change was aborted, all ranks were disarmed and the step was
+ * released. The last arm order arrived after the disarm order, when the rank had just finished
+ * copying, and only this rank took the new map. */
 static void
 test_late_arm (void)
 {
@@ -123,7 +126,7 @@
   ash_map_switch_begin (&sw, now, version, copy_ms);
   answer_all (&sw, now, ASH_RANK_PREPARE, 4, 0);
   answer_all (&sw, now, ASH_RANK_HOLD, 4, 0);
-  /* It still copies: its reports, newer than the arms, tell of nothing prepared. */
+  /* The rank is still copying: its reports, newer than the arm orders, show nothing prepared. */
   for (int i = 0; i < 10; i++)
     {
       answer_all (&sw, now, ASH_RANK_ARM, 3, 409);
@@ -133,12 +136,12 @@
     }
   now = ash_time_add (now, 5000);
   answer_all (&sw, now, ASH_RANK_DISARM, 4, 0);
-  /* Disarmed is not enough to let go. */
+  /* Disarming all ranks is not enough to release the step: a late arm order may still arrive. */
   CU_ASSERT (ash_map_switch_needs_fence (&sw));
   CU_ASSERT_EQUAL (ash_map_switch_orders (&sw, now, orders), 0);
   ash_map_switch_set_fence (&sw, ash_map_switch_new_version (&sw, 2));
   CU_ASSERT (sw.fence > version);
-  /* The late arm was taken after the disarm: the rank refuses the fence. */
+  /* The late arm order was accepted after the disarm order, so the rank rejects the fence. */
   answer_all (&sw, now, ASH_RANK_PREPARE, 3, 409);
   CU_ASSERT_EQUAL (ash_map_switch_orders (&sw, now, orders), 1);
   CU_ASSERT_EQUAL (orders[0].kind, ASH_RANK_DISARM);
@@ -150,8 +153,9 @@
   CU_ASSERT (ash_map_switch_new_version (&sw, 0) > sw.fence);
 }
 
-/* A report that a rank is armed with the version does not say for which step: another router may
- * have armed it for another one. Taken for the answer to the arm, a pass had two maps. */
+/* A report that a rank is armed with the version must not count as the answer to the arm order: it
+ * does not contain the step, and another router may have armed the rank for another step. Counting
+ * it led to a pass with two maps. */
 static void
 test_report_does_not_confirm_arm (void)
 {
@@ -180,9 +184,10 @@
   CU_ASSERT_EQUAL (sw.phase, ASH_MAP_ARM);
 }
 
-/* A rank of this router's still holds step 103, from before it was started anew; so its holds of
- * 101 and on are refused. That does not tell that those steps have begun: taken for it, the change
- * that another router left at 101 was let go before anything was taken back. */
+/* A rank still holds step 103 for this router, from before the router restarted, so it rejects
+ * holds of step 101 and later. That does not show that those steps have begun: otherwise the
+ * router would release the change that another router left at step 101 before its versions are
+ * disarmed. */
 static void
 test_refused_hold (void)
 {
@@ -197,13 +202,13 @@
   answer_all (&sw, now, ASH_RANK_HOLD, 0, 409);
   CU_ASSERT_EQUAL (sw.last_step, 100);
   CU_ASSERT_EQUAL (sw.step, 102);
-  /* Once another router's word is that the step has begun, nothing is armed any more. */
+  /* Once the reports show that the step has begun, nothing is armed any more. */
   answer_all (&sw, now, ASH_RANK_HOLD, 4, 0);
   answer_all (&sw, now, ASH_RANK_ARM, 3, 409);
   report_all (&sw, now, 102);
   answer_all (&sw, now, ASH_RANK_GO, 0, 409);
   CU_ASSERT_EQUAL (sw.result, ASH_MAP_ABORTED);
-  /* A step that was let go here is not held again. */
+  /* A step that this router has released is not held again. */
   ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
   answer_all (&sw, now, ASH_RANK_PREPARE, 4, 0);
   CU_ASSERT (sw.phase == ASH_MAP_HOLD && sw.step == 103);
@@ -215,8 +220,8 @@
   CU_ASSERT_EQUAL (sw.step, 104);
 }
 
-/* Four ranks that stand before a step tell for a second what they have prepared and hold. @return
- * the time after it. */
+/* For a second four ranks, which wait before a step, report what they have prepared and hold.
+ * @return the time afterwards. */
 static struct ash_time
 report_held (struct ash_map_switch *sw,
              struct ash_time now,
@@ -244,9 +249,9 @@
   return now;
 }
 
-/* A router died between hold and go, ranks with its version prepared unevenly; the one that
- * finishes holds the step too, beside a hold of its own former life, and takes back before it lets
- * go. */
+/* Another router died between hold and go, with its version prepared on some ranks only. The router
+ * that finishes the change holds the step too, on a rank without a hold of its own former
+ * incarnation, and disarms the ranks before it releases the step. */
 static void
 test_finish_uneven (void)
 {
@@ -264,8 +269,9 @@
   CU_ASSERT (ash_map_switch_needs_fence (&sw));
 }
 
-/* Two routers died, each with a hold: the group stands at the lower step, whichever is told last,
- * and that one is finished without a new wait each time. */
+/* Two routers died, each with a hold: the group is blocked at the lower step, whichever hold is
+ * reported last. That step must be finished, and a differing later report must not restart the
+ * wait. */
 static void
 test_two_holds (void)
 {
@@ -281,7 +287,8 @@
   CU_ASSERT (sw.finishing);
 }
 
-/* Another router's order to go for a first hold of a step would end a second one at that rank. */
+/* A rank where this router has already released a step, or a later one, must not hold that step
+ * again: a delayed go order for the first hold would end the second. */
 static void
 test_released_step (void)
 {
@@ -308,7 +315,8 @@
   CU_ASSERT_NOT_EQUAL (sw.holder, 0);
 }
 
-/* What a report from before the hold told to be armed is not what is to be taken back. */
+/* A version that is armed only according to a report from before the hold is not the version to
+ * disarm: the ranks' lists are newer and show another one prepared. */
 static void
 test_stale_armed_report (void)
 {
@@ -341,7 +349,7 @@
   CU_ASSERT_EQUAL (sw.version, 7);
 }
 
-/* @return bytes of fresh memory that were written. */
+/* @return the number of bytes, in whole pages, of freshly mapped memory that have been written. */
 static size_t
 written_bytes (void *memory, size_t bytes)
 {
@@ -360,7 +368,8 @@
 #define SMALL_RANKS 24
 #define SMALL_LAYERS 12
 
-/* The router that leads keeps each group, and there may be hundreds of small ones. */
+/* A small group must not touch the memory of the largest: the leading router keeps the state of
+ * every group, and there may be hundreds of small ones. */
 static void
 test_memory_of_small_group (void)
 {
@@ -370,7 +379,7 @@
   struct ash_map_switch *sw = mmap (NULL, sizeof *sw, protection, flags, -1, 0);
 
   CU_ASSERT_FATAL (map != MAP_FAILED && sw != MAP_FAILED);
-  /* A huge page would count as written whole. */
+  /* A huge page would count as written as a whole. */
   madvise (map, sizeof *map, MADV_NOHUGEPAGE);
   madvise (sw, sizeof *sw, MADV_NOHUGEPAGE);
   ash_layer_map_init (map, SMALL_LAYERS, SMALL_RANKS, 12, 128);
--- a/test/unit_platform.c
+++ b/test/unit_platform.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Unit tests of the platform's formats, and of HTTP: messages, event streams, and how
- * connections notice silence.
+ * Unit tests of the platform's formats, and of HTTP: messages, event streams, and TCP keep-alive of
+ * connections.
  */
 #include "net/event_stream.h"
 #include "net/http_client.h"
@@ -55,7 +55,7 @@
   CU_ASSERT_PTR_NOT_NULL (strstr ((char *) out.bytes, "\"Map\":[[[0,4]],[[1]]]"));
   ash_buffer_finish (&out);
   ash_buffer_finish (&body);
-  /* There is no such expert. */
+  /* Expert 4 does not exist. */
   map.expert_count = 4;
   CU_ASSERT_FALSE (ash_platform_lists_read (lists_text, sizeof lists_text - 1, 0, &map, &lists));
 }
@@ -86,14 +86,15 @@
   struct ash_store_answer answer;
 
   CU_ASSERT (ash_platform_store_read (text, sizeof text - 1, &taker, &answer));
-  /* One whose bytes can't be read is an item all the same: what stood there before is not used. */
+  /* An item whose value can't be decoded still counts as an item: it replaces the previous
+   * value. */
   CU_ASSERT (seen[0] == 3 && seen[1] == 1 && seen[2] == 1 && seen[3] == 1);
   CU_ASSERT (answer.revision == 9 && answer.more);
   CU_ASSERT (strcmp (answer.next_page, "servers/i-3") > 0);
   CU_ASSERT_FALSE (ash_platform_store_read ("{}", 2, &taker, &answer));
 }
 
-/* @return what is wrong with an entry. */
+/* @return the member of the entry that is invalid, or an empty text. */
 static const char *
 read_entry (const char *text, struct ash_direct_facts *facts)
 {
@@ -104,8 +105,8 @@
 
 #define ENTRY "\"Service\":\"s\",\"Address\":\"1.2.3.4:5\",\"Zone\":\"z\""
 
-/* Entries may come from another writer. An unknown state counted as ready, and slots of another
- * type as none. */
+/* Entries of other writers must be checked: an unknown state was treated as ready, and slots of
+ * another type as 0. */
 static void
 test_server_entries (void)
 {
@@ -194,8 +195,8 @@
   ash_buffer_append (&out, "", 1);
   sent = (const char *) out.bytes;
   CU_ASSERT_EQUAL (strncmp (sent, "POST /a/b?c HTTP/1.1\r\nHost: h\r\n", 31), 0);
-  /* What names the request stays, whatever Connection says; the caller's own word on the
-   * system's fields goes. */
+  /* The header fields that identify the request are kept even if Connection lists them; values that
+   * the caller sets for fields of the system are removed. */
   CU_ASSERT_PTR_NOT_NULL (strstr (sent, "Ashspindle-Attempt-Id: id-1\r\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (sent, "X-Own: 2\r\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (sent, "Ashspindle-Deadline-Ms: 70\r\n"));
@@ -208,7 +209,7 @@
   ash_http_reader_finish (&reader);
 }
 
-/* @return what an answer of that status says of how its endpoint wants to be used. */
+/* @return the endpoint's terms that an answer with that status and those header fields contains. */
 static struct ash_endpoint_terms
 read_terms (int status, const char *fields)
 {
@@ -236,7 +237,7 @@
   CU_ASSERT_EQUAL (read_terms (200, "").limit_milli, 0);
   CU_ASSERT_EQUAL (read_terms (200, "Server-Limit: 1.4\r\n").limit_milli, 1400);
   CU_ASSERT_EQUAL (read_terms (503, "server-limit: 20\r\n").limit_milli, 20000);
-  /* Named, however small or large. */
+  /* A limit that is out of range still counts as a limit. */
   CU_ASSERT_EQUAL (read_terms (200, "Server-Limit: 0\r\n").limit_milli, 1);
   CU_ASSERT_EQUAL (read_terms (200, "Server-Limit: 1e300\r\n").limit_milli, UINT32_MAX);
   for (size_t i = 0; i < sizeof no_numbers / sizeof no_numbers[0]; i++)
@@ -247,7 +248,7 @@
   CU_ASSERT_EQUAL (read_terms (503, "Retry-After: 3\r\n").rest_ms, 3000);
   CU_ASSERT_EQUAL (read_terms (503, "Retry-After: 0.25\r\n").rest_ms, 250);
   CU_ASSERT_EQUAL (read_terms (503, "Retry-After: Thu, 03 Dec 2026 10:00:00 GMT\r\n").rest_ms, 0);
-  /* Not for having turned a request away. */
+  /* Retry-After counts only in answers that reject a request. */
   CU_ASSERT_EQUAL (read_terms (200, "Retry-After: 3\r\n").rest_ms, 0);
   CU_ASSERT (read_terms (500, "Server-Leaving: 1\r\n").leaving);
   CU_ASSERT_FALSE (read_terms (200, "Server-Leaving: 0\r\n").leaving);
@@ -269,7 +270,8 @@
 
 /* ---- HTTP messages ---- */
 
-/* Reads a whole text as one message. @return the error. */
+/* Reads @p text as one message, a byte at a time. @param done receives whether the message is
+ * complete. @return the error. */
 static enum ash_http_error
 read_message (enum ash_http_kind kind, const char *text, bool *done)
 {
@@ -344,7 +346,7 @@
   int count = 0;
 
   ash_event_stream_init (&stream);
-  /* In pieces of any size the same events come out. */
+  /* Fed a byte at a time, the parser yields the same events. */
   for (size_t i = 0; i < sizeof text - 1; i++)
     {
       CU_ASSERT (ash_event_stream_feed (&stream, (const uint8_t *) text + i, 1));
@@ -372,11 +374,13 @@
   return value;
 }
 
-/* Descriptors that are looked through, and turns of a loop that a connection may take. */
+/* Number of file descriptors that are searched, and the most iterations of the event loop until the
+ * connection is open. */
 #define OPEN_FILES 256
 #define LOOP_TURNS 100
 
-/* The kernel ends a connection whose other side is cut off, also while nothing is sent. */
+/* With these socket options the kernel closes a connection to an unreachable peer, even when
+ * nothing is being sent. */
 static void
 test_keep_alive (void)
 {
@@ -395,7 +399,7 @@
   ash_stream_finish (&stream);
 }
 
-/* @return this process's socket that is connected to that port, or -1. */
+/* @return the descriptor of this process's socket that is connected to @p port, or -1. */
 static int
 socket_to (uint16_t port)
 {
@@ -418,8 +422,8 @@
   (void) result;
 }
 
-/* The same for connections of libcurl, which an entry reads the platform with: a watch that is
- * cut off looked like one without news until its time was over. */
+/* The same for the libcurl connections with which an entry watches the platform: without
+ * keep-alive, an unreachable platform looked like one without changes until the watch timed out. */
 static void
 test_keep_alive_of_fetches (void)
 {
--- a/test/unit_prompts.c
+++ b/test/unit_prompts.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * Unit tests of when prompts go to engines: the gate's decisions, and what callers get of them when
- * demand for experts shifts and when many return at once, played with many routers before a group
- * whose passes are near the longest good pause.
+ * Unit tests of the prompt gate: its decisions, and a simulation of many routers before a group
+ * whose passes are nearly as long as the longest good pause. The simulation shows how long callers
+ * wait when the demand for experts shifts and when many streams resume at once.
  */
 #include "controllers/prompt_gate.h"
 #include "test/unit.h"
@@ -25,7 +25,8 @@
   return (struct ash_time){ 1000000 + ms };
 }
 
-/* @return how long a prompt that came at a time waits there, before it is looked at again. */
+/* @return how long from @p ms a prompt that arrived at @p arrived_at_ms must wait before the gate
+ * is checked again; 0: it may be sent. */
 static int64_t
 wait_ms (struct ash_prompt_gate *gate,
          const struct ash_prompt_terms *terms,
@@ -56,7 +57,8 @@
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 60, 60), 0);
   add_pause (&gate, 150, 95);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 150, 150), 160);
-  /* One that has waited as long goes; so does one whose maps take too long to follow. */
+  /* A prompt that has waited for 160 ms is sent; so is any prompt when the maps take too long to
+   * adapt. */
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 0, 160), 0);
   CU_ASSERT_EQUAL (wait_ms (&gate, &slow, 150, 150), 0);
   CU_ASSERT (ash_prompt_gate_add_pause (&gate, at (250), 58, PAUSE_AIM_MS));
@@ -64,7 +66,8 @@
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 250, 250), 0);
 }
 
-/* Passes that stay long are the usual ones, and short ones leave room for prompts. */
+/* Passes that remain long become the usual ones and keep the gate open. Passes that double but stay
+ * short leave room for prompts. */
 static void
 test_steady_passes (void)
 {
@@ -80,7 +83,7 @@
   add_pause (&gate, 0, 30);
   add_pause (&gate, 60, 60);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 60, 60), 0);
-  /* A group that stood still tells nothing of its passes. */
+  /* A pause of a group that was stalled says nothing about its passes. */
   add_pause (&gate, 2000, 1900);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 2000, 2000), 0);
 }
@@ -98,13 +101,13 @@
       CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 100, 100), 0);
       ash_prompt_gate_record_sent (&gate);
     }
-  /* Two a pass of 50 ms: the third goes 25 ms later. */
+  /* Two prompts per pass of 50 ms: the third may be sent 25 ms later. */
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 100, 100), 26);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 100, 126), 0);
-  /* A stream that broke before leaves one to those that come new. */
+  /* A resumed stream leaves one prompt of the allowance to new streams. */
   CU_ASSERT (wait_ms (&gate, &resumed, 126, 126) > 0);
   CU_ASSERT_EQUAL (wait_ms (&gate, &resumed, 126, 152), 0);
-  /* It has waited long enough, whatever else goes. */
+  /* After 600 ms a resumed stream is sent regardless of the pace. */
   ash_prompt_gate_record_sent (&gate);
   ash_prompt_gate_record_sent (&gate);
   CU_ASSERT (wait_ms (&gate, &resumed, -400, 152) > 0);
@@ -116,7 +119,7 @@
 {
   struct ash_engine_facts engine = { .read_tokens_s = 80000, .usual_prompt_tokens = 800 };
 
-  /* 10 ms a prompt, 12 ms of a pass for them: 1.2 prompts a rank. */
+  /* A prompt takes 10 ms and a pass has 12 ms for prompts: 1.2 prompts per rank. */
   CU_ASSERT_DOUBLE_EQUAL (ash_prompt_gate_per_pass (&engine, 120, 60, 30), 2.4, 1e-9);
   CU_ASSERT_DOUBLE_EQUAL (ash_prompt_gate_per_pass (&(struct ash_engine_facts){ 0 }, 120, 60, 30),
                           0, 0);
@@ -134,17 +137,18 @@
 #define PROMPTS_MAX 2000
 #define STREAMS 300
 
-/* A pass of even ranks, and more of it for skew; what a prompt adds at a skew of 1; what copies
- * add. */
+/* Time of a pass with evenly loaded ranks, the time that each unit of skew adds, the time that a
+ * prompt adds at a skew of 1, and the factor by which copying experts lengthens passes. */
 #define PASS_EVEN_MS 54.0
 #define PASS_SKEW_MS 11.0
 #define PROMPT_MS 0.16
 #define COPYING_FACTOR 1.15
 
-/* From its sending until a prompt may be read. */
+/* Time from sending a prompt until a pass can read it. */
 #define READ_DELAY_MS 70
 
-/* Demand shifts, the map follows, and meanwhile ranks copy. */
+/* Demand shifts at SHIFT_MS; ranks copy experts from COPY_START_MS until the map has changed at
+ * MAP_CHANGED_MS. */
 #define SHIFT_MS 2000
 #define COPY_START_MS 2240
 #define MAP_CHANGED_MS 2340
@@ -154,7 +158,7 @@
 struct prompt
 {
   int64_t arrived_ms;
-  int64_t sent_ms; /* -1: not yet */
+  int64_t sent_ms; /* -1: not sent yet */
   bool resumed;
   bool read;
 };
@@ -165,8 +169,8 @@
   struct ash_prompt_gate gates[ROUTERS];
   struct prompt prompts[PROMPTS_MAX];
   int count;
-  double longest_pass_ms; /* pass */
-  int late_count;         /* first events beyond the aim, of those that come new */
+  double longest_pass_ms;
+  int late_count; /* first events later than AIM_MS, of new streams */
 };
 
 static void
@@ -194,7 +198,7 @@
     }
 }
 
-/* @return how long the pass that begins now takes. */
+/* @return the time that the pass that begins now takes, ms. */
 static double
 begin_pass (struct simulation *simulation, int64_t ms, bool shifts)
 {
@@ -233,7 +237,7 @@
     add_pause (&simulation->gates[r], ms, (int64_t) (pass_ms + 0.5));
 }
 
-/* Four seconds with a prompt each 4 ms. */
+/* Simulates four seconds with a new prompt every 4 ms. */
 static void
 simulate_load (struct simulation *simulation, bool gated, bool shifts, int resumed_count)
 {
@@ -259,7 +263,7 @@
     }
 }
 
-/* Streams under way pause as long as the longest pass. */
+/* Running streams pause for as long as the longest pass. */
 static void
 test_shift_simulated (void)
 {
--- a/test/unit_quarantine.c
+++ b/test/unit_quarantine.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * Unit tests of requests that are kept away since endpoints ended under them.
+ * Unit tests of the quarantine, which keeps requests from being sent on after endpoints have exited
+ * while running them.
  */
 #include "controllers/quarantine.h"
 #include "test/unit.h"
@@ -29,7 +30,7 @@
   return ash_quarantine_add_run (quarantine, &run);
 }
 
-/* Two ends, one run after the other, under a request that gave no answer either time. */
+/* Two endpoints exit in consecutive runs of a request that gave no answer in either run. */
 static void
 test_two_exits (void)
 {
@@ -45,7 +46,8 @@
   ash_quarantine_finish (&quarantine);
 }
 
-/* One that had begun to answer may only have been there: three ends prove it. */
+/* If the request had begun to answer in a run, the exit may have another cause: then three exits
+ * are required. */
 static void
 test_three_exits (void)
 {
@@ -61,8 +63,8 @@
   ash_quarantine_finish (&quarantine);
 }
 
-/* Many endpoints end at once, a rack say, while a request that is asked often runs at each: one of
- * these runs counts. What a peer tells again counts once too. */
+/* Of runs that overlap in time only one counts: a rack may fail while a frequent request runs on
+ * each of its endpoints. Repeated reports of a run by peers count once too. */
 static void
 test_concurrent_runs (void)
 {
@@ -90,8 +92,8 @@
   ash_quarantine_finish (&quarantine);
 }
 
-/* It may run again after ten minutes; then one end is enough, and only an hour without one makes it
- * as any other. */
+/* After ten minutes the request may run again. Then a single exit is enough to quarantine it again;
+ * an hour without an exit clears the record. */
 static void
 test_expiry (void)
 {
@@ -110,8 +112,8 @@
   ash_quarantine_finish (&quarantine);
 }
 
-/* The end of a connection alone is no evidence; that of the endpoint makes it some, for what ended
- * there shortly before. */
+/* A disconnect alone is no evidence. An exit of the endpoint turns recent disconnects from it into
+ * evidence. */
 static void
 test_disconnects (void)
 {
@@ -123,7 +125,8 @@
   ash_quarantine_note_disconnect (&quarantine, &local);
   ash_quarantine_note_disconnect (&quarantine, &remote);
   CU_ASSERT_EQUAL (ash_quarantine_exits (&quarantine, request_id), 0);
-  /* Asked only later: something else has ended it. */
+  /* The endpoint refused connections only 2 s after the disconnect: something else has made it
+   * exit. */
   CU_ASSERT_EQUAL (
       ash_quarantine_note_exit (&quarantine, 8, ASH_QUARANTINE_CONNECT_REFUSED, at (3000), found),
       0);
@@ -136,7 +139,8 @@
   ash_quarantine_finish (&quarantine);
 }
 
-/* What is kept is bounded, and what is proved stays while what is not makes room. */
+/* Tables are bounded: when they are full, quarantined requests stay, and suspects without enough
+ * evidence are dropped. */
 static void
 test_bounds (void)
 {
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Unit tests of the router's cores: routes, endpoints, forwarding, the bound on
- * resends, its settings, what peers tell, and the log.
+ * Unit tests of the router's components: routes, endpoints, forwarding, the bound on resends,
+ * settings, messages between routers, the choice of pollers, and the log.
  */
 #include "common/log.h"
 #include "controllers/pollers.h"
@@ -52,7 +52,8 @@
                                                                    "\"Tenants\":[{\"Name\":\"t\","
                                                                    "\"ApiKeys\":[\"k2\",\"k1\"]}]}",
               0);
-  /* The longest prefix of the path, whatever the query and the host's case and port. */
+  /* The longest matching path prefix wins; the query, the case of the host and its port are
+   * ignored. */
   CU_ASSERT_STRING_EQUAL (ash_route_table_find (&table, "h.example", "/x/y/z?/x/")->name, "r3");
   CU_ASSERT_STRING_EQUAL (ash_route_table_find (&table, "h.EXAMPLE:80", "/x/z")->name, "r2");
   CU_ASSERT_STRING_EQUAL (ash_route_table_find (&table, "h.example", "/x?/x/y/")->name, "r1");
@@ -87,10 +88,10 @@
 {
   struct ash_route_table table;
 
-  /* All findings at once. */
+  /* All findings are reported at once. */
   read_table (&table, "{\"Services\":[{}],\"Routes\":[{}],\"Tenants\":[{}]}", 6);
   ash_route_table_finish (&table);
-  /* A split nobody can draw from: with no part of any weight a request would have no service. */
+  /* In a split without any weight no service could be picked for a request. */
   read_table (&table,
               "{\"Version\":4," SERVICES ",\"Routes\":[{\"Host\":\"h\",\"PathPrefix\":\"/\","
               "\"RouteKind\":\"safe\",\"Split\":[{\"Service\":\"a\",\"Weight\":0},"
@@ -143,17 +144,17 @@
   a->in_flight = 2;
   b->elsewhere = 1;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (0), 9, 0), "b");
-  /* One that failed is passed over for a while, and is taken if there is no other. */
+  /* An endpoint that failed is ejected for a while, but is still chosen if no other has room. */
   ash_direct_note_result (b, at (1000), ASH_DIRECT_BROKEN);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (1001), 9, 0), "a");
   CU_ASSERT_STRING_EQUAL (choose (&set, at (1001), 2, 0), "b");
   CU_ASSERT_STRING_EQUAL (choose (&set, at (1300), 9, 0), "b");
-  /* Longer with each failure in a row, and not after an answer. */
+  /* The ejection time grows with each consecutive failure; an answer ends the ejection. */
   ash_direct_note_result (b, at (2000), ASH_DIRECT_TIMED_OUT);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (2400), 9, 0), "a");
   ash_direct_note_result (b, at (2500), ASH_DIRECT_ANSWERED);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (2600), 9, 0), "b");
-  /* An answer that says it failed may be the request's own fault. */
+  /* A failed answer does not eject the endpoint: the request itself may be the cause. */
   ash_direct_note_result (b, at (3000), ASH_DIRECT_FAILED);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (3001), 9, 0), "b");
   b->facts.draining = true;
@@ -175,25 +176,26 @@
   a->in_flight = 3;
   b->in_flight = 4;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (100), 8, 120), "a");
-  /* Where streams pause twice as long, a request costs twice as much. */
+  /* A request costs twice as much at an endpoint whose streams pause for twice as long. */
   for (int i = 0; i < 40; i++)
     {
       ash_direct_note_pause (a, at (100), 120);
       ash_direct_note_pause (b, at (100), 60);
     }
   CU_ASSERT_STRING_EQUAL (choose (&set, at (100), 8, 120), "b");
-  /* And it may have fewer: half of the cap at least. */
+  /* The cap of that endpoint is also lower, but at least half of the configured cap. */
   b->in_flight = 8;
   a->in_flight = 5;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (100), 8, 120), "a");
   a->in_flight = 6;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (100), 8, 120), "-");
-  /* What was seen long ago tells nothing. */
+  /* Pauses observed long ago no longer count. */
   CU_ASSERT_STRING_EQUAL (choose (&set, at (5000), 8, 120), "a");
   ash_direct_finish (&set);
 }
 
-/* Bytes between halls had a price of 0.04 a day of 72 ranks: no choice went by where one stands. */
+/* Endpoints of the router's own hall are preferred. When choices ignored the hall, traffic between
+ * halls cost 0.04 in the score of a day with 72 ranks. */
 static void
 test_own_hall (void)
 {
@@ -214,14 +216,16 @@
   far->in_flight = 3;
   ash_direct_choose (&set, at (100), &criteria, &chosen);
   CU_ASSERT_PTR_EQUAL (chosen, near);
-  /* Ranks that all wait for the fullest stay even: three requests less are reason enough. */
+  /* All ranks wait for the one with most requests, so load must stay even: a difference of three
+   * requests outweighs the hall. */
   far->in_flight = 1;
   ash_direct_choose (&set, at (100), &criteria, &chosen);
   CU_ASSERT_PTR_EQUAL (chosen, far);
   ash_direct_finish (&set);
 }
 
-/* One of 12 ranks took 3.3 times as long: what it had, all ranks waited for. */
+/* A slow rank must get fewer requests, since all ranks of its group wait for it: one of 12 ranks
+ * took 3.3 times as long as the others. */
 static void
 test_slow_endpoint (void)
 {
@@ -235,14 +239,16 @@
   b->in_flight = 1;
   ash_direct_set_pace (a, at (100), 3);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (200), 8, 120), "b");
-  /* It gets a third of what the others have, and may have a third of the cap. */
+  /* At a pace of 3 the endpoint gets a third of the load of the others, up to a third of the
+   * cap. */
   b->in_flight = 7;
   a->in_flight = 1;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (200), 8, 120), "a");
   a->in_flight = 2;
   b->in_flight = 8;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (200), 8, 120), "-");
-  /* It says that it is as usual again, or nothing is heard for long. */
+  /* The reported pace no longer counts once the endpoint reports a normal pace, or has reported
+   * none for long. */
   CU_ASSERT_STRING_EQUAL (choose (&set, at (1700), 8, 120), "a");
   ash_direct_set_pace (a, at (1800), 3);
   ash_direct_set_pace (a, at (1900), 1.1);
@@ -260,9 +266,10 @@
   ash_direct_update (set, &facts);
 }
 
-/* A router that had just started refused a request while both endpoints stood: their former ids
- * were missing from the list, which it did not trust yet, and it asked for these at the addresses
- * that the new ones had. */
+/* Guards against requests to the former ids of endpoints. Both endpoints of a service had restarted
+ * under new ids at the same addresses. A newly started router, which did not trust its list yet,
+ * still used the missing former ids, sent requests for them to the addresses of the new ones, and
+ * rejected a request although both endpoints were up. */
 static void
 test_address_taken_over (void)
 {
@@ -272,7 +279,7 @@
   add_endpoint_at (&set, "a1", "10.0.0.1:80");
   add_endpoint_at (&set, "b1", "10.0.0.2:80");
   add_endpoint_at (&set, "c1", "10.0.0.3:80");
-  /* The new one is listed before the former one is missing, or after. */
+  /* The new id is listed before the former id goes missing (a), or after (b). */
   add_endpoint_at (&set, "a2", "10.0.0.1:80");
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "a1")));
   ash_direct_remove (&set, "a1", false, at (9000));
@@ -295,7 +302,8 @@
   ash_direct_init (&set, 1);
   add_endpoint (&set, "a", false);
   add_endpoint (&set, "b", false);
-  /* The list could not be trusted: used on for a while, and again if it comes back. */
+  /* An endpoint that goes missing from an untrusted list is used for a while longer; listing it
+   * again makes it a regular endpoint. */
   CU_ASSERT (ash_direct_remove (&set, "a", false, at (500)));
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "a")));
   ash_direct_tick (&set, at (400));
@@ -305,7 +313,8 @@
   CU_ASSERT (ash_direct_remove (&set, "a", false, at (900)));
   ash_direct_tick (&set, at (901));
   CU_ASSERT_PTR_NULL (ash_direct_find (&set, "a"));
-  /* Trusted: gone at once, and kept until its work has ended. */
+  /* An endpoint that goes missing from a trusted list is removed at once, but its record is kept
+   * until its requests have ended. */
   ash_direct_find (&set, "b")->in_flight = 1;
   CU_ASSERT (ash_direct_remove (&set, "b", true, at (0)));
   ash_direct_tick (&set, at (1000));
@@ -313,7 +322,7 @@
   ash_direct_find (&set, "b")->in_flight = 0;
   ash_direct_tick (&set, at (1001));
   CU_ASSERT_PTR_NULL (ash_direct_find (&set, "b"));
-  /* One that said it was leaving has left, whatever is trusted. */
+  /* A draining endpoint that goes missing counts as removed even if the list is not trusted. */
   add_endpoint (&set, "c", true);
   CU_ASSERT (ash_direct_remove (&set, "c", false, at (9000)));
   CU_ASSERT_EQUAL (ash_direct_find (&set, "c")->presence, ASH_DIRECT_REMOVED);
@@ -368,7 +377,7 @@
   CU_ASSERT_EQUAL (decision.action, ASH_FORWARD_ANSWER);
   CU_ASSERT_EQUAL (decision.answer.status, status);
   CU_ASSERT_EQUAL (decision.answer.reason, reason);
-  /* Whoever is told that it did not run is told when to come back. */
+  /* An answer that says that the request did not run must contain a time to retry after. */
   CU_ASSERT_EQUAL (decision.answer.retry_after_ms != 0, status == 503);
 }
 
@@ -382,17 +391,17 @@
   decision = next (&test, 1000);
   CU_ASSERT_EQUAL_FATAL (decision.action, ASH_FORWARD_SEND);
   ash_forward_sent (&test.forward, decision.endpoint);
-  /* No word from there: it may have run, and must not again. */
+  /* Without an answer from the endpoint the request may have run, so it must not be sent again. */
   expect_answer (next (&test, 1100), 502, ASH_FORWARD_FAILED);
   expect_answer (next (&test, 5000), 504, ASH_FORWARD_TIMEOUT);
-  /* The endpoint vouches: another one, not the same. */
+  /* The endpoint states that the request did not run: it is sent to another endpoint. */
   ash_forward_not_run (&test.forward, true);
   decision = next (&test, 1200);
   CU_ASSERT_EQUAL_FATAL (decision.action, ASH_FORWARD_SEND);
   CU_ASSERT_NOT_EQUAL (decision.endpoint->hash, test.forward.tried[0]);
   ash_forward_sent (&test.forward, decision.endpoint);
   ash_forward_not_run (&test.forward, true);
-  /* Two endpoints were asked, both vouch: it did not run. */
+  /* Both endpoints state that it did not run. */
   expect_answer (next (&test, 1300), 503, ASH_FORWARD_REJECTED);
   ash_direct_finish (&test.set);
 }
@@ -406,7 +415,7 @@
   ash_forward_sent (&test.forward, next (&test, 1000).endpoint);
   CU_ASSERT_EQUAL (next (&test, 1100).action, ASH_FORWARD_SEND);
   ash_forward_sent (&test.forward, ash_direct_find (&test.set, "a"));
-  /* One of the two may have run it, though the last one vouches. */
+  /* The first endpoint may have run it, even though the last one states that it did not. */
   ash_forward_not_run (&test.forward, true);
   expect_answer (next (&test, 1200), 502, ASH_FORWARD_FAILED);
   ash_direct_finish (&test.set);
@@ -427,17 +436,18 @@
   expect_answer (next (&test, 1080), 503, ASH_FORWARD_NO_ROOM);
   ash_direct_find (&test.set, "a")->in_flight = 3;
   CU_ASSERT_EQUAL (next (&test, 1079).action, ASH_FORWARD_SEND);
-  /* A connection that never arrived up was no try. */
+  /* A failed connection attempt does not count as a try. */
   ash_forward_sent (&test.forward, ash_direct_find (&test.set, "a"));
   ash_forward_not_run (&test.forward, false);
   CU_ASSERT_EQUAL (test.forward.sent, 0);
   ash_direct_finish (&test.set);
 }
 
-/* In a burst of seconds callers that were refused for want of room were told to come back after 0.3
- * to 1 s: most arrived into the same burst and were refused again, and that was their last try
- * (29.6 in 100 of the requests of days with slow endpoints, bursts and rolling stops). They are
- * told a part of the time that they have left, no more than the third that callers wait. */
+/* Guards against retry times that are too short. During a burst of some seconds, callers rejected
+ * for lack of room retried after 0.3 to 1 s, most within the same burst; they were rejected again
+ * and had no more tries (29.6 of 100 requests of days with slow endpoints, bursts and rolling
+ * stops). The time is now a part of the time left until the deadline, at most the third that
+ * callers accept. */
 static void
 test_forward_retry_after (void)
 {
@@ -463,13 +473,13 @@
   CU_ASSERT (least_ms >= 8000 / 8);
   CU_ASSERT (most_ms <= 8000 / 3);
   CU_ASSERT (most_ms - least_ms > 1500);
-  /* Who has little time left is told to come back within it, however little. */
+  /* A caller with little time left gets a retry time within it. */
   test.forward.deadline = at (1100);
   expect_answer (next (&test, 1000), 503, ASH_FORWARD_NO_ROOM);
   CU_ASSERT (next (&test, 1000).answer.retry_after_ms <= 100 / 3 + 1);
   test.forward.deadline = at (1001);
   expect_answer (next (&test, 1000), 503, ASH_FORWARD_NO_ROOM);
-  /* Nobody is sent away for as long as a third of a minute's deadline. */
+  /* The retry time is at most 3 s, even if a third of the time until the deadline is longer. */
   test.forward.deadline = at (61000);
   CU_ASSERT (next (&test, 1000).answer.retry_after_ms <= 3000);
   expect_answer (next (&test, 1000), 503, ASH_FORWARD_NO_ROOM);
@@ -487,16 +497,17 @@
     ash_resend_window_request (&window, &bound, at (ms));
   for (int i = 0; i < 1000; i++)
     sent += ash_resend_window_spend (&window, &bound, 4, at (9999));
-  /* Below this entry's part of ratio times requests and slack, and not nothing. */
+  /* At most this entry's quarter of the slack plus the ratio times its own requests, but not
+   * nothing. */
   CU_ASSERT (sent > 80 && sent <= 0.2 * 1000 + 20.0 / 4);
-  /* It comes back when the window has gone by, and only then. */
+  /* Resends are allowed again once the window has passed, and not earlier. */
   CU_ASSERT_FALSE (ash_resend_window_spend (&window, &bound, 4, at (15000)));
   CU_ASSERT (ash_resend_window_spend (&window, &bound, 4, at (40000)));
 }
 
 /* ---- settings ---- */
 
-/* What a router can't do without, and further lines. */
+/* Reads the required settings of a router, followed by the lines in @p more. */
 static void
 read_settings (struct ash_router_settings *settings,
                const char *more,
@@ -515,9 +526,9 @@
   ash_router_settings_read (settings, text, (size_t) length, findings);
 }
 
-/* A deployment gives its time to stop as a number of seconds. The template wrote three zeros behind
- * it, which makes milliseconds of whole numbers only: of 7.5 it made 7.5000, a finding, and no
- * router would have started there. */
+/* Settings in seconds may be fractions. A deployment's template turned its stop time into
+ * milliseconds by appending three zeros: 7.5 became 7.5000, which is not a valid number of
+ * milliseconds, so no router would have started. */
 static void
 test_seconds (void)
 {
@@ -534,7 +545,7 @@
   CU_ASSERT_EQUAL (settings.grace_ms, 8000);
   CU_ASSERT_EQUAL (settings.resend_window_ms, 100);
   ash_findings_finish (&findings);
-  /* Unless said. */
+  /* Defaults. */
   read_settings (&settings, "", &findings);
   CU_ASSERT_EQUAL (findings.count, 0);
   CU_ASSERT_EQUAL (settings.grace_ms, 8000);
@@ -545,8 +556,7 @@
   ash_findings_finish (&findings);
 }
 
-/* A deployment's bounds may be fractions: with a slack of 34.1 requests the settings had a finding,
- * and none of 27 routers started. */
+/* Bounds may be fractions: a slack of 34.1 requests was rejected, so none of 27 routers started. */
 static void
 test_fractions (void)
 {
@@ -568,9 +578,9 @@
 
 /* ---- talk with the others ---- */
 
-/* A router sends those of other halls a bounded number of messages a second: 119 of them had a
- * heartbeat each 300 ms and loads each 50 ms, 2,800 messages a second. Fleets of up to 30 routers
- * in other halls talk as the settings say. */
+/* The number of messages per second that a router sends to other halls is bounded. A router with
+ * 119 peers there sent heartbeats every 300 ms and loads every 50 ms, 2,800 messages a second. With
+ * up to 30 heartbeat peers, and up to 20 for loads, the periods are those of the settings. */
 static void
 test_peer_periods (void)
 {
@@ -582,7 +592,7 @@
   CU_ASSERT (1000 * 1000 / ash_peer_period_remote_load_ms (50, 1000) <= 410);
   CU_ASSERT_EQUAL (ash_peer_period_remote_parts (50, 20), 1);
   CU_ASSERT_EQUAL (ash_peer_period_remote_parts (50, 119), 5);
-  /* A link is not given up between two heartbeats that its peer has told of. */
+  /* A link may be silent for longer than the heartbeat period that its peer announces. */
   CU_ASSERT_EQUAL (ash_peer_period_silence_ms (1000, 300, 0), 1000);
   CU_ASSERT_EQUAL (ash_peer_period_silence_ms (1000, 300, 300), 1000);
   CU_ASSERT (ash_peer_period_silence_ms (1000, 300, 1190) > 3 * 1190);
@@ -594,8 +604,8 @@
 #define SPILLOVER_ROUTERS 120
 #define SPILLOVER_CAP 6
 
-/* All routers see the same free places of another hall and hear of each other late: what they send
- * meanwhile. @return requests at the endpoint that got most. */
+/* Each router chooses an endpoint from the same loads, before it learns of the choices of the
+ * others. @return the number of requests at the endpoint that got most. */
 static uint32_t
 spill_over (struct ash_direct_set *set, uint32_t remote_parts, uint32_t *sent)
 {
@@ -622,8 +632,9 @@
   return most;
 }
 
-/* With 149 routers, 192 ranks with a cap of 6 had up to 23 requests each: loads of other halls are
- * known 0.3 s late, and whoever found its own hall full took the same last places elsewhere. */
+/* Guards against overload by routers that choose at the same time. With 149 routers, 192 ranks with
+ * a cap of 6 had up to 23 requests each: loads of other halls arrive 0.3 s late, and every router
+ * whose own hall was full took the same last free slots in other halls. */
 static void
 test_spillover (void)
 {
@@ -646,19 +657,21 @@
   own = ash_direct_find (&set, "e149");
   CU_ASSERT_PTR_NOT_NULL_FATAL (own);
   snprintf (own->facts.hall, sizeof own->facts.hall, "own");
-  /* Three last places, and all go there. */
+  /* There are three free slots, and all routers choose from them. */
   CU_ASSERT (spill_over (&set, 1, &sent) > SPILLOVER_ROUTERS / 5);
   CU_ASSERT_EQUAL (sent, SPILLOVER_ROUTERS);
-  /* They are left to what is not known yet. */
+  /* With more than one part, the last slots are left for requests that this router does not know of
+   * yet. */
   spill_over (&set, 6, &sent);
   CU_ASSERT_EQUAL (sent, 0);
-  /* An endpoint with many places gets some of the routers, and each has some. */
+  /* When endpoints have many free slots, each gets only some of the routers, and every router finds
+   * one. */
   for (struct ash_direct_endpoint *endpoint = set.endpoints; endpoint != own;
        endpoint = endpoint->hh.next)
     endpoint->elsewhere = 1;
   CU_ASSERT (spill_over (&set, 6, &sent) < 8);
   CU_ASSERT_EQUAL (sent, SPILLOVER_ROUTERS);
-  /* Without one of the own hall, nor of its part, a router takes any. */
+  /* With no endpoint in its own hall or in its part, a router takes any endpoint. */
   own->facts.draining = true;
   for (uint32_t i = 1; i < SPILLOVER_ENDPOINTS - 1; i++)
     {
@@ -681,7 +694,8 @@
   ++*(uint32_t *) data;
 }
 
-/* A server may start again under its id: what the former life did says nothing of this one. */
+/* A server may restart under the same id: failures and pace of the former incarnation no longer
+ * count. */
 static void
 test_restart (void)
 {
@@ -701,7 +715,7 @@
     ash_direct_note_result (a, at (1000), ASH_DIRECT_TIMED_OUT);
   ash_direct_set_pace (a, at (1000), 3);
   ash_direct_note_pause (a, at (1000), 400);
-  /* The same life says something new of itself. */
+  /* The same incarnation reports a new state. */
   facts.draining = true;
   CU_ASSERT (ash_direct_update (&set, &facts));
   CU_ASSERT_EQUAL (restarted, 0);
@@ -714,7 +728,7 @@
   CU_ASSERT_FALSE (ash_time_before (at (1001), a->ejected_until));
   CU_ASSERT_EQUAL (ash_direct_pace (a, at (1001)), 1);
   CU_ASSERT_FALSE (ash_direct_update (&set, &facts));
-  /* It does not say when it started, but is at another address. */
+  /* An unknown start time alone is no restart; a new address is. */
   facts.born_ms = 0;
   CU_ASSERT_FALSE (ash_direct_update (&set, &facts));
   snprintf (facts.address, sizeof facts.address, "127.0.0.1:2");
@@ -732,25 +746,25 @@
 
   ash_peer_version_reported (&version, (struct ash_time){ 100 }, 4, 4);
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 900 }, 4, 0));
-  /* Behind from when a newer one is told, not from when the last one arrived. */
+  /* The wait begins when a peer reports a newer version, not when the last one arrived here. */
   ash_peer_version_reported (&version, (struct ash_time){ 1000 }, 6, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1250 }, 4, 250));
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1250 }, 4, 251));
-  /* Newer ones yet, and old ones, do not begin the wait anew. */
+  /* Further reports, newer or older, do not restart the wait. */
   ash_peer_version_reported (&version, (struct ash_time){ 1300 }, 9, 4);
   ash_peer_version_reported (&version, (struct ash_time){ 1350 }, 5, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1400 }, 4, 400));
-  /* What comes in between does: the source speaks. */
+  /* A version that arrives here in the meantime restarts the wait: the source is working. */
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1500 }, 6, 1));
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1600 }, 6, 100));
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1600 }, 6, 101));
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1700 }, 9, 0));
 }
 
-/* What a review saw: a router that lacked nothing asked a peer for a whole list, and the store
- * anew. Events: a peer told of a newer list 10 ms before the change arrived here too, by an answer
- * of an earlier revision; from then on both lists said the same. Cause: the revision told while
- * they differed was kept. */
+/* Guards against needless requests for a whole list. A peer reported a newer list 10 ms before the
+ * same change arrived here, in an answer with an earlier revision. Both lists were then equal, but
+ * the revision reported while they differed was kept, so this router, which lacked nothing,
+ * requested the whole list from a peer and from the store. */
 static void
 test_peer_version_equal (void)
 {
@@ -759,14 +773,14 @@
   ash_peer_version_reported (&version, at (1000), 9, 4);
   ash_peer_version_equal (&version, at (1100), 9, 4);
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, at (1900), 4, 0));
-  /* One that differs and is older than that lacks something itself. */
+  /* A peer whose list differs and is older than that lacks something itself. */
   ash_peer_version_reported (&version, at (1900), 8, 4);
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, at (1950), 4, 0));
-  /* Who has an older one says nothing of the newest. */
+  /* An equal list of an older revision says nothing about the newest. */
   ash_peer_version_reported (&version, at (2000), 12, 4);
   ash_peer_version_equal (&version, at (2100), 11, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, at (2700), 4, 700));
-  /* A change after that begins a new wait. */
+  /* A later change starts a new wait. */
   ash_peer_version_equal (&version, at (2800), 13, 4);
   ash_peer_version_reported (&version, at (3000), 14, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, at (3100), 4, 100));
@@ -785,7 +799,7 @@
   uint32_t count;
 };
 
-/* @param hall_of the hall of each router, by its place by name. */
+/* @param hall_of returns the hall of the router with that index; routers are ordered by name. */
 static void
 build_fleet (struct fleet *fleet, uint32_t count, uint32_t (*hall_of) (uint32_t i))
 {
@@ -803,7 +817,7 @@
   struct ash_poller others[POLLERS_MAX];
   uint32_t count = 0;
 
-  /* In another order for each: links come up as they like. */
+  /* Each router sees the others in a different order, as links come up. */
   for (uint32_t i = 1; i < fleet->count; i++)
     {
       uint32_t other = (own + i) % fleet->count;
@@ -814,7 +828,8 @@
                                 others, count, POLLERS_WANTED);
 }
 
-/* Those that say that they ask often, as one bit each of the first 64. */
+/* @return the routers that consider themselves pollers, as a bit mask of the first 64. @param count
+ * receives how many they are. */
 static uint64_t
 pollers_of (const struct fleet *fleet, uint32_t *count)
 {
@@ -843,7 +858,7 @@
   return i % 3;
 }
 
-/* The names tell the hall: all of the first come before all of the second. */
+/* All names of the first hall sort before those of the second. */
 static uint32_t
 halls_of_ten (uint32_t i)
 {
@@ -856,9 +871,9 @@
   return i >= 5;
 }
 
-/* What a review saw: the routers that ask often, for the whole fleet, were the first three by name,
- * which all stood in one hall. With that hall cut off, the others heard of a change when their own
- * long question ended. */
+/* The routers that poll the store for the whole fleet must be in different halls. When they were
+ * the first three by name, all were in one hall: with that hall cut off, the other routers learned
+ * of a change only when their own long poll ended. */
 static void
 test_pollers (void)
 {
@@ -874,22 +889,23 @@
   build_fleet (&fleet, 400, three_halls_in_turn);
   CU_ASSERT_EQUAL (pollers_of (&fleet, &count), 7);
   CU_ASSERT_EQUAL (count, POLLERS_WANTED);
-  /* Fewer halls than that: the second ones of halls are next. */
+  /* With fewer halls than pollers, the second routers of halls come next. */
   build_fleet (&fleet, 30, two_halls);
   CU_ASSERT_EQUAL (pollers_of (&fleet, &count), 1 << 0 | 1 << 1 | 1 << 5);
   CU_ASSERT_EQUAL (count, POLLERS_WANTED);
   build_fleet (&fleet, 400, one_hall);
   CU_ASSERT_EQUAL (pollers_of (&fleet, &count), 7);
   CU_ASSERT_EQUAL (count, POLLERS_WANTED);
-  /* Few routers: all of them. */
+  /* With few routers all of them are pollers. */
   build_fleet (&fleet, 2, one_hall);
   CU_ASSERT_EQUAL (pollers_of (&fleet, &count), 3);
   build_fleet (&fleet, 1, one_hall);
   CU_ASSERT_EQUAL (pollers_of (&fleet, &count), 1);
 }
 
-/* The router that led after the first one by name had a link of 40 Mbit/s: a map for two groups of
- * 96 ranks, 3.5 MB, took it 0.7 s while both stood still. */
+/* A router with a fast link must lead. When the next leader was chosen by name only, it had a link
+ * of 40 Mbit/s: sending a map for two groups of 96 ranks, 3.5 MB, took 0.7 s, during which both
+ * groups were stalled. */
 static void
 test_fast_links_first (void)
 {
@@ -912,7 +928,7 @@
 
 #define LOG_LINES 30
 
-/* How many lines the pipe holds, and whether each is whole. */
+/* @return the number of lines in the pipe. @param whole receives whether each is complete. */
 static uint32_t
 drain_lines (int fd, bool *whole)
 {
@@ -947,15 +963,16 @@
   CU_ASSERT_EQUAL_FATAL (pipe (ends), 0);
   sink.out = fdopen (ends[1], "w");
   ash_log_bound_init (&bound, sink.out, LOG_LINES);
-  /* What matters most is not left out for the volume of the rest. */
+  /* Important events are not left out because of the volume of others. */
   for (int i = 0; i < 10 * LOG_LINES; i++)
     ash_log_event (&log, ASH_EV_FORWARD_SENT, "id=%d", i);
   for (int i = 0; i < LOG_LINES; i++)
     ash_log_event (&log, ASH_EV_FORWARD_FAILED, "id=%d", i);
-  /* The second may have turned while the lines were written, once. */
+  /* The one-second window of the bound may have changed once while the lines were written. */
   CU_ASSERT (bound.left_out_total >= 8 * LOG_LINES);
   CU_ASSERT (drain_lines (ends[0], &whole) >= 2 * LOG_LINES && whole);
-  /* Nobody reads: no line waits, those that find no room are counted, none is torn. */
+  /* The pipe is not read: writing does not block, lines without room are counted, and none is
+   * written partially. */
   bound.left_out_total = 0;
   for (int i = 0; i < 5000; i++)
     ash_log_event (&log, ASH_EV_FORWARD_FAILED, "id=%d text=\"%s\"", i, "a line of some length");
--- a/test/unit_router_world.c
+++ b/test/unit_router_world.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Unit tests of the model that the router's policy is weighed in: where it could
- * favour one policy by being wrong itself.
+ * Unit tests of the simulation in bench/router_world.h, in which the router's policies are
+ * compared: an error in it could favour one policy.
  */
 #include "bench/router_world.h"
 #include "controllers/pass_model.h"
@@ -58,7 +58,8 @@
   CU_ASSERT_FALSE (is_same (&first, &other));
 }
 
-/* Every call has one end, in time or late or refused twice or held or cut. */
+/* Every call has exactly one result: in time, late, rejected twice, given up while waiting, or
+ * broken off. */
 static void
 test_ends (void)
 {
@@ -79,14 +80,15 @@
   CU_ASSERT (all.asked > 1800 && all.asked < 2200);
   CU_ASSERT (all.refused_twice > 0);
   CU_ASSERT (all.refused_twice <= all.refused_once);
-  /* Refused at once, nobody is held. */
+  /* Nobody waits, since requests without room are rejected at once. */
   CU_ASSERT_EQUAL (all.held, 0);
   CU_ASSERT (all.in_aim + all.late + all.refused_twice + all.cut <= all.asked);
-  /* The others left before their first event. */
+  /* The remaining callers left before their first event. */
   CU_ASSERT (all.in_aim + all.late + all.refused_twice + all.cut > 0.97 * all.asked);
 }
 
-/* With room for all, no policy shows: all in aim, nobody refused or overtaken. */
+/* With enough capacity the policies make no difference: all calls are served in time, and none is
+ * rejected or overtaken. */
 static void
 test_spare_capacity (void)
 {
@@ -102,7 +104,8 @@
   CU_ASSERT_DOUBLE_EQUAL (router_world_worth (&all), 1, 1e-9);
 }
 
-/* A pass of 6 steps of 4.84 ms, 0.362 ms a writer, prompts at 74.8 tokens a ms. */
+/* A pass has 6 steps of 4.84 ms, plus 0.362 ms per writing stream and step; prompts are read at
+ * 74.8 tokens per ms. */
 static void
 test_passes (void)
 {
@@ -112,9 +115,9 @@
   CU_ASSERT_DOUBLE_EQUAL (pass_ms (9, 500, 4), 4 * pass_ms (9, 500, 1), 0.01);
 }
 
-/* The cap is over all routers, and holds while they hear of each other in time. Where places are
- * short, what they tell is up to 0.1 s old and several send to the same free place: the cap is
- * passed, but not as if each router had one of its own. */
+/* The cap applies to all routers together and is kept while loads are exchanged in time. When
+ * capacity is short, several routers send to the same free slot, since loads are up to 0.1 s old:
+ * the cap is exceeded, but not by as much as if each router had a cap of its own. */
 static void
 test_cap (void)
 {
@@ -130,7 +133,8 @@
   CU_ASSERT (result.most_at_endpoint < 3 * setup.cap);
 }
 
-/* Callers leave after two seconds without an event: a long wait makes no refusal good. */
+/* Callers leave after two seconds without an event, so a long wait is no better than a
+ * rejection. */
 static void
 test_waiting_callers (void)
 {
@@ -147,8 +151,8 @@
   CU_ASSERT (all.held_s / all.held > 1.5);
 }
 
-/* Less urgent ones overtake where waiting is in the order of coming, hardly where it is by class.
- */
+/* Less urgent requests overtake urgent ones if the queue is ordered by arrival, and rarely if it is
+ * ordered by class and deadline. */
 static void
 test_overtaken (void)
 {
@@ -168,10 +172,10 @@
   CU_ASSERT (router_world_worth (&ordered.classes[0]) > router_world_worth (&ordered.classes[1]));
 }
 
-/* Fixed numbers of streams were right for one engine only: 3 of them leave callers of an engine
- * whose streams add 0.36 ms a step with 0.5 of what their requests are worth where 9 leave 0.9. On
- * engines whose streams add 0.12 to 1.1 ms a step and whose ranks copy an expert in 0.05 to 0.45 s,
- * the number worked out leaves at most 0.075 less than the best fixed one of each engine. */
+/* The number of streams per rank must follow the engine. Three streams are worth 0.5 on an engine
+ * whose streams add 0.36 ms to a step, where nine are worth 0.9. On engines whose streams add 0.12
+ * to 1.1 ms to a step and whose ranks copy an expert in 0.05 to 0.45 s, the computed number is
+ * worth at most 0.075 less than the best fixed number for each engine. */
 static void
 test_streams_of_engines (void)
 {
--- a/test/unit_rows.c
+++ b/test/unit_rows.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Unit tests of configurations that are read route by route: what is found of a list's items, and
- * that routes known before come out as if they were read again.
+ * Unit tests of configurations that are parsed route by route: iterating over the items of a JSON
+ * list, and that routes copied from the former table equal routes that are parsed again.
  */
 #include "platform/config.h"
 #include "platform/json_items.h"
@@ -13,7 +13,7 @@
 
 /* ---- items of a list ---- */
 
-/* @return how many items the list has, or -1 if it can't be read so. */
+/* @return the number of items of the list, or -1 if it is malformed. */
 static int
 count_rows (const char *text)
 {
@@ -72,7 +72,7 @@
 
 #define TEXT_MAX 4096
 
-/* A route to service @p service, or a text that is none. */
+/* A route to a service. An unknown @p kind or @p service makes it invalid. */
 struct row
 {
   unsigned number;
@@ -145,7 +145,7 @@
   CU_ASSERT_EQUAL (read_config (&tables[0], NULL, text), 0);
   write_config (text, 2, SERVICES_AB, second);
   CU_ASSERT_EQUAL (read_config (&tables[1], &tables[0], text), 0);
-  /* What was copied holds without the table that it came from. */
+  /* Copied routes must not depend on the table that they were copied from. */
   ash_route_table_finish (&tables[0]);
   CU_ASSERT_EQUAL (tables[1].version, 2);
   CU_ASSERT_EQUAL (tables[1].route_count, 3);
@@ -156,7 +156,7 @@
   CU_ASSERT_EQUAL (route_of (&tables[1], 3)->timeout_ms, 103);
   CU_ASSERT (route_of (&tables[1], 3)->repeat == ASH_REPEAT_ONCE);
   CU_ASSERT (route_of (&tables[1], 2)->stream);
-  /* The same texts name services that stand elsewhere now. */
+  /* The same route texts refer to services whose indexes have changed. */
   write_config (text, 3, SERVICES_BA, second);
   CU_ASSERT_EQUAL (read_config (&tables[2], &tables[1], text), 0);
   CU_ASSERT_STRING_EQUAL (service_of (&tables[2], 3), "a");
@@ -176,11 +176,13 @@
 
   write_config (text, 1, SERVICES_AB, good);
   CU_ASSERT_EQUAL (read_config (&former, NULL, text), 0);
-  /* An unknown kind, an unknown service, and weights that add up to nothing without it. */
+  /* The second route has an unknown kind and an unknown service, without which its weights add up
+   * to 0: two findings. */
   write_config (text, 2, SERVICES_AB, bad);
   CU_ASSERT_EQUAL (read_config (&table, &former, text), 2);
   ash_route_table_finish (&table);
-  /* One finding for a text that is no JSON, wherever it breaks; none of those before it. */
+  /* Malformed JSON gives a single finding, wherever the error is; findings in earlier items are not
+   * reported. */
   CU_ASSERT_EQUAL (read_config (&table, &former, "{\"Services\":[],\"Routes\":[{},{]}"), 1);
   ash_route_table_finish (&table);
   CU_ASSERT_EQUAL (read_config (&table, &former, "{\"Version\":3,\"Routes\":[{\"a\":1}{}]}"), 1);
--- a/test/unit_terms.c
+++ b/test/unit_terms.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Unit tests of what endpoints say of how they want to be used: rates, kept by all routers
- * together.
+ * Unit tests of the terms that endpoints announce in answers: rates, which all routers keep
+ * together, back-off times, and leaving.
  */
 #include "common/id.h"
 #include "controllers/rate_limit.h"
@@ -16,13 +16,14 @@
 #define SIMULATION_MS 30000
 #define STEPS (SIMULATION_MS / STEP_MS)
 
-/* What is borne of a rate in any such window: half of it more, and five requests. */
+/* Most requests that an endpoint may get in any window of WINDOW_MS: 1.5 times its rate, plus
+ * five. */
 #define WINDOW_MS 4000
 #define WINDOW_BUCKETS (WINDOW_MS / STEP_MS)
 #define ALLOWED_FACTOR 1.5
 #define ALLOWED_SLACK 5
 
-/* Part of a rate that is of use, where there is more demand. */
+/* The part of a rate that must be used when demand exceeds the rate. */
 #define MIN_UTILIZATION 0.8
 
 static struct ash_time
@@ -31,8 +32,8 @@
   return (struct ash_time){ ms };
 }
 
-/* Routers before one endpoint. Those that are away send nothing, and the others deal without them.
- */
+/* Routers that send to one endpoint. A disconnected router sends nothing, and the others share the
+ * rate without it. */
 struct fleet
 {
   uint32_t count;
@@ -47,7 +48,8 @@
   return ash_hash_bytes (&router, sizeof router);
 }
 
-/* @param unseen one router that this one does not see. */
+/* Assigns the share of router @p own. @param unseen_router a router that @p own is not connected
+ * to; UINT32_MAX: none. */
 static void
 assign_share (struct fleet *fleet, uint32_t own, struct ash_time now, uint32_t unseen_router)
 {
@@ -70,7 +72,7 @@
     assign_share (fleet, i, now, same_view ? UINT32_MAX : (i + 1) % fleet->count);
 }
 
-/* All that may send, do. */
+/* Every connected router that may send a request sends one. */
 static void
 step (struct fleet *fleet, uint32_t n, uint32_t first)
 {
@@ -111,8 +113,8 @@
   return worst;
 }
 
-/* More demand at each router than the endpoint takes of all. A third of the routers is away for a
- * third of the time. */
+/* Simulates routers that each have more demand than the rate of the endpoint. A third of them is
+ * disconnected for the second third of the time. */
 static void
 simulate_rate (uint32_t routers, uint32_t milli_per_s, bool same_view, uint64_t seed)
 {
@@ -150,8 +152,8 @@
     for (uint32_t k = 0; k < sizeof rates_milli / sizeof rates_milli[0]; k++)
       {
         simulate_rate (sizes[i], rates_milli[k], true, 1 + k);
-        /* Each does not see one of the others. Two that see nobody are cut off from each other:
-         * what each sends is bounded, what both send is not. */
+        /* Each router is not connected to one of the others. Two routers without a connection to
+         * each other are left out: each keeps to the rate, but both together do not. */
         if (sizes[i] > 2)
           simulate_rate (sizes[i], rates_milli[k], false, 1 + k);
       }
@@ -162,24 +164,24 @@
 {
   struct ash_rate_limit limit = { 0 };
 
-  /* Most endpoints name none. */
+  /* Most endpoints announce no rate. */
   CU_ASSERT_FALSE (ash_rate_limit_update (&limit, 0, at (10), at (5)));
   CU_ASSERT_EQUAL (ash_rate_limit_wait_ms (&limit, at (10)), 0);
   CU_ASSERT (ash_rate_limit_update (&limit, 2000, at (20), at (15)));
-  /* Nothing is sent before the rate is dealt out. */
+  /* Nothing is sent before the rate has been shared out. */
   CU_ASSERT (ash_rate_limit_wait_ms (&limit, at (20000)) < 0);
   CU_ASSERT_FALSE (ash_rate_limit_update (&limit, 2100, at (30), at (25)));
   CU_ASSERT_EQUAL (limit.milli_per_s, 2100);
   CU_ASSERT (ash_rate_limit_update (&limit, 3000, at (40), at (35)));
-  /* An older word, by way of a peer. */
+  /* An older rate, relayed by a peer, is ignored. */
   CU_ASSERT_FALSE (ash_rate_limit_update (&limit, 9000, at (35), at (35)));
   CU_ASSERT_EQUAL (limit.milli_per_s, 3000);
-  /* The answer to a request that was sent before the rate was named. */
+  /* The answer to a request that was sent before the rate was announced does not revoke it. */
   CU_ASSERT_FALSE (ash_rate_limit_update (&limit, 0, at (60), at (39)));
   CU_ASSERT_EQUAL (limit.milli_per_s, 3000);
   CU_ASSERT (ash_rate_limit_update (&limit, 0, at (70), at (50)));
   CU_ASSERT_EQUAL (ash_rate_limit_wait_ms (&limit, at (70)), 0);
-  /* A peer that has not heard that yet. */
+  /* A peer that has not learned of the revocation yet still sends the old rate. */
   CU_ASSERT_FALSE (ash_rate_limit_update (&limit, 3000, at (60), at (60)));
   CU_ASSERT_EQUAL (limit.milli_per_s, 0);
 }
@@ -227,7 +229,8 @@
   return decision;
 }
 
-/* Refused at once, and told to come back when an endpoint takes requests again. */
+/* When all endpoints are at their rates, requests are rejected at once, with the time at which an
+ * endpoint accepts requests again. */
 static void
 test_all_throttled (void)
 {
@@ -254,7 +257,7 @@
   CU_ASSERT_FATAL (decision.action == ASH_FORWARD_ANSWER);
   CU_ASSERT (decision.answer.status == 503 && decision.answer.reason == ASH_FORWARD_THROTTLED);
   CU_ASSERT (decision.answer.retry_after_ms >= 1990 && decision.answer.retry_after_ms <= 8000 / 3);
-  /* A new life has named none. */
+  /* A new incarnation has announced no rate. */
   CU_ASSERT (ash_direct_update (
       &set, &(struct ash_direct_facts){
                 .id = "a", .service = "s", .hall = "h", .address = "1.2.3.4:9", .slots = 8 }));
@@ -262,7 +265,8 @@
   ash_direct_finish (&set);
 }
 
-/* Those that turn requests away have the least work. */
+/* An endpoint that rejects requests has the least load, so it would be chosen first; no request
+ * must be sent to it during its back-off time. */
 static void
 test_back_off (void)
 {
@@ -272,7 +276,7 @@
 
   ash_direct_init (&set, 1);
   ash_direct_back_off (add_endpoint (&set, "a"), at (0), 3000);
-  /* A shorter rest does not end a longer one. */
+  /* A shorter back-off time does not end a longer one. */
   ash_direct_back_off (ash_direct_find (&set, "a"), at (10), 100);
   add_endpoint (&set, "b");
   for (int i = 0; i < 8; i++)
@@ -280,7 +284,7 @@
       decision = forward_request (&set, &window, 2990);
       CU_ASSERT (decision.action == ASH_FORWARD_SEND && decision.endpoint->facts.id[0] == 'b');
     }
-  /* The other one is full: refused at once. */
+  /* The other endpoint is full, so the request is rejected at once. */
   decision = forward_request (&set, &window, 2990);
   CU_ASSERT (decision.action == ASH_FORWARD_ANSWER && decision.answer.status == 503);
   decision = forward_request (&set, &window, 3000);
@@ -288,7 +292,7 @@
   ash_direct_finish (&set);
 }
 
-/* A caller that comes back as told meets endpoints that take requests again. */
+/* A caller that retries after the announced time finds an endpoint that accepts requests again. */
 static void
 test_all_back_off (void)
 {
@@ -309,8 +313,8 @@
   ash_direct_finish (&set);
 }
 
-/* A router of a large fleet takes one part of the endpoints of other halls, and more of them where
- * those of its part want nothing. */
+/* A router of a large fleet uses one part of the endpoints of other halls, and further ones while
+ * those of its part back off. */
 static void
 test_partition_backs_off (void)
 {
@@ -341,8 +345,8 @@
 #define REJECTING_ENDPOINTS 5
 #define RUN_MS 1000
 
-/* Of ten requests these turn nine away, without a word about rest. They keep no work, and get no
- * more than their share all the same. */
+/* These endpoints reject nine of ten requests without a back-off time. They have little load, but
+ * must not get more than their share of requests. */
 static void
 test_rejecting_endpoints (void)
 {
@@ -382,12 +386,13 @@
         *run = decision.endpoint;
     }
   CU_ASSERT (at_rejecting <= STEPS * REJECTING_ENDPOINTS / ENDPOINTS);
-  /* They are tried again: they may have recovered. */
+  /* They are tried again from time to time, as they may have recovered. */
   CU_ASSERT (at_rejecting >= REJECTING_ENDPOINTS * SIMULATION_MS / 10000);
   ash_direct_finish (&set);
 }
 
-/* Whatever the list says of this life. */
+/* An endpoint that announced that it is leaving gets no more requests, even if the list shows it as
+ * ready. */
 static void
 test_announced_leaving (void)
 {
@@ -403,10 +408,10 @@
   ash_direct_update (&set, &facts);
   CU_ASSERT (forward_request (&set, &window, 1).action == ASH_FORWARD_ANSWER);
   CU_ASSERT_EQUAL (ash_direct_count (&set, "s"), 0);
-  /* A list that can't be trusted has lost it: it has left. */
+  /* The endpoint goes missing from an untrusted list: it is removed at once. */
   CU_ASSERT (ash_direct_remove (&set, "a", false, at (5000)));
   CU_ASSERT_EQUAL (endpoint->presence, ASH_DIRECT_REMOVED);
-  /* A later life. */
+  /* A later incarnation is used again. */
   facts.born_ms = 7;
   strcpy (facts.address, "1.2.3.4:9");
   ash_direct_update (&set, &facts);
--- a/test/unit_trace.c
+++ b/test/unit_trace.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * One request in the logs of several processes.
+ * Unit tests of tracing a request through the logs of several processes.
  */
 #include "cli/trace.h"
 #include "test/unit.h"
@@ -9,7 +9,7 @@
 
 #define ID "9c41"
 
-/* Reads a log given as text and explains the request. */
+/* Reads the log in a string and explains how the request ended. */
 static void
 explain (struct ash_trace *trace, const char *log, char *end, size_t end_bytes)
 {
@@ -25,7 +25,7 @@
 static void
 test_order (void)
 {
-  /* Two processes, each in a form of its own, and the later one's log first. */
+  /* Logs of two processes, one as text and one as JSON, the later one first. */
   static const char log[] =
       "2026-12-02T10:00:02.000Z info 405 forward_served box=b module=router id=9c41 route=r "
       "status=200 sent=1 age_ms=30\n"
@@ -66,7 +66,7 @@
   explain (&trace, denied, end, sizeof end);
   CU_ASSERT_STRING_EQUAL (end, "Denied with 401 under configuration 7: no such key.");
   ash_trace_finish (&trace);
-  /* What is not known is said to be so. */
+  /* An unknown result is reported as unknown. */
   explain (&trace, unended, end, sizeof end);
   CU_ASSERT_PTR_NOT_NULL (strstr (end, "No line tells how it ended"));
   CU_ASSERT_PTR_NOT_NULL (strstr (end, "(12 were). It was last at i-7 and may have run."));
--- a/test/workers.c
+++ b/test/workers.c
@@ -47,8 +47,8 @@
       kill (pids[i], SIGKILL);
 }
 
-/* Waits for all; the others are ended once one has found something, if that is wanted.
- * @return how many found something. */
+/* Waits for all workers; if @p stop, kills the others once one has failed. @return the number of
+ * workers that failed. */
 static int
 wait_all (pid_t pids[WORKERS], bool stop)
 {
@@ -62,7 +62,7 @@
       for (int i = 0; i < WORKERS; i++)
         if (pids[i] == pid)
           pids[i] = 0;
-      /* One that crashed has found something; one that was ended here has not. */
+      /* A crashed worker counts as failed; a worker that was killed here does not. */
       if (status == 0 || (ended && WIFSIGNALED (status) && WTERMSIG (status) == SIGKILL))
         continue;
       failures++;
--- a/test/workers.h
+++ b/test/workers.h
@@ -1,27 +1,30 @@
 /**
  * @file
- * Runs seeds over several processes, which take equal shares of them.
+ * Runs the seeds of a schedule test in several processes, each with an equal share.
  */
 #ifndef ASH_TEST_WORKERS_H
 #define ASH_TEST_WORKERS_H
 
 #include <stdint.h>
 
-/** What a schedule test is. */
+/** A schedule test. */
 struct workers
 {
-  /** Plays a seed; prints its session if @p traced. @return what broke, or NULL. */
+  /**
+   * Runs the schedule of a seed; prints its events if @p traced. @return the broken invariant, or
+   * NULL.
+   */
   const char *(*run) (uint64_t seed, int traced);
-  unsigned long *totals; /**< counted by run(), added up over the processes */
+  unsigned long *totals; /**< incremented by run(), summed over all worker processes */
   unsigned total_count;
 };
 
 /**
- * Plays seeds; a worker stops at its first that breaks something, and plays it
- * again, traced.
- * @param arguments [COUNT [FIRST_SEED [stop]]] of the command line; with "stop" the other workers
- * end once one has found something.
- * @return how many workers found something broken.
+ * Runs seeds in worker processes. A worker stops at its first failing seed and runs it again with
+ * tracing.
+ * @param argv [COUNT [FIRST_SEED [stop]]] after the program name; with "stop" the other workers are
+ * killed once one has failed.
+ * @return the number of workers that failed.
  */
 int workers_run (const struct workers *workers, int argc, char **argv);
 
