--- a/test/expert_schedule.c
+++ b/test/expert_schedule.c
@@ -41,7 +41,7 @@
   struct Ash__RankState state;
 };
 
-struct world
+struct sim
 {
   struct ash_random random;
   struct ash_time now;
@@ -58,7 +58,7 @@
   uint64_t last_incarnation;
   uint64_t last_map;
   bool traced;
-  bool calm; /* end of the schedule: no more losses or delays */
+  bool no_faults; /* end of the schedule: no more losses or delays */
   const char *violation;
 };
 
@@ -75,83 +75,83 @@
 static unsigned long totals[TOTAL_COUNT];
 
 static uint32_t
-pick (struct world *world, uint32_t bound)
+random_below (struct sim *sim, uint32_t bound)
 {
-  return ash_random_below (&world->random, bound);
+  return ash_random_below (&sim->random, bound);
 }
 
 static void
-fail (struct world *world, const char *why)
+fail (struct sim *sim, const char *why)
 {
-  if (!world->violation)
-    world->violation = why;
+  if (!sim->violation)
+    sim->violation = why;
 }
 
 static void
-enqueue (struct world *world, const struct frame *frame)
+enqueue (struct sim *sim, const struct frame *frame)
 {
   /* When the network is full, further messages are lost. */
-  if (world->frame_count < FRAMES_MAX)
-    world->frames[world->frame_count++] = *frame;
+  if (sim->frame_count < FRAMES_MAX)
+    sim->frames[sim->frame_count++] = *frame;
 }
 
 static void
 on_order (void *data, const struct Ash__Event *event)
 {
-  struct world *world = data;
-  struct frame frame = { .coordinator = world->sender, .order = *event->rank_order };
+  struct sim *sim = data;
+  struct frame frame = { .coordinator = sim->sender, .order = *event->rank_order };
 
   frame.to_rank = atoi (event->peer + 1);
-  enqueue (world, &frame);
+  enqueue (sim, &frame);
 }
 
 static void
 on_state (void *data, const struct Ash__Event *event)
 {
-  struct world *world = data;
+  struct sim *sim = data;
   struct frame frame = { .to_rank = -1, .state = *event->rank_state };
 
   frame.coordinator = atoi (event->peer + 1);
-  enqueue (world, &frame);
+  enqueue (sim, &frame);
 }
 
 /* ---- events ---- */
 
 /* Prints an event when a failing seed is run again with tracing. */
 static void
-trace (const struct world *world, const char *to, Ash__Event__KindCase kind, const void *message)
+trace (const struct sim *sim, const char *to, Ash__Event__KindCase kind, const void *message)
 {
   struct Ash__Event event = ash_event_of (to, kind, message);
 
-  if (!world->traced)
+  if (!sim->traced)
     return;
-  fprintf (stderr, "%" PRId64 " ", world->now.ms);
+  fprintf (stderr, "%" PRId64 " ", sim->now.ms);
   ash_event_print (&event, stderr);
   fputc ('\n', stderr);
 }
 
-/* ---- engines that check nothing, behind their agents ---- */
+/* ---- engines that do not check orders, behind their agents ---- */
 
 /* The agent polls its engine for its state. An answer ends the wait for orders that may still be on
  * the way to the engine. */
 static void
-poll_engine (struct world *world, int r)
+poll_engine (struct sim *sim, int r)
 {
   struct Ash__RankState state = ASH__RANK_STATE__INIT;
 
-  state.life = world->ranks[r].life;
-  ash_expert_guard_answer (&world->guards[r], world->now, false, &state);
+  state.life = sim->ranks[r].life;
+  ash_expert_guard_answer (&sim->guards[r], sim->now, false, &state);
 }
 
 static void
-order_agent (struct world *world, const struct frame *frame)
+order_agent (struct sim *sim, const struct frame *frame)
 {
-  struct ash_sink sink = { on_state, world };
+  struct ash_sink sink = { on_state, sim };
   struct frame forwarded = *frame;
   struct Ash__RankState state = ASH__RANK_STATE__INIT;
-  struct ash_expert_guard *guard = &world->guards[frame->to_rank];
+  struct ash_expert_guard *guard = &sim->guards[frame->to_rank];
 
-  switch (ash_expert_guard_order (guard, world->now, &frame->order, &forwarded.order))
+  switch (ash_expert_guard_order (guard, sim->now, &frame->order, &forwarded.order))
     {
     case ASH_EXPERT_WAIT:
       return;
@@ -163,9 +163,9 @@
       return;
     case ASH_EXPERT_FORWARD:
       forwarded.agent_incarnation = guard->incarnation;
-      forwarded.sent_at = world->now;
-      if (world->engine_order_count < FRAMES_MAX)
-        world->engine_orders[world->engine_order_count++] = forwarded;
+      forwarded.sent_at = sim->now;
+      if (sim->engine_order_count < FRAMES_MAX)
+        sim->engine_orders[sim->engine_order_count++] = forwarded;
       else
         ash_expert_guard_lost (guard);
       return;
@@ -180,282 +180,280 @@
 
 /* Delivers an order to its engine, even if the agent that forwarded it has restarted. */
 static void
-deliver_to_engine (struct world *world, unsigned index)
+deliver_to_engine (struct sim *sim, unsigned index)
 {
-  struct ash_sink to_coordinator = { on_state, world };
-  struct frame frame = world->engine_orders[index];
-  struct ash_expert_rank *rank = &world->ranks[frame.to_rank];
-  struct ash_expert_guard *guard = &world->guards[frame.to_rank];
+  struct ash_sink to_coordinator = { on_state, sim };
+  struct frame frame = sim->engine_orders[index];
+  struct ash_expert_rank *rank = &sim->ranks[frame.to_rank];
+  struct ash_expert_guard *guard = &sim->guards[frame.to_rank];
   struct Ash__RankState state;
   struct ash_sink sink = { on_engine_state, &state };
 
-  world->engine_order_count--;
-  memmove (&world->engine_orders[index], &world->engine_orders[index + 1],
-           (world->engine_order_count - index) * sizeof frame);
-  trace (world, rank_names[frame.to_rank], ASH__EVENT__KIND_RANK_ORDER, &frame.order);
+  sim->engine_order_count--;
+  memmove (&sim->engine_orders[index], &sim->engine_orders[index + 1],
+           (sim->engine_order_count - index) * sizeof frame);
+  trace (sim, rank_names[frame.to_rank], ASH__EVENT__KIND_RANK_ORDER, &frame.order);
   rank->fence = (struct ash_expert_fence){ 0 };
   frame.order.life = rank->life;
   ash_expert_rank_handle_order (rank, &frame.order, "", &sink);
   if (frame.agent_incarnation != guard->incarnation)
     return;
-  ash_expert_guard_answer (guard, world->now, true, &state);
+  ash_expert_guard_answer (guard, sim->now, true, &state);
   ash_emit (&to_coordinator, coordinator_names[frame.coordinator], ASH__EVENT__KIND_RANK_STATE,
             &state);
 }
 
 static void
-deliver_to_some_engine (struct world *world)
+deliver_to_some_engine (struct sim *sim)
 {
-  if (world->engine_order_count)
-    deliver_to_engine (world, world->calm ? 0 : pick (world, world->engine_order_count));
+  if (sim->engine_order_count)
+    deliver_to_engine (sim, sim->no_faults ? 0 : random_below (sim, sim->engine_order_count));
 }
 
 /* Advances the time and delivers the orders that have been on the way to an engine for
  * ASH_EXPERT_SETTLE_MS: an engine that answers has received them by then. */
 static void
-advance_time (struct world *world, uint32_t wait_ms)
+advance_time (struct sim *sim, uint32_t wait_ms)
 {
-  world->now.ms += wait_ms;
-  for (unsigned i = world->engine_order_count; i > 0; i--)
-    if (ash_time_diff (world->engine_orders[i - 1].sent_at, world->now) >= ASH_EXPERT_SETTLE_MS)
-      deliver_to_engine (world, i - 1);
+  sim->now.ms += wait_ms;
+  for (unsigned i = sim->engine_order_count; i > 0; i--)
+    if (ash_time_diff (sim->engine_orders[i - 1].sent_at, sim->now) >= ASH_EXPERT_SETTLE_MS)
+      deliver_to_engine (sim, i - 1);
 }
 
 static void
-restart_agent (struct world *world, int r)
+restart_agent (struct sim *sim, int r)
 {
-  ash_expert_guard_init (&world->guards[r], ++world->last_incarnation << 32, false);
-  poll_engine (world, r);
+  ash_expert_guard_init (&sim->guards[r], ++sim->last_incarnation << 32, false);
+  poll_engine (sim, r);
   totals[TOTAL_RESTARTED]++;
 }
 
 /* ---- delivery ---- */
 
 static void
-deliver (struct world *world, const struct frame *frame)
+deliver (struct sim *sim, const struct frame *frame)
 {
-  struct ash_sink sink = { on_state, world };
-  struct ash_expert_change *change = &world->changes[frame->coordinator];
+  struct ash_sink sink = { on_state, sim };
+  struct ash_expert_change *change = &sim->changes[frame->coordinator];
   enum ash_expert_phase before = change->phase;
 
-  if (frame->to_rank >= 0 && world->guarded)
+  if (frame->to_rank >= 0 && sim->guarded)
     {
-      order_agent (world, frame);
+      order_agent (sim, frame);
       return;
     }
   if (frame->to_rank >= 0)
     {
-      trace (world, rank_names[frame->to_rank], ASH__EVENT__KIND_RANK_ORDER, &frame->order);
-      ash_expert_rank_handle_order (&world->ranks[frame->to_rank], &frame->order,
+      trace (sim, rank_names[frame->to_rank], ASH__EVENT__KIND_RANK_ORDER, &frame->order);
+      ash_expert_rank_handle_order (&sim->ranks[frame->to_rank], &frame->order,
                                     coordinator_names[frame->coordinator], &sink);
       return;
     }
-  world->sender = frame->coordinator;
-  trace (world, coordinator_names[frame->coordinator], ASH__EVENT__KIND_RANK_STATE, &frame->state);
-  ash_expert_change_handle_state (change, world->now, &frame->state);
+  sim->sender = frame->coordinator;
+  trace (sim, coordinator_names[frame->coordinator], ASH__EVENT__KIND_RANK_STATE, &frame->state);
+  ash_expert_change_handle_state (change, sim->now, &frame->state);
   totals[TOTAL_DONE] += before != ASH_EXPERT_DONE && change->phase == ASH_EXPERT_DONE;
   totals[TOTAL_FAILED] += before != ASH_EXPERT_FAILED && change->phase == ASH_EXPERT_FAILED;
 }
 
 static void
-deliver_one (struct world *world)
+deliver_one (struct sim *sim)
 {
   unsigned index;
   struct frame frame;
-  uint32_t fate = world->calm ? 100 : pick (world, 100);
+  uint32_t fate = sim->no_faults ? 100 : random_below (sim, 100);
 
-  if (!world->frame_count)
+  if (!sim->frame_count)
     return;
-  index = world->calm ? 0 : pick (world, world->frame_count);
-  frame = world->frames[index];
+  index = sim->no_faults ? 0 : random_below (sim, sim->frame_count);
+  frame = sim->frames[index];
   /* One message in ten stays in the network as a duplicate that is delivered again later. */
   if (fate >= 10)
     {
-      world->frame_count--;
-      memmove (&world->frames[index], &world->frames[index + 1],
-               (world->frame_count - index) * sizeof frame);
+      sim->frame_count--;
+      memmove (&sim->frames[index], &sim->frames[index + 1],
+               (sim->frame_count - index) * sizeof frame);
     }
   if (fate < 20 && fate >= 10)
     return; /* lost */
-  deliver (world, &frame);
+  deliver (sim, &frame);
 }
 
 static bool
-is_behind (const struct world *world, int r)
+is_behind (const struct sim *sim, int r)
 {
   for (int q = 0; q < RANKS; q++)
-    if (world->ranks[q].blank || world->ranks[q].begun < world->ranks[r].begun)
+    if (sim->ranks[q].blank || sim->ranks[q].begun < sim->ranks[r].begun)
       return false;
   return true;
 }
 
 /* Ranks run in lock-step: a rank begins a step when all have begun the previous one. */
 static void
-begin_step (struct world *world, int r)
+begin_step (struct sim *sim, int r)
 {
-  struct ash_expert_rank *rank = &world->ranks[r];
+  struct ash_expert_rank *rank = &sim->ranks[r];
   uint64_t map;
 
-  if (!ash_expert_rank_may_begin (rank) || !is_behind (world, r) || rank->begun + 1 >= STEPS_KEPT)
+  if (!ash_expert_rank_may_begin (rank) || !is_behind (sim, r) || rank->begun + 1 >= STEPS_KEPT)
     return;
   map = ash_expert_rank_begin (rank);
   totals[TOTAL_STEPS]++;
-  if (world->traced)
-    fprintf (stderr, "%" PRId64 " %s begins step %" PRIu64 " with map %" PRIu64 "\n", world->now.ms,
+  if (sim->traced)
+    fprintf (stderr, "%" PRId64 " %s begins step %" PRIu64 " with map %" PRIu64 "\n", sim->now.ms,
              rank_names[r], rank->begun, map);
-  world->step_maps[r][rank->begun] = map;
+  sim->step_maps[r][rank->begun] = map;
   for (int q = 0; q < RANKS; q++)
-    if (world->step_maps[q][rank->begun] && world->step_maps[q][rank->begun] != map)
-      fail (world, "a step with two maps");
+    if (sim->step_maps[q][rank->begun] && sim->step_maps[q][rank->begun] != map)
+      fail (sim, "a step with two maps");
 }
 
 static void
-replace_rank (struct world *world, int r)
+replace_rank (struct sim *sim, int r)
 {
   int others = 0;
 
   /* If all ranks that know the map are replaced at once, the group must be started anew, which this
    * protocol does not cover. */
   for (int q = 0; q < RANKS; q++)
-    others += q != r && !world->ranks[q].blank;
+    others += q != r && !sim->ranks[q].blank;
   if (!others)
     return;
-  ash_expert_rank_init_blank (&world->ranks[r], "g", (uint32_t) r, ++world->last_incarnation);
-  memset (world->step_maps[r], 0, sizeof world->step_maps[r]);
+  ash_expert_rank_init_blank (&sim->ranks[r], "g", (uint32_t) r, ++sim->last_incarnation);
+  memset (sim->step_maps[r], 0, sizeof sim->step_maps[r]);
   totals[TOTAL_REPLACED]++;
 }
 
 /* Restarts a coordinator, which loses its state and its ballots. */
 static void
-restart_coordinator (struct world *world, int c)
+restart_coordinator (struct sim *sim, int c)
 {
-  struct ash_sink sink = { on_order, world };
+  struct ash_sink sink = { on_order, sim };
 
-  ash_expert_change_init (&world->changes[c], "g", rank_names, RANKS,
-                          (uint32_t) ++world->last_incarnation, sink);
+  ash_expert_change_init (&sim->changes[c], "g", rank_names, RANKS,
+                          (uint32_t) ++sim->last_incarnation, sink);
 }
 
 static void
-begin_change (struct world *world, int c, bool wants)
+begin_change (struct sim *sim, int c, bool wants)
 {
   struct ash_expert_map map = { 0 };
 
   if (wants)
-    map.digest = ++world->last_map;
-  ash_expert_change_start (&world->changes[c], world->now, wants ? &map : NULL);
+    map.digest = ++sim->last_map;
+  ash_expert_change_start (&sim->changes[c], sim->now, wants ? &map : NULL);
 }
 
 static void
-start_change (struct world *world, int c)
+start_change (struct sim *sim, int c)
 {
-  world->sender = c;
-  begin_change (world, c, pick (world, 4) != 0);
+  sim->sender = c;
+  begin_change (sim, c, random_below (sim, 4) != 0);
 }
 
 static void
-tick (struct world *world, int c)
+tick (struct sim *sim, int c)
 {
-  enum ash_expert_phase before = world->changes[c].phase;
+  enum ash_expert_phase before = sim->changes[c].phase;
 
-  world->sender = c;
-  ash_expert_change_tick (&world->changes[c], world->now);
-  totals[TOTAL_FAILED] +=
-      before != ASH_EXPERT_FAILED && world->changes[c].phase == ASH_EXPERT_FAILED;
+  sim->sender = c;
+  ash_expert_change_tick (&sim->changes[c], sim->now);
+  totals[TOTAL_FAILED] += before != ASH_EXPERT_FAILED && sim->changes[c].phase == ASH_EXPERT_FAILED;
 }
 
 static void
-step (struct world *world)
+step (struct sim *sim)
 {
-  int c = (int) pick (world, COORDINATORS);
-  int r = (int) pick (world, RANKS);
-  uint32_t choice = pick (world, 100);
+  int c = (int) random_below (sim, COORDINATORS);
+  int r = (int) random_below (sim, RANKS);
+  uint32_t choice = random_below (sim, 100);
 
-  if (world->guarded && choice < 25)
-    deliver_to_some_engine (world);
+  if (sim->guarded && choice < 25)
+    deliver_to_some_engine (sim);
   else if (choice < 60)
-    deliver_one (world);
+    deliver_one (sim);
   else if (choice < 80)
-    begin_step (world, r);
+    begin_step (sim, r);
   else if (choice < 90)
     {
-      advance_time (world, pick (world, 60));
-      tick (world, c);
+      advance_time (sim, random_below (sim, 60));
+      tick (sim, c);
     }
   else if (choice < 97)
     {
-      if (!ash_expert_change_running (&world->changes[c]))
-        start_change (world, c);
+      if (!ash_expert_change_running (&sim->changes[c]))
+        start_change (sim, c);
     }
   else if (choice < 98)
-    restart_coordinator (world, c);
+    restart_coordinator (sim, c);
   else if (choice < 99)
-    start_change (world, c); /* abandons the current change and begins another */
-  else if (pick (world, 4) == 0)
-    replace_rank (world, r);
-  else if (world->guarded)
-    restart_agent (world, r);
+    start_change (sim, c); /* abandons the current change and begins another */
+  else if (random_below (sim, 4) == 0)
+    replace_rank (sim, r);
+  else if (sim->guarded)
+    restart_agent (sim, r);
 }
 
-/* ---- the end: one coordinator, and nothing goes wrong any more ---- */
+/* ---- end of the schedule: one coordinator, no more faults ---- */
 
 static void
-finish_schedule (struct world *world)
+finish_schedule (struct sim *sim)
 {
-  uint64_t before = world->ranks[0].begun;
+  uint64_t before = sim->ranks[0].begun;
 
-  world->changes[0].phase = ASH_EXPERT_IDLE;
-  for (int i = 0; i < FINAL_ROUNDS && !world->violation; i++)
+  sim->changes[0].phase = ASH_EXPERT_IDLE;
+  for (int i = 0; i < FINAL_ROUNDS && !sim->violation; i++)
     {
-      if (world->changes[0].phase != ASH_EXPERT_DONE &&
-          !ash_expert_change_running (&world->changes[0]))
+      if (sim->changes[0].phase != ASH_EXPERT_DONE && !ash_expert_change_running (&sim->changes[0]))
         {
-          world->sender = 0;
-          begin_change (world, 0, true);
+          sim->sender = 0;
+          begin_change (sim, 0, true);
         }
-      while (world->frame_count || world->engine_order_count)
+      while (sim->frame_count || sim->engine_order_count)
         {
-          deliver_one (world);
-          deliver_to_some_engine (world);
+          deliver_one (sim);
+          deliver_to_some_engine (sim);
         }
       for (int r = 0; r < RANKS; r++)
-        begin_step (world, r);
-      advance_time (world, ASH_EXPERT_RESEND_MS);
-      for (int r = 0; r < RANKS && world->guarded; r++)
-        poll_engine (world, r);
-      tick (world, 0);
+        begin_step (sim, r);
+      advance_time (sim, ASH_EXPERT_RESEND_MS);
+      for (int r = 0; r < RANKS && sim->guarded; r++)
+        poll_engine (sim, r);
+      tick (sim, 0);
     }
-  if (world->changes[0].phase != ASH_EXPERT_DONE)
-    fail (world, "the last change did not get through");
+  if (sim->changes[0].phase != ASH_EXPERT_DONE)
+    fail (sim, "the last change did not get through");
   for (int r = 0; r < RANKS; r++)
-    if (world->ranks[r].blank || world->ranks[r].begun < before + 8)
-      fail (world, "a rank stands still");
+    if (sim->ranks[r].blank || sim->ranks[r].begun < before + 8)
+      fail (sim, "a rank stands still");
 }
 
 static const char *
 run_schedule (uint64_t seed, int traced)
 {
-  struct world *world = calloc (1, sizeof *world);
+  struct sim *sim = calloc (1, sizeof *sim);
   const char *violation;
 
-  ash_random_init (&world->random, seed);
-  world->traced = traced != 0;
-  world->last_incarnation = 1;
-  world->last_map = 1;
+  ash_random_init (&sim->random, seed);
+  sim->traced = traced != 0;
+  sim->last_incarnation = 1;
+  sim->last_map = 1;
   for (int r = 0; r < RANKS; r++)
-    ash_expert_rank_init (&world->ranks[r], "g", (uint32_t) r, ++world->last_incarnation, 1);
+    ash_expert_rank_init (&sim->ranks[r], "g", (uint32_t) r, ++sim->last_incarnation, 1);
   for (int c = 0; c < COORDINATORS; c++)
-    restart_coordinator (world, c);
-  world->guarded = seed % 2 == 0;
-  for (int r = 0; r < RANKS && world->guarded; r++)
-    restart_agent (world, r);
-  world->now.ms = ASH_EXPERT_SETTLE_MS;
-  for (int i = 0; i < EVENTS && !world->violation; i++)
-    step (world);
-  world->calm = true;
-  if (!world->violation)
-    finish_schedule (world);
-  violation = world->violation;
-  free (world);
+    restart_coordinator (sim, c);
+  sim->guarded = seed % 2 == 0;
+  for (int r = 0; r < RANKS && sim->guarded; r++)
+    restart_agent (sim, r);
+  sim->now.ms = ASH_EXPERT_SETTLE_MS;
+  for (int i = 0; i < EVENTS && !sim->violation; i++)
+    step (sim);
+  sim->no_faults = true;
+  if (!sim->violation)
+    finish_schedule (sim);
+  violation = sim->violation;
+  free (sim);
   return violation;
 }
 
--- a/test/golden.c
+++ b/test/golden.c
@@ -18,7 +18,7 @@
 #define LINE_BYTES 8192
 #define DOCUMENT_BYTES 65536
 
-struct player
+struct replay
 {
   const char *folder;
   struct session session;
@@ -28,42 +28,42 @@
 };
 
 static void
-play_core (struct player *player, const char *line)
+replay_core (struct replay *replay, const char *line)
 {
   char role[16];
   char box[ASH_NAME_BYTES];
 
   if (sscanf (line, "core %15s %39s", role, box) != 2)
     {
-      player->error = "core entry|agent|rank BOX SEED";
+      replay->error = "core entry|agent|rank BOX SEED";
       return;
     }
   if (strcmp (role, "entry") == 0)
-    player->session.core = SESSION_ENTRY;
+    replay->session.core = SESSION_ENTRY;
   else
-    player->session.core = strcmp (role, "rank") == 0 ? SESSION_RANK : SESSION_AGENT;
-  session_settings (&player->session.settings, box, strcmp (role, "entry") == 0);
+    replay->session.core = strcmp (role, "rank") == 0 ? SESSION_RANK : SESSION_AGENT;
+  session_settings (&replay->session.settings, box, strcmp (role, "entry") == 0);
 }
 
 static void
-play_set (struct player *player, const char *line)
+replay_set (struct replay *replay, const char *line)
 {
   char key[64];
   unsigned value;
 
-  player->error = "no such setting";
+  replay->error = "no such setting";
   if (sscanf (line, "set %63s %u", key, &value) != 2)
     return;
   for (const struct ash_option *option = ash_settings_options; option->key; option++)
     if (strcmp (option->key, key) == 0 && option->type == ASH_OPTION_UINT)
       {
-        *(uint32_t *) (void *) ((char *) &player->session.settings + option->offset) = value;
-        player->error = NULL;
+        *(uint32_t *) (void *) ((char *) &replay->session.settings + option->offset) = value;
+        replay->error = NULL;
       }
 }
 
 static void
-play_config (struct player *player, const char *line)
+replay_config (struct replay *replay, const char *line)
 {
   unsigned revision;
   char name[64];
@@ -72,23 +72,23 @@
   size_t length;
   FILE *file;
 
-  player->error = "config REVISION FILE";
+  replay->error = "config REVISION FILE";
   if (sscanf (line, "config %u %63s", &revision, name) != 2)
     return;
-  snprintf (path, sizeof path, "%s/%s", player->folder, name);
+  snprintf (path, sizeof path, "%s/%s", replay->folder, name);
   file = fopen (path, "rb");
   if (!file)
     return;
   length = fread (text, 1, sizeof text, file);
   fclose (file);
-  player->error = NULL;
-  if (session_offer_config (&player->session, player->session.now, revision, text, length) !=
+  replay->error = NULL;
+  if (session_offer_config (&replay->session, replay->session.now, revision, text, length) !=
       ASH_CONFIG_ACCEPTED)
-    fprintf (player->out, "# not accepted\n");
+    fprintf (replay->out, "# not accepted\n");
 }
 
 static void
-play_message (struct player *player, char *line)
+replay_message (struct replay *replay, char *line)
 {
   struct Ash__Event *event;
   char *text;
@@ -96,18 +96,18 @@
 
   if (text == line || strncmp (text, " < ", 3) != 0)
     {
-      player->error = "not understood";
+      replay->error = "not understood";
       return;
     }
-  event = ash_event_parse (text + 3, &player->error);
+  event = ash_event_parse (text + 3, &replay->error);
   if (!event)
     return;
-  session_deliver (&player->session, (struct ash_time){ ms }, event);
+  session_deliver (&replay->session, (struct ash_time){ ms }, event);
   ash__event__free_unpacked (event, NULL);
 }
 
 static void
-play_line (struct player *player, char *line, uint64_t *seed)
+replay_line (struct replay *replay, char *line, uint64_t *seed)
 {
   const char *word = strrchr (line, ' ');
 
@@ -118,34 +118,34 @@
     return;
   if (strncmp (line, "core ", 5) == 0)
     {
-      play_core (player, line);
+      replay_core (replay, line);
       *seed = word ? strtoull (word, NULL, 10) : 1;
     }
   else if (strncmp (line, "set ", 4) == 0)
-    play_set (player, line);
-  else if (*line && *line != '#' && !player->started)
+    replay_set (replay, line);
+  else if (*line && *line != '#' && !replay->started)
     {
-      session_init (&player->session, *seed, (struct ash_time){ 0 });
-      player->session.transcript = player->out;
-      player->started = true;
+      session_init (&replay->session, *seed, (struct ash_time){ 0 });
+      replay->session.transcript = replay->out;
+      replay->started = true;
     }
   if (strncmp (line, "config ", 7) == 0)
     {
-      fprintf (player->out, "%s\n", line);
-      play_config (player, line);
+      fprintf (replay->out, "%s\n", line);
+      replay_config (replay, line);
     }
   else if (*line >= '0' && *line <= '9')
-    play_message (player, line);
+    replay_message (replay, line);
   else
-    fprintf (player->out, "%s\n", line);
+    fprintf (replay->out, "%s\n", line);
 }
 
 /* @return the transcript of replaying the file, which the caller frees, or NULL if it can't be
  * opened. */
 static char *
-play_file (const char *folder, const char *path)
+replay_file (const char *folder, const char *path)
 {
-  struct player player = { .folder = folder };
+  struct replay replay = { .folder = folder };
   char *actual = NULL;
   size_t actual_bytes = 0;
   static char line[LINE_BYTES];
@@ -155,17 +155,17 @@
 
   if (!file)
     return NULL;
-  player.out = open_memstream (&actual, &actual_bytes);
-  while (!player.error && fgets (line, sizeof line, file))
+  replay.out = open_memstream (&actual, &actual_bytes);
+  while (!replay.error && fgets (line, sizeof line, file))
     {
       number++;
-      play_line (&player, line, &seed);
+      replay_line (&replay, line, &seed);
     }
-  if (player.error)
-    fprintf (stderr, "%s:%u: %s\n", path, number, player.error);
-  if (player.started)
-    session_finish (&player.session);
-  fclose (player.out);
+  if (replay.error)
+    fprintf (stderr, "%s:%u: %s\n", path, number, replay.error);
+  if (replay.started)
+    session_finish (&replay.session);
+  fclose (replay.out);
   fclose (file);
   return actual;
 }
@@ -212,7 +212,7 @@
   bool same;
 
   snprintf (path, sizeof path, "%s/%s", folder, name);
-  actual = play_file (folder, path);
+  actual = replay_file (folder, path);
   expected = read_file (path);
   if (!actual || !expected)
     return false;
--- a/test/map_schedule.c
+++ b/test/map_schedule.c
@@ -63,10 +63,10 @@
   bool is_answer;
   bool is_report;
   bool is_lists;
-  struct ash_time asked; /* when the lists were requested */
+  struct ash_time lists_requested;
   bool unanswered;
   int router;
-  uint32_t incarnation; /* incarnation of the router */
+  uint32_t incarnation; /* of the router */
   uint16_t status;
   struct ash_rank_order order;
   struct ash_rank_report report;
@@ -78,11 +78,11 @@
   uint32_t incarnation;
   bool leads;
   int64_t paused_until_ms;
-  int64_t asked[RANKS];
+  int64_t report_requested_ms[RANKS];
   int64_t lists_requested_ms[RANKS];
 };
 
-struct run
+struct sim
 {
   struct ash_random random;
   int64_t now_ms;
@@ -102,25 +102,25 @@
 };
 
 static bool
-chance (struct run *run, uint32_t percent)
+chance (struct sim *sim, uint32_t percent)
 {
-  return ash_random_below (&run->random, 100) < percent;
+  return ash_random_below (&sim->random, 100) < percent;
 }
 
 static struct ash_time
-now (const struct run *run)
+now (const struct sim *sim)
 {
-  return (struct ash_time){ CLOCK_START_MS + run->now_ms };
+  return (struct ash_time){ CLOCK_START_MS + sim->now_ms };
 }
 
 static void
-enqueue (struct run *run, const struct message *message)
+enqueue (struct sim *sim, const struct message *message)
 {
   for (int i = 0; i < MESSAGES_MAX; i++)
-    if (!run->messages[i].used)
+    if (!sim->messages[i].used)
       {
-        run->messages[i] = *message;
-        run->messages[i].used = true;
+        sim->messages[i] = *message;
+        sim->messages[i].used = true;
         return;
       }
 }
@@ -135,53 +135,53 @@
 };
 static unsigned long totals[TOTAL_COUNT];
 
-/* ---- the group ---- */
+/* ---- ranks of the group ---- */
 
 static uint16_t
-prepare (struct run *run, struct rank *rank, const struct ash_rank_order *order)
+prepare (struct sim *sim, struct rank *rank, const struct ash_rank_order *order)
 {
   if (order->version == rank->prepared)
-    return run->now_ms >= rank->copied_ms ? 200 : 202;
+    return sim->now_ms >= rank->copied_ms ? 200 : 202;
   if (order->version <= rank->last_prepared || rank->armed)
     return 409;
   rank->last_prepared = order->version;
   rank->prepared = order->version;
   rank->copied_ms =
-      run->now_ms + ash_random_below (&run->random, run->slow_percent ? SLOW_COPY_MAX_MS : COPY_MS);
+      sim->now_ms + ash_random_below (&sim->random, sim->slow_percent ? SLOW_COPY_MAX_MS : COPY_MS);
   return 202;
 }
 
 static uint16_t
-arm (struct run *run, struct rank *rank, const struct ash_rank_order *order)
+arm (struct sim *sim, struct rank *rank, const struct ash_rank_order *order)
 {
   if (rank->armed == order->version && rank->armed_step == order->step)
     return 200;
-  if (order->step <= run->step || rank->prepared != order->version || run->now_ms < rank->copied_ms)
+  if (order->step <= sim->step || rank->prepared != order->version || sim->now_ms < rank->copied_ms)
     return 409;
   rank->armed = order->version;
   rank->armed_step = order->step;
-  if (order->step > run->step + ARMED_AHEAD_MAX_STEPS)
-    run->violation = "a rank is armed for a step far ahead";
+  if (order->step > sim->step + ARMED_AHEAD_MAX_STEPS)
+    sim->violation = "a rank is armed for a step far ahead";
   return 202;
 }
 
 static uint16_t
-apply_order (struct run *run, const struct ash_rank_order *order)
+apply_order (struct sim *sim, const struct ash_rank_order *order)
 {
-  struct rank *rank = &run->ranks[order->rank];
+  struct rank *rank = &sim->ranks[order->rank];
 
-  if (order->epoch != run->epoch)
+  if (order->epoch != sim->epoch)
     return 409;
   switch (order->kind)
     {
     case ASH_RANK_PREPARE:
-      return prepare (run, rank, order);
+      return prepare (sim, rank, order);
     case ASH_RANK_ARM:
-      return arm (run, rank, order);
+      return arm (sim, rank, order);
     case ASH_RANK_HOLD:
       if (rank->held == order->step)
         return 200;
-      if (order->step <= run->step || rank->held)
+      if (order->step <= sim->step || rank->held)
         return 409;
       rank->held = order->step;
       return 202;
@@ -201,50 +201,50 @@
 }
 
 static void
-begin_pass (struct run *run)
+begin_pass (struct sim *sim)
 {
-  uint64_t step = run->step + 1;
+  uint64_t step = sim->step + 1;
 
   for (int i = 0; i < RANKS; i++)
-    if (run->ranks[i].held == step)
+    if (sim->ranks[i].held == step)
       return;
-  run->step = step;
-  run->last_pass_ms = run->now_ms;
+  sim->step = step;
+  sim->last_pass_ms = sim->now_ms;
   for (int i = 0; i < RANKS; i++)
-    if (run->ranks[i].armed && run->ranks[i].armed_step == step)
+    if (sim->ranks[i].armed && sim->ranks[i].armed_step == step)
       {
-        run->ranks[i].map = run->ranks[i].armed;
-        run->ranks[i].armed = 0;
+        sim->ranks[i].map = sim->ranks[i].armed;
+        sim->ranks[i].armed = 0;
       }
   for (int i = 1; i < RANKS; i++)
-    if (run->ranks[i].map != run->ranks[0].map)
-      run->violation = "a pass with two maps";
+    if (sim->ranks[i].map != sim->ranks[0].map)
+      sim->violation = "a pass with two maps";
 }
 
 static void
-reform_group (struct run *run)
+reform_group (struct sim *sim)
 {
-  memset (run->ranks, 0, sizeof run->ranks);
-  run->epoch++;
-  run->step = 0;
+  memset (sim->ranks, 0, sizeof sim->ranks);
+  sim->epoch++;
+  sim->step = 0;
 }
 
 static struct ash_rank_report
-report_of (const struct run *run, uint32_t i)
+report_of (const struct sim *sim, uint32_t i)
 {
-  const struct rank *rank = &run->ranks[i];
+  const struct rank *rank = &sim->ranks[i];
   struct ash_rank_report report = {
-    .epoch = run->epoch,
+    .epoch = sim->epoch,
     .rank = i,
     .rank_count = RANKS,
     .active = 1,
-    .step = run->step,
+    .step = sim->step,
     .map = rank->map,
     .armed = rank->armed,
     .held = rank->held,
   };
 
-  if (run->now_ms >= rank->copied_ms)
+  if (sim->now_ms >= rank->copied_ms)
     report.prepared = rank->prepared;
   return report;
 }
@@ -252,68 +252,68 @@
 /* ---- routers ---- */
 
 static void
-send_order (struct run *run, int r, const struct ash_rank_order *order)
+send_order (struct sim *sim, int r, const struct ash_rank_order *order)
 {
   struct message message = {
-    .due_ms = run->now_ms + 1 + ash_random_below (&run->random, 6),
+    .due_ms = sim->now_ms + 1 + ash_random_below (&sim->random, 6),
     .router = r,
-    .incarnation = run->routers[r].incarnation,
+    .incarnation = sim->routers[r].incarnation,
     .order = *order,
   };
 
-  if (run->slow_percent && chance (run, run->slow_percent))
-    message.due_ms += ash_random_below (&run->random, SLOW_ORDER_MAX_MS);
-  if (chance (run, run->loss_percent))
+  if (sim->slow_percent && chance (sim, sim->slow_percent))
+    message.due_ms += ash_random_below (&sim->random, SLOW_ORDER_MAX_MS);
+  if (chance (sim, sim->loss_percent))
     message.unanswered = true;
-  if (chance (run, run->late_percent))
+  if (chance (sim, sim->late_percent))
     {
       message.unanswered = true;
-      message.due_ms += 2000 + ash_random_below (&run->random, 10000);
+      message.due_ms += 2000 + ash_random_below (&sim->random, 10000);
     }
-  enqueue (run, &message);
+  enqueue (sim, &message);
 }
 
 static void
-request_report (struct run *run, int r, uint32_t rank)
+request_report (struct sim *sim, int r, uint32_t rank)
 {
   struct message message = {
     /* The state of now, delivered with the lag of reports. */
-    .due_ms = run->now_ms + LAG_MS + ash_random_below (&run->random, 6),
+    .due_ms = sim->now_ms + LAG_MS + ash_random_below (&sim->random, 6),
     .is_report = true,
     .router = r,
-    .incarnation = run->routers[r].incarnation,
-    .report = report_of (run, rank),
+    .incarnation = sim->routers[r].incarnation,
+    .report = report_of (sim, rank),
   };
 
-  run->routers[r].asked[rank] = run->now_ms;
-  if (!chance (run, run->loss_percent))
-    enqueue (run, &message);
+  sim->routers[r].report_requested_ms[rank] = sim->now_ms;
+  if (!chance (sim, sim->loss_percent))
+    enqueue (sim, &message);
 }
 
 static void
-request_lists (struct run *run, int r, uint32_t rank)
+request_lists (struct sim *sim, int r, uint32_t rank)
 {
   struct message message = {
-    .due_ms = run->now_ms + 1 + ash_random_below (&run->random, 6),
+    .due_ms = sim->now_ms + 1 + ash_random_below (&sim->random, 6),
     .is_lists = true,
-    .asked = now (run),
+    .lists_requested = now (sim),
     .router = r,
-    .incarnation = run->routers[r].incarnation,
+    .incarnation = sim->routers[r].incarnation,
     .report = { .rank = rank },
   };
 
-  run->routers[r].lists_requested_ms[rank] = run->now_ms;
-  if (!chance (run, run->loss_percent))
-    enqueue (run, &message);
+  sim->routers[r].lists_requested_ms[rank] = sim->now_ms;
+  if (!chance (sim, sim->loss_percent))
+    enqueue (sim, &message);
 }
 
 static void
-restart_router (struct run *run, int r)
+restart_router (struct sim *sim, int r)
 {
-  run->routers[r].incarnation++;
-  ash_map_switch_init (&run->routers[r].map_switch, RANKS, LAG_MS, (uint32_t) r);
-  memset (run->routers[r].asked, 0, sizeof run->routers[r].asked);
-  memset (run->routers[r].lists_requested_ms, 0, sizeof run->routers[r].lists_requested_ms);
+  sim->routers[r].incarnation++;
+  ash_map_switch_init (&sim->routers[r].map_switch, RANKS, LAG_MS, (uint32_t) r);
+  memset (sim->routers[r].report_requested_ms, 0, sizeof sim->routers[r].report_requested_ms);
+  memset (sim->routers[r].lists_requested_ms, 0, sizeof sim->routers[r].lists_requested_ms);
 }
 
 static void
@@ -338,132 +338,132 @@
 }
 
 static void
-run_router (struct run *run, int r)
+run_router (struct sim *sim, int r)
 {
   static const uint32_t copy_ms[ASH_LAYER_RANKS_MAX] = { COPY_MS, COPY_MS, COPY_MS, COPY_MS };
-  struct router *router = &run->routers[r];
+  struct router *router = &sim->routers[r];
   struct ash_rank_order orders[ASH_LAYER_RANKS_MAX];
   uint32_t count;
 
   /* A router that no longer leads still finishes a change in which a step is held. */
   if ((!router->leads && router->map_switch.phase < ASH_MAP_HOLD) ||
-      run->now_ms < router->paused_until_ms)
+      sim->now_ms < router->paused_until_ms)
     return;
   /* Streams show the time of a pass earlier than reports show its step. */
-  if (run->step && chance (run, 20))
+  if (sim->step && chance (sim, 20))
     ash_map_switch_set_pass_ms (&router->map_switch, PASS_MS);
   for (uint32_t i = 0; i < RANKS; i++)
-    if (run->now_ms - router->asked[i] > 100 &&
-        ash_map_switch_needs_report (&router->map_switch, now (run), i))
-      request_report (run, r, i);
+    if (sim->now_ms - router->report_requested_ms[i] > 100 &&
+        ash_map_switch_needs_report (&router->map_switch, now (sim), i))
+      request_report (sim, r, i);
   for (uint32_t i = 0; i < RANKS; i++)
-    if (run->now_ms - router->lists_requested_ms[i] > LISTS_RETRY_MS &&
+    if (sim->now_ms - router->lists_requested_ms[i] > LISTS_RETRY_MS &&
         ash_map_switch_needs_lists (&router->map_switch, i))
-      request_lists (run, r, i);
-  if (router->leads && ash_map_switch_ready (&router->map_switch, now (run)) && chance (run, 10))
+      request_lists (sim, r, i);
+  if (router->leads && ash_map_switch_ready (&router->map_switch, now (sim)) && chance (sim, 10))
     ash_map_switch_begin (
-        &router->map_switch, now (run),
-        ash_map_switch_new_version (&router->map_switch, ash_random_next (&run->random)), copy_ms);
+        &router->map_switch, now (sim),
+        ash_map_switch_new_version (&router->map_switch, ash_random_next (&sim->random)), copy_ms);
   /* The router may have to request the map in use first. */
-  if (ash_map_switch_needs_fence (&router->map_switch) && chance (run, 50))
+  if (ash_map_switch_needs_fence (&router->map_switch) && chance (sim, 50))
     ash_map_switch_set_fence (
         &router->map_switch,
-        ash_map_switch_new_version (&router->map_switch, ash_random_next (&run->random)));
-  count = ash_map_switch_orders (&router->map_switch, now (run), orders);
+        ash_map_switch_new_version (&router->map_switch, ash_random_next (&sim->random)));
+  count = ash_map_switch_orders (&router->map_switch, now (sim), orders);
   count_result (router);
   for (uint32_t i = 0; i < count; i++)
-    send_order (run, r, &orders[i]);
+    send_order (sim, r, &orders[i]);
 }
 
 /* Delivers a request for lists to the rank, or its answer to the router. */
 static void
-deliver_lists (struct run *run, struct message *message, bool reaches_router)
+deliver_lists (struct sim *sim, struct message *message, bool reaches_router)
 {
-  struct ash_map_switch *map_switch = &run->routers[message->router].map_switch;
+  struct ash_map_switch *map_switch = &sim->routers[message->router].map_switch;
   const struct ash_rank_report *report = &message->report;
 
   if (!message->is_answer)
     {
-      message->report = report_of (run, report->rank);
+      message->report = report_of (sim, report->rank);
       message->is_answer = true;
-      message->due_ms = run->now_ms + 1 + ash_random_below (&run->random, 5);
-      enqueue (run, message);
+      message->due_ms = sim->now_ms + 1 + ash_random_below (&sim->random, 5);
+      enqueue (sim, message);
     }
   else if (reaches_router)
     {
       ash_map_switch_set_active (map_switch, report->rank, report->epoch, report->map);
       ash_map_switch_set_prepared (map_switch, report->rank, report->epoch, report->prepared,
-                                   message->asked);
+                                   message->lists_requested);
     }
 }
 
 static void
-deliver (struct run *run, struct message *message)
+deliver (struct sim *sim, struct message *message)
 {
   struct message copy = *message;
-  struct router *router = &run->routers[copy.router];
+  struct router *router = &sim->routers[copy.router];
   bool reaches_router =
-      copy.incarnation == router->incarnation && run->now_ms >= router->paused_until_ms;
+      copy.incarnation == router->incarnation && sim->now_ms >= router->paused_until_ms;
 
   message->used = false;
   if (copy.is_lists)
-    deliver_lists (run, &copy, reaches_router);
+    deliver_lists (sim, &copy, reaches_router);
   else if (copy.is_report)
     {
       if (reaches_router)
-        ash_map_switch_report (&router->map_switch, now (run), &copy.report);
+        ash_map_switch_report (&router->map_switch, now (sim), &copy.report);
     }
   else if (copy.is_answer)
     {
       if (reaches_router)
-        ash_map_switch_handle_answer (&router->map_switch, now (run), &copy.order, copy.status);
+        ash_map_switch_handle_answer (&router->map_switch, now (sim), &copy.order, copy.status);
     }
   else
     {
-      copy.status = apply_order (run, &copy.order);
-      if (run->traced)
+      copy.status = apply_order (sim, &copy.order);
+      if (sim->traced)
         printf ("%lld router %d life %u: order %d at rank %u epoch %llu version %llx step %llu: "
                 "%u%s (step now %llu)\n",
-                (long long) run->now_ms, copy.router, copy.incarnation, (int) copy.order.kind,
+                (long long) sim->now_ms, copy.router, copy.incarnation, (int) copy.order.kind,
                 copy.order.rank, (unsigned long long) copy.order.epoch,
                 (unsigned long long) copy.order.version, (unsigned long long) copy.order.step,
-                copy.status, copy.unanswered ? " unanswered" : "", (unsigned long long) run->step);
+                copy.status, copy.unanswered ? " unanswered" : "", (unsigned long long) sim->step);
       copy.is_answer = true;
-      copy.due_ms = run->now_ms + 1 + ash_random_below (&run->random, 5);
+      copy.due_ms = sim->now_ms + 1 + ash_random_below (&sim->random, 5);
       if (!copy.unanswered)
-        enqueue (run, &copy);
+        enqueue (sim, &copy);
     }
 }
 
-/* ---- trouble ---- */
+/* ---- faults ---- */
 
 static void
-inject_fault (struct run *run)
+inject_fault (struct sim *sim)
 {
-  int r = (int) ash_random_below (&run->random, ROUTERS);
-  struct router *router = &run->routers[r];
+  int r = (int) ash_random_below (&sim->random, ROUTERS);
+  struct router *router = &sim->routers[r];
 
-  switch (ash_random_below (&run->random, 5))
+  switch (ash_random_below (&sim->random, 5))
     {
     case 0: /* killed; the other router leads */
-      restart_router (run, r);
+      restart_router (sim, r);
       router->leads = false;
-      run->routers[1 - r].leads = true;
+      sim->routers[1 - r].leads = true;
       break;
     case 1: /* suspended; it loses its state, and the other router leads */
-      if (run->now_ms < router->paused_until_ms)
+      if (sim->now_ms < router->paused_until_ms)
         break;
-      router->paused_until_ms = run->now_ms + 1000 + ash_random_below (&run->random, 3000);
-      restart_router (run, r);
+      router->paused_until_ms = sim->now_ms + 1000 + ash_random_below (&sim->random, 3000);
+      restart_router (sim, r);
       router->leads = false;
-      run->routers[1 - r].leads = true;
+      sim->routers[1 - r].leads = true;
       break;
     case 2: /* this router leads; depending on the seed the other one does too */
       router->leads = true;
-      run->routers[1 - r].leads = run->two_leaders;
+      sim->routers[1 - r].leads = sim->two_leaders;
       break;
     case 3:
-      reform_group (run);
+      reform_group (sim);
       break;
     default:
       break;
@@ -471,68 +471,68 @@
 }
 
 static void
-stop_faults (struct run *run)
+stop_faults (struct sim *sim)
 {
-  run->loss_percent = 0;
-  run->late_percent = 0;
-  run->slow_percent = 0;
-  run->routers[0].leads = true;
-  run->routers[1].leads = false;
+  sim->loss_percent = 0;
+  sim->late_percent = 0;
+  sim->slow_percent = 0;
+  sim->routers[0].leads = true;
+  sim->routers[1].leads = false;
 }
 
 static void
-run_events (struct run *run)
+run_events (struct sim *sim)
 {
-  run->next_pass_ms = ash_random_below (&run->random, FIRST_PASS_MAX_MS);
-  while (run->now_ms < FAULTS_MS + RECOVERY_MS && !run->violation)
+  sim->next_pass_ms = ash_random_below (&sim->random, FIRST_PASS_MAX_MS);
+  while (sim->now_ms < FAULTS_MS + RECOVERY_MS && !sim->violation)
     {
-      run->now_ms += TICK_MS;
-      if (run->now_ms < FAULTS_MS)
+      sim->now_ms += TICK_MS;
+      if (sim->now_ms < FAULTS_MS)
         {
-          if (ash_random_below (&run->random, 400) == 0)
-            inject_fault (run);
+          if (ash_random_below (&sim->random, 400) == 0)
+            inject_fault (sim);
         }
-      else if (run->now_ms < FAULTS_MS + TICK_MS)
-        stop_faults (run);
+      else if (sim->now_ms < FAULTS_MS + TICK_MS)
+        stop_faults (sim);
       for (int i = 0; i < MESSAGES_MAX; i++)
-        if (run->messages[i].used && run->messages[i].due_ms <= run->now_ms)
-          deliver (run, &run->messages[i]);
+        if (sim->messages[i].used && sim->messages[i].due_ms <= sim->now_ms)
+          deliver (sim, &sim->messages[i]);
       for (int r = 0; r < ROUTERS; r++)
-        run_router (run, r);
-      if (run->now_ms >= run->next_pass_ms)
+        run_router (sim, r);
+      if (sim->now_ms >= sim->next_pass_ms)
         {
-          begin_pass (run);
-          run->next_pass_ms = run->now_ms + PASS_MS;
+          begin_pass (sim);
+          sim->next_pass_ms = sim->now_ms + PASS_MS;
         }
       /* Late orders arrive for up to twelve seconds after the faults have ended. */
-      if (run->now_ms > FAULTS_MS + 15000 && run->now_ms - run->last_pass_ms > STALL_MAX_MS)
-        run->violation = "the group stands still";
+      if (sim->now_ms > FAULTS_MS + 15000 && sim->now_ms - sim->last_pass_ms > STALL_MAX_MS)
+        sim->violation = "the group stands still";
     }
 }
 
 static const char *
 run_schedule (uint64_t seed, int traced)
 {
-  struct run *run = calloc (1, sizeof *run);
+  struct sim *sim = calloc (1, sizeof *sim);
   const char *violation;
 
-  if (!run)
+  if (!sim)
     return "no memory";
-  ash_random_init (&run->random, seed);
-  run->traced = traced != 0;
-  run->epoch = 1;
-  run->loss_percent = ash_random_below (&run->random, 25);
-  run->late_percent = ash_random_below (&run->random, 3) ? 0 : ash_random_below (&run->random, 20);
-  run->two_leaders = seed % 4 == 0;
-  run->slow_percent = seed % 3 == 1 ? 1 + ash_random_below (&run->random, 25) : 0;
+  ash_random_init (&sim->random, seed);
+  sim->traced = traced != 0;
+  sim->epoch = 1;
+  sim->loss_percent = ash_random_below (&sim->random, 25);
+  sim->late_percent = ash_random_below (&sim->random, 3) ? 0 : ash_random_below (&sim->random, 20);
+  sim->two_leaders = seed % 4 == 0;
+  sim->slow_percent = seed % 3 == 1 ? 1 + ash_random_below (&sim->random, 25) : 0;
   for (int r = 0; r < ROUTERS; r++)
-    ash_map_switch_init (&run->routers[r].map_switch, RANKS, LAG_MS, (uint32_t) r);
-  run->routers[0].leads = true;
-  run_events (run);
-  violation = run->violation;
+    ash_map_switch_init (&sim->routers[r].map_switch, RANKS, LAG_MS, (uint32_t) r);
+  sim->routers[0].leads = true;
+  run_events (sim);
+  violation = sim->violation;
   fflush (stdout);
-  totals[TOTAL_STEPS] += run->step;
-  free (run);
+  totals[TOTAL_STEPS] += sim->step;
+  free (sim);
   return violation;
 }
 
--- a/test/schedule.c
+++ b/test/schedule.c
@@ -38,8 +38,8 @@
   struct frame *next;
 };
 
-/* A link between an entry and an agent: a queue each way. */
-struct wire
+/* A link between an entry and an agent, with a queue in each direction. */
+struct link
 {
   int e;
   int a;
@@ -102,14 +102,14 @@
   size_t text_bytes;
 };
 
-struct world
+struct sim
 {
   uint64_t seed;
   struct ash_random random;
   struct ash_time now;
   struct process entries[ENTRIES];
   struct process agents[AGENTS];
-  struct wire wires[ENTRIES][AGENTS];
+  struct link links[ENTRIES][AGENTS];
   struct run runs[RUNS_MAX];
   unsigned run_count;
   struct call calls[CALLS_MAX];
@@ -138,27 +138,27 @@
 static const char *const agent_names[AGENTS] = { "a0", "a1" };
 
 static uint32_t
-pick (struct world *world, uint32_t bound)
+random_below (struct sim *sim, uint32_t bound)
 {
-  return ash_random_below (&world->random, bound);
+  return ash_random_below (&sim->random, bound);
 }
 
 static void
-fail (struct world *world, const char *why)
+fail (struct sim *sim, const char *why)
 {
-  if (!world->violation)
-    world->violation = why;
+  if (!sim->violation)
+    sim->violation = why;
 }
 
 /* ---- documents ---- */
 
 static void
-write_document (const struct world *world, unsigned endpoint_set, int64_t since_s, char *text)
+write_document (const struct sim *sim, unsigned endpoint_set, int64_t since_s, char *text)
 {
   char *p = text;
   uint8_t hash[ASH_KEY_HASH_BYTES];
 
-  (void) world;
+  (void) sim;
   ash_key_hash ("key", 3, hash);
   p += sprintf (p,
                 "{\"hall\":[{\"name\":\"h\"}],\"class\":[{\"name\":\"c\"}],"
@@ -188,35 +188,34 @@
 }
 
 static int64_t
-unix_s (const struct world *world)
+unix_s (const struct sim *sim)
 {
-  return UNIX_BASE_S + world->now.ms / 1000;
+  return UNIX_BASE_S + sim->now.ms / 1000;
 }
 
 static char published[2048];
 
 static void
-offer (struct world *world, struct process *process)
+offer (struct sim *sim, struct process *process)
 {
-  session_offer_config (&process->session, world->now, world->revision, published,
-                        strlen (published));
+  session_offer_config (&process->session, sim->now, sim->revision, published, strlen (published));
 }
 
 /* ---- links ---- */
 
 static void
-append (struct wire *wire, struct frame **queue, int64_t sent_ms, const struct Ash__Event *event)
+append (struct link *link, struct frame **queue, int64_t sent_ms, const struct Ash__Event *event)
 {
   struct frame *frame = calloc (1, sizeof *frame);
 
-  frame->session = wire->session;
+  frame->session = link->session;
   frame->sent_ms = sent_ms;
   frame->event = session_copy_event (event);
   DL_APPEND (*queue, frame);
 }
 
 static void
-append_message (struct wire *wire,
+append_message (struct link *link,
                 struct frame **queue,
                 const char *peer,
                 Ash__Event__KindCase kind,
@@ -224,7 +223,7 @@
 {
   struct Ash__Event event = ash_event_of (peer, kind, message);
 
-  append (wire, queue, INT64_MAX, &event);
+  append (link, queue, INT64_MAX, &event);
 }
 
 static void
@@ -237,7 +236,7 @@
 
 /* Drops all frames of the queue from a random one on, then queues LINK_DOWN. */
 static void
-break_queue (struct world *world, struct wire *wire, struct frame **queue, const char *peer)
+break_queue (struct sim *sim, struct link *link, struct frame **queue, const char *peer)
 {
   struct Ash__LinkDown down = ASH__LINK_DOWN__INIT;
   struct frame *frame;
@@ -245,42 +244,42 @@
   unsigned keep;
 
   DL_COUNT (*queue, frame, count);
-  keep = pick (world, count + 1);
+  keep = random_below (sim, count + 1);
   while (count-- > keep)
     drop_frame (queue, (*queue)->prev);
-  append_message (wire, queue, peer, ASH__EVENT__KIND_LINK_DOWN, &down);
+  append_message (link, queue, peer, ASH__EVENT__KIND_LINK_DOWN, &down);
 }
 
 static void
-close_wire (struct world *world, int e, int a)
+close_link (struct sim *sim, int e, int a)
 {
-  struct wire *wire = &world->wires[e][a];
+  struct link *link = &sim->links[e][a];
 
-  if (!wire->open)
+  if (!link->open)
     return;
-  wire->open = false;
-  wire->closed_ms = world->now.ms;
-  break_queue (world, wire, &wire->to_agent, entry_names[e]);
-  break_queue (world, wire, &wire->to_entry, agent_names[a]);
+  link->open = false;
+  link->closed_ms = sim->now.ms;
+  break_queue (sim, link, &link->to_agent, entry_names[e]);
+  break_queue (sim, link, &link->to_entry, agent_names[a]);
 }
 
 static void
-open_wire (struct world *world, int e, int a)
+open_link (struct sim *sim, int e, int a)
 {
-  struct wire *wire = &world->wires[e][a];
+  struct link *link = &sim->links[e][a];
   struct Ash__LinkUp up = ASH__LINK_UP__INIT;
 
-  if (wire->open || !world->entries[e].alive || !world->agents[a].alive ||
-      world->entries[e].paused || world->agents[a].paused)
+  if (link->open || !sim->entries[e].alive || !sim->agents[a].alive || sim->entries[e].paused ||
+      sim->agents[a].paused)
     return;
-  wire->open = true;
-  wire->session++;
+  link->open = true;
+  link->session++;
   up.role = ASH__ROLE__ENTRY;
-  up.incarnation = world->entries[e].incarnation;
-  append_message (wire, &wire->to_agent, entry_names[e], ASH__EVENT__KIND_LINK_UP, &up);
+  up.incarnation = sim->entries[e].incarnation;
+  append_message (link, &link->to_agent, entry_names[e], ASH__EVENT__KIND_LINK_UP, &up);
   up.role = ASH__ROLE__ENDPOINT;
-  up.incarnation = world->agents[a].incarnation;
-  append_message (wire, &wire->to_entry, agent_names[a], ASH__EVENT__KIND_LINK_UP, &up);
+  up.incarnation = sim->agents[a].incarnation;
+  append_message (link, &link->to_entry, agent_names[a], ASH__EVENT__KIND_LINK_UP, &up);
 }
 
 static void
@@ -293,105 +292,105 @@
 /* Whether a side sends on the session that is open now; it may not have noticed yet that an earlier
  * one was closed. */
 static bool
-is_current_link (const struct wire *wire, bool entry_side)
+is_current_link (const struct link *link, bool entry_side)
 {
-  return wire->open && wire->session == (entry_side ? wire->entry_session : wire->agent_session);
+  return link->open && link->session == (entry_side ? link->entry_session : link->agent_session);
 }
 
-/* ---- what cores give out ---- */
+/* ---- output of the cores ---- */
 
 static struct run *
-find_run (struct world *world, int agent, uint64_t number)
+find_run (struct sim *sim, int agent, uint64_t number)
 {
-  for (unsigned i = 0; i < world->run_count; i++)
-    if (world->runs[i].agent == agent && world->runs[i].number == number &&
-        world->runs[i].incarnation == world->agents[agent].incarnation)
-      return &world->runs[i];
+  for (unsigned i = 0; i < sim->run_count; i++)
+    if (sim->runs[i].agent == agent && sim->runs[i].number == number &&
+        sim->runs[i].incarnation == sim->agents[agent].incarnation)
+      return &sim->runs[i];
   return NULL;
 }
 
 static void
-check_run (struct world *world, const struct run *run)
+check_run (struct sim *sim, const struct run *run)
 {
   unsigned runs = 0;
 
-  for (unsigned i = 0; i < world->run_count; i++)
-    runs += !world->runs[i].refused && ash_id_equal (world->runs[i].id, run->id);
+  for (unsigned i = 0; i < sim->run_count; i++)
+    runs += !sim->runs[i].refused && ash_id_equal (sim->runs[i].id, run->id);
   if (run->no_repeat && runs > 1)
-    fail (world, "a request that may not be repeated ran twice");
-  for (unsigned i = 0; i < world->call_count; i++)
+    fail (sim, "a request that may not be repeated ran twice");
+  for (unsigned i = 0; i < sim->call_count; i++)
     {
-      const struct call *call = &world->calls[i];
+      const struct call *call = &sim->calls[i];
 
       if (ash_id_equal (call->id, run->id) && call->ended &&
           call->outcome == ASH__OUTCOME__NOT_RUN && run->attempt <= call->attempt)
-        fail (world, "an attempt ran after it was told not run");
+        fail (sim, "an attempt ran after it was told not run");
     }
 }
 
 static void
-start_run (struct world *world, int agent, const struct Ash__EngineStart *start)
+start_run (struct sim *sim, int agent, const struct Ash__EngineStart *start)
 {
-  struct run *run = &world->runs[world->run_count];
+  struct run *run = &sim->runs[sim->run_count];
 
-  if (world->run_count == RUNS_MAX)
+  if (sim->run_count == RUNS_MAX)
     {
-      fail (world, "more runs than the schedule can make");
+      fail (sim, "more runs than the schedule can make");
       return;
     }
-  if (!ash_time_before (world->now, world->agents[agent].session.agent.stop.answer_deadline))
-    fail (world, "a run begins after a planned stop's last answers");
-  world->run_count++;
+  if (!ash_time_before (sim->now, sim->agents[agent].session.agent.stop.answer_deadline))
+    fail (sim, "a run begins after a planned stop's last answers");
+  sim->run_count++;
   *run = (struct run){
     .agent = agent,
-    .incarnation = world->agents[agent].incarnation,
+    .incarnation = sim->agents[agent].incarnation,
     .number = start->run,
     .id = { start->id_hi, start->id_lo },
-    .serial = world->run_count,
+    .serial = sim->run_count,
     .active = true,
-    .refused = pick (world, 20) == 0,
+    .refused = random_below (sim, 20) == 0,
     .no_repeat = start->no_repeat,
     .attempt = start->body.data[0],
   };
   if (!run->refused)
-    check_run (world, run);
+    check_run (sim, run);
 }
 
 static void
 agent_emitted (void *data, struct session *session, const struct Ash__Event *event)
 {
-  struct world *world = data;
-  int a = session == &world->agents[1].session;
+  struct sim *sim = data;
+  int a = session == &sim->agents[1].session;
   struct Ash__Event copy = *event;
   struct run *run;
 
   if (event->kind_case == ASH__EVENT__KIND_ENGINE_START)
     {
-      start_run (world, a, event->engine_start);
+      start_run (sim, a, event->engine_start);
       return;
     }
   if (event->kind_case == ASH__EVENT__KIND_ENGINE_CANCEL)
     {
-      run = find_run (world, a, event->engine_cancel->run);
+      run = find_run (sim, a, event->engine_cancel->run);
       if (run)
         run->active = false;
       return;
     }
   copy.peer = ash_text (agent_names[a]);
   for (int e = 0; e < ENTRIES; e++)
-    if (strcmp (event->peer, entry_names[e]) == 0 && is_current_link (&world->wires[e][a], false))
-      append (&world->wires[e][a], &world->wires[e][a].to_entry, world->now.ms, &copy);
+    if (strcmp (event->peer, entry_names[e]) == 0 && is_current_link (&sim->links[e][a], false))
+      append (&sim->links[e][a], &sim->links[e][a].to_entry, sim->now.ms, &copy);
 }
 
 /* Fills in the piece of output that run @p serial of the request generates at that index. */
 static void
-piece_text (struct ash_id id, unsigned serial, unsigned index, char text[64])
+format_piece (struct ash_id id, unsigned serial, unsigned index, char text[64])
 {
   snprintf (text, 64, "%08llx/%u/%u;", (unsigned long long) (id.lo & 0xffffffff), serial, index);
 }
 
 static void
-check_text (struct world *world, struct call *call, bool whole)
+check_text (struct sim *sim, struct call *call, bool whole)
 {
   char expected[PIECES * 64] = "";
   char piece[64];
@@ -401,33 +400,33 @@
     return;
   if (sscanf (call->text, "%*8[0-9a-f]/%u/", &serial) != 1)
     {
-      fail (world, "an answer that no engine generated");
+      fail (sim, "an answer that no engine generated");
       return;
     }
   for (unsigned i = 0; i < PIECES; i++)
     {
-      piece_text (call->id, serial, i, piece);
+      format_piece (call->id, serial, i, piece);
       strcat (expected, piece);
     }
   if (whole && strcmp (expected, call->text) != 0)
-    fail (world, "a whole answer that is not what the engine generated");
+    fail (sim, "a whole answer that is not what the engine generated");
   if (!whole && strncmp (expected, call->text, call->text_bytes) != 0)
-    fail (world, "bytes that are not of this answer");
+    fail (sim, "bytes that are not of this answer");
 }
 
 static void
-end_call (struct world *world, struct call *call, int outcome)
+end_call (struct sim *sim, struct call *call, int outcome)
 {
   unsigned runs = 0;
   bool covered_attempt_ran = false;
 
   if (call->ended)
-    fail (world, "two final answers to one call");
+    fail (sim, "two final answers to one call");
   call->ended = true;
   call->outcome = outcome;
-  for (unsigned i = 0; i < world->run_count; i++)
+  for (unsigned i = 0; i < sim->run_count; i++)
     {
-      const struct run *run = &world->runs[i];
+      const struct run *run = &sim->runs[i];
 
       if (run->refused || !ash_id_equal (run->id, call->id))
         continue;
@@ -435,86 +434,86 @@
       covered_attempt_ran |= run->attempt <= call->attempt;
     }
   if (outcome == ASH__OUTCOME__RAN && runs == 0)
-    fail (world, "told that it ran, and it did not");
+    fail (sim, "told that it ran, and it did not");
   if (outcome != ASH__OUTCOME__NOT_RUN)
     return;
   if (covered_attempt_ran)
-    fail (world, "told not run, but it ran");
+    fail (sim, "told not run, but it ran");
 }
 
 static void
-handle_reply (struct world *world, struct call *call, const struct Ash__Reply *reply)
+handle_reply (struct sim *sim, struct call *call, const struct Ash__Reply *reply)
 {
   struct ash_id id = { reply->id_hi, reply->id_lo };
 
   if (call->key < 0)
     call->id = id;
   else if (reply->reason == ASH__REASON__REASON_NONE && !ash_id_equal (id, call->id))
-    fail (world, "another request's answer");
+    fail (sim, "another request's answer");
   if (!reply->final)
     return;
   if (reply->reason == ASH__REASON__REASON_NONE)
     {
       memcpy (call->text, reply->body.data, reply->body.len);
       call->text_bytes = reply->body.len;
-      check_text (world, call, true);
+      check_text (sim, call, true);
     }
-  end_call (world, call, (int) reply->outcome);
+  end_call (sim, call, (int) reply->outcome);
 }
 
 static void
-remember_submit (struct world *world, struct wire *wire, const struct Ash__Event *event)
+remember_submit (struct sim *sim, struct link *link, const struct Ash__Event *event)
 {
-  ash__event__free_unpacked (wire->last_submit, NULL);
-  wire->last_submit = session_copy_event (event);
-  wire->last_submit_ms = world->now.ms;
+  ash__event__free_unpacked (link->last_submit, NULL);
+  link->last_submit = session_copy_event (event);
+  link->last_submit_ms = sim->now.ms;
 }
 
 static void
 entry_emitted (void *data, struct session *session, const struct Ash__Event *event)
 {
-  struct world *world = data;
-  int e = session == &world->entries[1].session;
+  struct sim *sim = data;
+  int e = session == &sim->entries[1].session;
   struct Ash__Event copy = *event;
   struct call *call;
 
   switch (event->kind_case)
     {
     case ASH__EVENT__KIND_REPLY:
-      handle_reply (world, &world->calls[event->reply->call - 1], event->reply);
+      handle_reply (sim, &sim->calls[event->reply->call - 1], event->reply);
       return;
     case ASH__EVENT__KIND_REPLY_DATA:
-      call = &world->calls[event->reply_data->call - 1];
+      call = &sim->calls[event->reply_data->call - 1];
       memcpy (call->text + call->text_bytes, event->reply_data->bytes.data,
               event->reply_data->bytes.len);
       call->text_bytes += event->reply_data->bytes.len;
-      check_text (world, call, false);
+      check_text (sim, call, false);
       return;
     case ASH__EVENT__KIND_REPLY_END:
-      call = &world->calls[event->reply_end->call - 1];
+      call = &sim->calls[event->reply_end->call - 1];
       if (event->reply_end->whole)
-        check_text (world, call, true);
-      end_call (world, call, (int) event->reply_end->outcome);
+        check_text (sim, call, true);
+      end_call (sim, call, (int) event->reply_end->outcome);
       return;
     default:
       break;
     }
   copy.peer = ash_text (entry_names[e]);
   for (int a = 0; a < AGENTS; a++)
-    if (strcmp (event->peer, agent_names[a]) == 0 && is_current_link (&world->wires[e][a], true))
+    if (strcmp (event->peer, agent_names[a]) == 0 && is_current_link (&sim->links[e][a], true))
       {
-        struct wire *wire = &world->wires[e][a];
+        struct link *link = &sim->links[e][a];
 
-        append (wire, &wire->to_agent, world->now.ms, &copy);
+        append (link, &link->to_agent, sim->now.ms, &copy);
         if (event->kind_case == ASH__EVENT__KIND_SUBMIT)
-          remember_submit (world, wire, &copy);
+          remember_submit (sim, link, &copy);
       }
 }
 
 /* ---- processes ---- */
 
 static void
-start_process (struct world *world, struct process *process, const char *name, bool is_entry)
+start_process (struct sim *sim, struct process *process, const char *name, bool is_entry)
 {
   struct session *session = &process->session;
   struct ash_settings *settings = &session->settings;
@@ -530,20 +529,20 @@
   settings->retry_after_ms = 10;
   settings->address_keep_ms = 100;
   settings->grace_ms = GRACE_MS;
-  process->incarnation = ++world->last_incarnation * 1000 + 7;
+  process->incarnation = ++sim->last_incarnation * 1000 + 7;
   process->alive = true;
   process->paused = false;
   process->stop_ms = 0;
   session->core = is_entry ? SESSION_ENTRY : SESSION_AGENT;
   session->emitted = is_entry ? entry_emitted : agent_emitted;
-  session->data = world;
+  session->data = sim;
   session->transcript =
-      world->record ? open_memstream (&process->transcript, &process->transcript_bytes) : NULL;
-  if (world->record)
+      sim->record ? open_memstream (&process->transcript, &process->transcript_bytes) : NULL;
+  if (sim->record)
     fprintf (session->transcript, "core %s %s %llu\n", is_entry ? "entry" : "agent", name,
              (unsigned long long) process->incarnation);
-  session_init (session, process->incarnation, world->now);
-  offer (world, process);
+  session_init (session, process->incarnation, sim->now);
+  offer (sim, process);
 }
 
 static void
@@ -562,53 +561,53 @@
 }
 
 static void
-kill_entry (struct world *world, int e)
+kill_entry (struct sim *sim, int e)
 {
   for (int a = 0; a < AGENTS; a++)
     {
-      close_wire (world, e, a);
-      clear_queue (&world->wires[e][a].to_entry);
-      world->wires[e][a].entry_session = 0;
+      close_link (sim, e, a);
+      clear_queue (&sim->links[e][a].to_entry);
+      sim->links[e][a].entry_session = 0;
     }
-  end_process (&world->entries[e]);
-  for (unsigned i = 0; i < world->call_count; i++)
-    if (world->calls[i].entry == e && !world->calls[i].ended)
-      world->calls[i].lost = true;
-  start_process (world, &world->entries[e], entry_names[e], true);
+  end_process (&sim->entries[e]);
+  for (unsigned i = 0; i < sim->call_count; i++)
+    if (sim->calls[i].entry == e && !sim->calls[i].ended)
+      sim->calls[i].lost = true;
+  start_process (sim, &sim->entries[e], entry_names[e], true);
 }
 
 static void
-kill_agent (struct world *world, int a)
+kill_agent (struct sim *sim, int a)
 {
   for (int e = 0; e < ENTRIES; e++)
     {
-      close_wire (world, e, a);
-      clear_queue (&world->wires[e][a].to_agent);
-      world->wires[e][a].agent_session = 0;
+      close_link (sim, e, a);
+      clear_queue (&sim->links[e][a].to_agent);
+      sim->links[e][a].agent_session = 0;
     }
-  end_process (&world->agents[a]);
-  for (unsigned i = 0; i < world->run_count; i++)
-    if (world->runs[i].agent == a)
-      world->runs[i].active = false;
-  start_process (world, &world->agents[a], agent_names[a], false);
+  end_process (&sim->agents[a]);
+  for (unsigned i = 0; i < sim->run_count; i++)
+    if (sim->runs[i].agent == a)
+      sim->runs[i].active = false;
+  start_process (sim, &sim->agents[a], agent_names[a], false);
 }
 
 /* Starts a planned stop: the process finishes the work that it has, and takes no more. */
 static void
-begin_stop (struct world *world, struct process *process)
+begin_stop (struct sim *sim, struct process *process)
 {
   struct Ash__Stop stop = ASH__STOP__INIT;
 
   if (!process->alive || process->paused || process->stop_ms)
     return;
-  process->stop_ms = world->now.ms;
-  session_deliver_message (&process->session, world->now, "", ASH__EVENT__KIND_STOP, &stop);
+  process->stop_ms = sim->now.ms;
+  session_deliver_message (&process->session, sim->now, "", ASH__EVENT__KIND_STOP, &stop);
 }
 
 /* @return whether a stopping process exits now. It may exit when it is idle, and must be idle when
  * its grace time is over. */
 static bool
-is_stopped (struct world *world, const struct process *process)
+is_stopped (struct sim *sim, const struct process *process)
 {
   const struct session *session = &process->session;
   bool idle = session->core == SESSION_ENTRY ? ash_entry_idle (&session->entry)
@@ -616,41 +615,41 @@
 
   if (!process->stop_ms || process->paused)
     return false;
-  if (!idle && world->now.ms - process->stop_ms >= GRACE_MS)
-    fail (world, "a planned stop that outlasts its grace");
-  return idle && pick (world, 2);
+  if (!idle && sim->now.ms - process->stop_ms >= GRACE_MS)
+    fail (sim, "a planned stop that outlasts its grace");
+  return idle && random_below (sim, 2);
 }
 
 static void
-end_stopped_processes (struct world *world)
+end_stopped_processes (struct sim *sim)
 {
   for (int e = 0; e < ENTRIES; e++)
-    if (is_stopped (world, &world->entries[e]))
-      kill_entry (world, e);
+    if (is_stopped (sim, &sim->entries[e]))
+      kill_entry (sim, e);
   for (int a = 0; a < AGENTS; a++)
-    if (is_stopped (world, &world->agents[a]))
-      kill_agent (world, a);
+    if (is_stopped (sim, &sim->agents[a]))
+      kill_agent (sim, a);
 }
 
 /* Resumes a suspended process: it finds that all its links have been silent for too long, and
  * closes them. */
 static void
-resume_process (struct world *world, struct process *process, int index, bool is_entry)
+resume_process (struct sim *sim, struct process *process, int index, bool is_entry)
 {
   struct Ash__LinkDown down = ASH__LINK_DOWN__INIT;
 
   process->paused = false;
-  process->resumed_ms = world->now.ms;
+  process->resumed_ms = sim->now.ms;
   for (int other = 0; other < 2; other++)
     {
       int e = is_entry ? index : other;
       int a = is_entry ? other : index;
-      struct wire *wire = &world->wires[e][a];
+      struct link *link = &sim->links[e][a];
 
-      close_wire (world, e, a);
-      clear_queue (is_entry ? &wire->to_entry : &wire->to_agent);
-      *(is_entry ? &wire->entry_session : &wire->agent_session) = 0;
-      session_deliver_message (&process->session, world->now,
+      close_link (sim, e, a);
+      clear_queue (is_entry ? &link->to_entry : &link->to_agent);
+      *(is_entry ? &link->entry_session : &link->agent_session) = 0;
+      session_deliver_message (&process->session, sim->now,
                                is_entry ? agent_names[other] : entry_names[other],
                                ASH__EVENT__KIND_LINK_DOWN, &down);
     }
@@ -659,39 +658,39 @@
 /* ---- callers ---- */
 
 static void
-submit (struct world *world)
+submit_call (struct sim *sim)
 {
-  struct call *call = &world->calls[world->call_count];
-  int kind = (int) pick (world, 4);
+  struct call *call = &sim->calls[sim->call_count];
+  int kind = (int) random_below (sim, 4);
 
-  if (world->call_count == CALLS_MAX)
+  if (sim->call_count == CALLS_MAX)
     return;
-  world->call_count++;
+  sim->call_count++;
   *call = (struct call){
-    .entry = (int) pick (world, ENTRIES),
-    .key = kind < 2 ? (int) pick (world, KEYS) : -1,
+    .entry = (int) random_below (sim, ENTRIES),
+    .key = kind < 2 ? (int) random_below (sim, KEYS) : -1,
     .no_repeat = kind < 3,
-    .stream = pick (world, 2),
-    .sent_ms = world->now.ms,
-    .deadline_ms = 200 + pick (world, 1500),
+    .stream = random_below (sim, 2),
+    .sent_ms = sim->now.ms,
+    .deadline_ms = 200 + random_below (sim, 1500),
   };
-  call->entry_incarnation = world->entries[call->entry].incarnation;
+  call->entry_incarnation = sim->entries[call->entry].incarnation;
   if (call->key >= 0)
     {
       char key[16];
 
-      call->attempt = ++world->key_attempts[call->key];
-      call->stated_attempt = pick (world, 8) ? call->attempt : 0;
+      call->attempt = ++sim->key_attempts[call->key];
+      call->stated_attempt = random_below (sim, 8) ? call->attempt : 0;
       snprintf (key, sizeof key, "k%d", call->key);
       call->id = ash_id_from_key ("a", "s", key);
     }
 }
 
 static void
-deliver_call (struct world *world, unsigned index)
+deliver_call (struct sim *sim, unsigned index)
 {
-  struct call *call = &world->calls[index];
-  struct process *process = &world->entries[call->entry];
+  struct call *call = &sim->calls[index];
+  struct process *process = &sim->entries[call->entry];
   struct Ash__Call message = ASH__CALL__INIT;
   uint8_t hash[ASH_KEY_HASH_BYTES];
   /* Passed through to the engine: the number of the attempt, stated or not. */
@@ -716,26 +715,26 @@
   message.stream = call->stream;
   message.caller_attempt = call->stated_attempt;
   message.deadline_ms = (uint32_t) call->deadline_ms;
-  message.unix_s = unix_s (world);
-  message.may_be_old = process->resumed_ms && world->now.ms - process->resumed_ms < 50;
+  message.unix_s = unix_s (sim);
+  message.may_be_old = process->resumed_ms && sim->now.ms - process->resumed_ms < 50;
   if (call->key >= 0)
     {
       snprintf (key, sizeof key, "k%d", call->key);
       message.idempotency_key = key;
     }
-  session_deliver_message (&process->session, world->now, "", ASH__EVENT__KIND_CALL, &message);
+  session_deliver_message (&process->session, sim->now, "", ASH__EVENT__KIND_CALL, &message);
 }
 
 /* ---- steps ---- */
 
 static void
-deliver_frame (struct world *world, struct wire *wire, bool to_agent)
+deliver_frame (struct sim *sim, struct link *link, bool to_agent)
 {
-  struct frame **queue = to_agent ? &wire->to_agent : &wire->to_entry;
-  unsigned *session = to_agent ? &wire->agent_session : &wire->entry_session;
-  struct process *process = to_agent ? &world->agents[wire->a] : &world->entries[wire->e];
+  struct frame **queue = to_agent ? &link->to_agent : &link->to_entry;
+  unsigned *session = to_agent ? &link->agent_session : &link->entry_session;
+  struct process *process = to_agent ? &sim->agents[link->a] : &sim->entries[link->e];
   struct frame *frame = *queue;
-  bool doubled = pick (world, 12) == 0;
+  bool doubled = random_below (sim, 12) == 0;
   Ash__Event__KindCase kind;
 
   if (!frame || !process->alive || process->paused)
@@ -746,40 +745,40 @@
   else if (kind == ASH__EVENT__KIND_LINK_DOWN)
     *session = 0;
   /* A frame that is older than the silence limit is not processed; the link is closed instead. */
-  if (frame->sent_ms != INT64_MAX && world->now.ms - frame->sent_ms > SILENCE_MS)
+  if (frame->sent_ms != INT64_MAX && sim->now.ms - frame->sent_ms > SILENCE_MS)
     {
       drop_frame (queue, frame);
-      close_wire (world, wire->e, wire->a);
+      close_link (sim, link->e, link->a);
       return;
     }
   /* Sometimes a DATA frame is lost; the receiver detects the gap with the next one. */
-  if (kind == ASH__EVENT__KIND_DATA && pick (world, 30) == 0)
+  if (kind == ASH__EVENT__KIND_DATA && random_below (sim, 30) == 0)
     {
       drop_frame (queue, frame);
       return;
     }
-  session_deliver (&process->session, world->now, frame->event);
+  session_deliver (&process->session, sim->now, frame->event);
   if (doubled && kind != ASH__EVENT__KIND_LINK_UP && kind != ASH__EVENT__KIND_LINK_DOWN)
-    session_deliver (&process->session, world->now, frame->event);
+    session_deliver (&process->session, sim->now, frame->event);
   drop_frame (queue, frame);
 }
 
 /* Sends the last SUBMIT again, possibly to a later incarnation than the one it was addressed to. */
 static void
-repeat_submit (struct world *world, struct wire *wire)
+repeat_submit (struct sim *sim, struct link *link)
 {
-  if (wire->last_submit && wire->open && world->now.ms - wire->last_submit_ms <= SILENCE_MS)
-    append (wire, &wire->to_agent, wire->last_submit_ms, wire->last_submit);
+  if (link->last_submit && link->open && sim->now.ms - link->last_submit_ms <= SILENCE_MS)
+    append (link, &link->to_agent, link->last_submit_ms, link->last_submit);
 }
 
 static struct run *
-pick_active (struct world *world)
+pick_active (struct sim *sim)
 {
-  uint32_t start = pick (world, world->run_count);
+  uint32_t start = random_below (sim, sim->run_count);
 
-  for (unsigned i = 0; i < world->run_count; i++)
+  for (unsigned i = 0; i < sim->run_count; i++)
     {
-      struct run *run = &world->runs[(start + i) % world->run_count];
+      struct run *run = &sim->runs[(start + i) % sim->run_count];
 
       if (run->active)
         return run;
@@ -788,280 +787,280 @@
 }
 
 static void
-step_engine (struct world *world)
+step_engine (struct sim *sim)
 {
-  struct run *run = pick_active (world);
+  struct run *run = pick_active (sim);
   struct session *session;
   struct Ash__EngineHead head = ASH__ENGINE_HEAD__INIT;
   struct Ash__EngineData data = ASH__ENGINE_DATA__INIT;
   struct Ash__EngineEnd end = ASH__ENGINE_END__INIT;
   char text[64];
 
-  if (!run || world->agents[run->agent].paused)
+  if (!run || sim->agents[run->agent].paused)
     return;
-  session = &world->agents[run->agent].session;
+  session = &sim->agents[run->agent].session;
   head.run = data.run = end.run = run->number;
   if (run->refused || run->step > PIECES)
     {
       run->active = false;
       end.whole = !run->refused;
       end.not_started = run->refused;
-      session_deliver_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_END, &end);
+      session_deliver_message (session, sim->now, "", ASH__EVENT__KIND_ENGINE_END, &end);
     }
   else if (run->step++ == 0)
     {
       head.status = 200;
-      session_deliver_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_HEAD, &head);
+      session_deliver_message (session, sim->now, "", ASH__EVENT__KIND_ENGINE_HEAD, &head);
     }
-  else if (pick (world, 25) == 0)
+  else if (random_below (sim, 25) == 0)
     {
       run->active = false;
-      session_deliver_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_END, &end);
+      session_deliver_message (session, sim->now, "", ASH__EVENT__KIND_ENGINE_END, &end);
     }
   else
     {
-      piece_text (run->id, run->serial, run->step - 2, text);
+      format_piece (run->id, run->serial, run->step - 2, text);
       data.bytes.data = (uint8_t *) text;
       data.bytes.len = strlen (text);
-      session_deliver_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_DATA, &data);
+      session_deliver_message (session, sim->now, "", ASH__EVENT__KIND_ENGINE_DATA, &data);
     }
 }
 
 static void
-tick (struct world *world, struct process *process)
+tick (struct sim *sim, struct process *process)
 {
   struct Ash__Tick message = ASH__TICK__INIT;
 
   if (process->alive && !process->paused)
-    session_deliver_message (&process->session, world->now, "", ASH__EVENT__KIND_TICK, &message);
+    session_deliver_message (&process->session, sim->now, "", ASH__EVENT__KIND_TICK, &message);
 }
 
-/* Handles late frames of closed links after the time was advanced: a frame can't arrive later than
- * the silence limit, so all but the last of each queue (LINK_DOWN) are dropped, and that is
- * delivered. */
+/* Drops or delivers the frames of closed links after the time has advanced: a frame can't arrive
+ * later than the silence limit. All but the last frame of each queue are dropped; the last one,
+ * LINK_DOWN, is delivered. */
 static void
-settle_late_frames (struct world *world)
+settle_late_frames (struct sim *sim)
 {
   for (int e = 0; e < ENTRIES; e++)
     for (int a = 0; a < AGENTS; a++)
       {
-        struct wire *wire = &world->wires[e][a];
+        struct link *link = &sim->links[e][a];
 
-        if (wire->open || world->now.ms - wire->closed_ms <= SILENCE_MS)
+        if (link->open || sim->now.ms - link->closed_ms <= SILENCE_MS)
           continue;
-        while (wire->to_agent && wire->to_agent != wire->to_agent->prev)
-          drop_frame (&wire->to_agent, wire->to_agent);
-        while (wire->to_entry && wire->to_entry != wire->to_entry->prev)
-          drop_frame (&wire->to_entry, wire->to_entry);
-        deliver_frame (world, wire, true);
-        deliver_frame (world, wire, false);
+        while (link->to_agent && link->to_agent != link->to_agent->prev)
+          drop_frame (&link->to_agent, link->to_agent);
+        while (link->to_entry && link->to_entry != link->to_entry->prev)
+          drop_frame (&link->to_entry, link->to_entry);
+        deliver_frame (sim, link, true);
+        deliver_frame (sim, link, false);
       }
 }
 
 /* Delivers all frames of open links, or closes the link. */
 static void
-deliver_in_time (struct world *world)
+deliver_in_time (struct sim *sim)
 {
   for (int e = 0; e < ENTRIES; e++)
     for (int a = 0; a < AGENTS; a++)
       {
-        struct wire *wire = &world->wires[e][a];
+        struct link *link = &sim->links[e][a];
 
-        if (!wire->open)
+        if (!link->open)
           continue;
-        if (pick (world, 16) == 0 || world->entries[e].paused || world->agents[a].paused)
+        if (random_below (sim, 16) == 0 || sim->entries[e].paused || sim->agents[a].paused)
           {
-            close_wire (world, e, a);
+            close_link (sim, e, a);
             continue;
           }
-        for (int i = 0; i < FRAMES_MAX && (wire->to_agent || wire->to_entry); i++)
+        for (int i = 0; i < FRAMES_MAX && (link->to_agent || link->to_entry); i++)
           {
-            deliver_frame (world, wire, true);
-            deliver_frame (world, wire, false);
+            deliver_frame (sim, link, true);
+            deliver_frame (sim, link, false);
           }
       }
 }
 
 static void
-advance (struct world *world)
+advance (struct sim *sim)
 {
   static const int64_t spans_ms[] = { 1, 5, 20, 60, 150, 400, 1200 };
-  int64_t span_ms = spans_ms[pick (world, sizeof spans_ms / sizeof spans_ms[0])];
+  int64_t span_ms = spans_ms[random_below (sim, sizeof spans_ms / sizeof spans_ms[0])];
 
-  for (unsigned i = 0; i < world->call_count; i++)
-    if (world->now.ms + span_ms - world->calls[i].sent_ms >= GUARD_MS)
-      deliver_call (world, i);
+  for (unsigned i = 0; i < sim->call_count; i++)
+    if (sim->now.ms + span_ms - sim->calls[i].sent_ms >= GUARD_MS)
+      deliver_call (sim, i);
   if (span_ms >= SILENCE_MS)
-    deliver_in_time (world);
-  world->now.ms += span_ms;
-  settle_late_frames (world);
+    deliver_in_time (sim);
+  sim->now.ms += span_ms;
+  settle_late_frames (sim);
   for (int i = 0; i < ENTRIES; i++)
-    tick (world, &world->entries[i]);
+    tick (sim, &sim->entries[i]);
   for (int i = 0; i < AGENTS; i++)
-    tick (world, &world->agents[i]);
-  end_stopped_processes (world);
+    tick (sim, &sim->agents[i]);
+  end_stopped_processes (sim);
 }
 
 static void
-publish (struct world *world)
+publish (struct sim *sim)
 {
-  unsigned endpoint_set = 1 + pick (world, 3);
+  unsigned endpoint_set = 1 + random_below (sim, 3);
 
-  if (endpoint_set == world->endpoint_set)
+  if (endpoint_set == sim->endpoint_set)
     return;
-  world->endpoint_set = endpoint_set;
-  world->revision++;
-  write_document (world, endpoint_set, unix_s (world), published);
+  sim->endpoint_set = endpoint_set;
+  sim->revision++;
+  write_document (sim, endpoint_set, unix_s (sim), published);
 }
 
 static void
-step (struct world *world)
+step (struct sim *sim)
 {
-  int e = (int) pick (world, ENTRIES);
-  int a = (int) pick (world, AGENTS);
-  uint32_t choice = pick (world, 100);
+  int e = (int) random_below (sim, ENTRIES);
+  int a = (int) random_below (sim, AGENTS);
+  uint32_t choice = random_below (sim, 100);
 
   if (choice < 8)
-    submit (world);
-  else if (choice < 22 && world->call_count)
-    deliver_call (world, pick (world, world->call_count));
+    submit_call (sim);
+  else if (choice < 22 && sim->call_count)
+    deliver_call (sim, random_below (sim, sim->call_count));
   else if (choice < 40)
-    deliver_frame (world, &world->wires[e][a], true);
+    deliver_frame (sim, &sim->links[e][a], true);
   else if (choice < 56)
-    deliver_frame (world, &world->wires[e][a], false);
+    deliver_frame (sim, &sim->links[e][a], false);
   else if (choice < 73)
-    step_engine (world);
+    step_engine (sim);
   else if (choice < 79)
-    advance (world);
+    advance (sim);
   else if (choice < 88)
-    open_wire (world, e, a);
+    open_link (sim, e, a);
   else if (choice < 89)
-    close_wire (world, e, a);
+    close_link (sim, e, a);
   else if (choice < 90)
     {
-      if (pick (world, 2))
-        kill_agent (world, a);
+      if (random_below (sim, 2))
+        kill_agent (sim, a);
       else
-        begin_stop (world, &world->agents[a]);
+        begin_stop (sim, &sim->agents[a]);
     }
   else if (choice < 91)
     {
-      if (pick (world, 2))
-        kill_entry (world, e);
+      if (random_below (sim, 2))
+        kill_entry (sim, e);
       else
-        begin_stop (world, &world->entries[e]);
+        begin_stop (sim, &sim->entries[e]);
     }
   else if (choice < 92)
-    world->entries[e].paused = true;
+    sim->entries[e].paused = true;
   else if (choice < 93)
-    world->agents[a].paused = true;
-  else if (choice < 96 && world->entries[e].paused)
-    resume_process (world, &world->entries[e], e, true);
-  else if (choice < 98 && world->agents[a].paused)
-    resume_process (world, &world->agents[a], a, false);
+    sim->agents[a].paused = true;
+  else if (choice < 96 && sim->entries[e].paused)
+    resume_process (sim, &sim->entries[e], e, true);
+  else if (choice < 98 && sim->agents[a].paused)
+    resume_process (sim, &sim->agents[a], a, false);
   else if (choice < 99)
     {
-      if (pick (world, 2))
-        publish (world);
+      if (random_below (sim, 2))
+        publish (sim);
       else
-        repeat_submit (world, &world->wires[e][a]);
+        repeat_submit (sim, &sim->links[e][a]);
     }
   else
     {
-      offer (world, &world->entries[e]);
-      offer (world, &world->agents[a]);
+      offer (sim, &sim->entries[e]);
+      offer (sim, &sim->agents[a]);
     }
 }
 
 /* Lets all work end, then checks that nothing is left over. */
 static void
-finish_schedule (struct world *world)
+finish_schedule (struct sim *sim)
 {
   for (int e = 0; e < ENTRIES; e++)
-    if (world->entries[e].paused)
-      resume_process (world, &world->entries[e], e, true);
+    if (sim->entries[e].paused)
+      resume_process (sim, &sim->entries[e], e, true);
   for (int a = 0; a < AGENTS; a++)
-    if (world->agents[a].paused)
-      resume_process (world, &world->agents[a], a, false);
-  for (unsigned i = 0; i < world->call_count; i++)
-    deliver_call (world, i);
+    if (sim->agents[a].paused)
+      resume_process (sim, &sim->agents[a], a, false);
+  for (unsigned i = 0; i < sim->call_count; i++)
+    deliver_call (sim, i);
   for (int i = 0; i < 10; i++)
     {
-      world->now.ms += 1000;
-      settle_late_frames (world);
+      sim->now.ms += 1000;
+      settle_late_frames (sim);
       for (int e = 0; e < ENTRIES; e++)
-        tick (world, &world->entries[e]);
+        tick (sim, &sim->entries[e]);
       for (int a = 0; a < AGENTS; a++)
-        tick (world, &world->agents[a]);
+        tick (sim, &sim->agents[a]);
     }
-  for (unsigned i = 0; i < world->call_count; i++)
-    if (!world->calls[i].lost && !world->calls[i].ended)
-      fail (world, "a call without a final answer");
+  for (unsigned i = 0; i < sim->call_count; i++)
+    if (!sim->calls[i].lost && !sim->calls[i].ended)
+      fail (sim, "a call without a final answer");
   for (int e = 0; e < ENTRIES; e++)
-    if (!ash_entry_idle (&world->entries[e].session.entry))
-      fail (world, "an entry that holds on to a request");
+    if (!ash_entry_idle (&sim->entries[e].session.entry))
+      fail (sim, "an entry that holds on to a request");
   for (int a = 0; a < AGENTS; a++)
-    if (!ash_agent_idle (&world->agents[a].session.agent))
-      fail (world, "an agent that holds on to work");
+    if (!ash_agent_idle (&sim->agents[a].session.agent))
+      fail (sim, "an agent that holds on to work");
 }
 
-static struct world *
-new_world (uint64_t seed, bool record)
+static struct sim *
+new_sim (uint64_t seed, bool record)
 {
-  struct world *world = calloc (1, sizeof *world);
-
-  world->seed = seed;
-  world->record = record;
-  world->revision = 1;
-  world->endpoint_set = 3;
-  world->now.ms = 1000;
-  ash_random_init (&world->random, seed);
-  write_document (world, world->endpoint_set, 1, published);
+  struct sim *sim = calloc (1, sizeof *sim);
+
+  sim->seed = seed;
+  sim->record = record;
+  sim->revision = 1;
+  sim->endpoint_set = 3;
+  sim->now.ms = 1000;
+  ash_random_init (&sim->random, seed);
+  write_document (sim, sim->endpoint_set, 1, published);
   for (int e = 0; e < ENTRIES; e++)
-    start_process (world, &world->entries[e], entry_names[e], true);
+    start_process (sim, &sim->entries[e], entry_names[e], true);
   for (int a = 0; a < AGENTS; a++)
-    start_process (world, &world->agents[a], agent_names[a], false);
-  /* In two of three schedules the processes have been running for longer than keys live, so they
-   * know of all earlier requests. */
+    start_process (sim, &sim->agents[a], agent_names[a], false);
+  /* In two of three schedules the processes have been running for longer than the lifetime of keys,
+   * so they know all earlier requests with a key. */
   if (seed % 3)
-    world->now.ms += 2 * KEY_LIFETIME_MS;
+    sim->now.ms += 2 * KEY_LIFETIME_MS;
   for (int e = 0; e < ENTRIES; e++)
     for (int a = 0; a < AGENTS; a++)
       {
-        world->wires[e][a].e = e;
-        world->wires[e][a].a = a;
-        open_wire (world, e, a);
-        deliver_frame (world, &world->wires[e][a], true);
-        deliver_frame (world, &world->wires[e][a], false);
+        sim->links[e][a].e = e;
+        sim->links[e][a].a = a;
+        open_link (sim, e, a);
+        deliver_frame (sim, &sim->links[e][a], true);
+        deliver_frame (sim, &sim->links[e][a], false);
       }
-  return world;
+  return sim;
 }
 
 static void
-free_world (struct world *world)
+free_sim (struct sim *sim)
 {
   for (int e = 0; e < ENTRIES; e++)
     {
-      end_process (&world->entries[e]);
+      end_process (&sim->entries[e]);
       for (int a = 0; a < AGENTS; a++)
         {
-          clear_queue (&world->wires[e][a].to_agent);
-          clear_queue (&world->wires[e][a].to_entry);
-          ash__event__free_unpacked (world->wires[e][a].last_submit, NULL);
+          clear_queue (&sim->links[e][a].to_agent);
+          clear_queue (&sim->links[e][a].to_entry);
+          ash__event__free_unpacked (sim->links[e][a].last_submit, NULL);
         }
     }
   for (int a = 0; a < AGENTS; a++)
-    end_process (&world->agents[a]);
-  free (world);
+    end_process (&sim->agents[a]);
+  free (sim);
 }
 
 static void
-count_calls (const struct world *world)
+count_calls (const struct sim *sim)
 {
-  totals[TOTAL_RUNS] += world->run_count;
-  for (unsigned i = 0; i < world->call_count; i++)
+  totals[TOTAL_RUNS] += sim->run_count;
+  for (unsigned i = 0; i < sim->call_count; i++)
     {
-      const struct call *call = &world->calls[i];
+      const struct call *call = &sim->calls[i];
 
       totals[TOTAL_CALLS]++;
       totals[TOTAL_LOST] += !call->ended;
@@ -1074,16 +1073,16 @@
 static const char *
 run_schedule (uint64_t seed, int record)
 {
-  struct world *world = new_world (seed, record != 0);
+  struct sim *sim = new_sim (seed, record != 0);
   const char *violation;
 
-  for (unsigned i = 0; i < STEPS && !world->violation; i++)
-    step (world);
-  if (!world->violation)
-    finish_schedule (world);
-  count_calls (world);
-  violation = world->violation;
-  free_world (world);
+  for (unsigned i = 0; i < STEPS && !sim->violation; i++)
+    step (sim);
+  if (!sim->violation)
+    finish_schedule (sim);
+  count_calls (sim);
+  violation = sim->violation;
+  free_sim (sim);
   return violation;
 }
 
--- a/test/session.c
+++ b/test/session.c
@@ -13,7 +13,7 @@
 }
 
 static void
-write_line (struct session *session, char direction, const struct Ash__Event *event)
+write_event (struct session *session, char direction, const struct Ash__Event *event)
 {
   if (!session->transcript)
     return;
@@ -27,7 +27,7 @@
 {
   struct session *session = data;
 
-  write_line (session, '>', event);
+  write_event (session, '>', event);
   if (session->emitted)
     session->emitted (session->data, session, event);
 }
@@ -64,7 +64,7 @@
 
 /* Delivers an order to the rank; on a tick the rank begins its next step if it may. */
 static void
-give_rank (struct session *session, const struct Ash__Event *event)
+deliver_to_rank (struct session *session, const struct Ash__Event *event)
 {
   struct ash_sink sink = { on_emit, session };
 
@@ -85,7 +85,7 @@
 session_deliver (struct session *session, struct ash_time now, const struct Ash__Event *event)
 {
   session->now = now;
-  write_line (session, '<', event);
+  write_event (session, '<', event);
   switch (session->core)
     {
     case SESSION_ENTRY:
@@ -95,7 +95,7 @@
       ash_agent_handle (&session->agent, now, event);
       break;
     case SESSION_RANK:
-      give_rank (session, event);
+      deliver_to_rank (session, event);
       break;
     }
 }
--- a/test/unit.c
+++ b/test/unit.c
@@ -280,7 +280,7 @@
   ash_membership_finish (&membership);
 }
 
-/* ---- experts ---- */
+/* ---- placement of experts ---- */
 
 #define EXPERTS 32
 #define RANKS 4
@@ -384,7 +384,7 @@
   CU_ASSERT (decision.refused_gain > 0);
 }
 
-/* ---- keys ---- */
+/* ---- keys and ids ---- */
 
 static void
 test_minted_keys (void)
@@ -437,7 +437,7 @@
   CU_ASSERT_FALSE (ash_id_equal (id, ash_id_from_request ("a", "/t", NULL, 0)));
 }
 
-/* ---- links ---- */
+/* ---- frames and handshakes ---- */
 
 static void
 test_frames (void)
@@ -552,7 +552,7 @@
   CU_ASSERT (latest <= 2);
 }
 
-/* ---- texts ---- */
+/* ---- events, log and metrics as text ---- */
 
 static void
 test_events_as_text (void)
--- a/test/unit_config.c
+++ b/test/unit_config.c
@@ -165,7 +165,7 @@
   ash__config_delta__free_unpacked (delta, NULL);
 }
 
-/* ---- a hall's entries ---- */
+/* ---- entries that read the platform, isolated entries, settings ---- */
 
 #define HALLS "[[hall]]\nname='h'\n[[hall]]\nname='i'\n"
 #define ENTRY(name, hall)                                                                          \
--- a/test/unit_era.c
+++ b/test/unit_era.c
@@ -68,8 +68,8 @@
                       &(struct ash_tombstone){ ENDPOINT, born_ms, era, .draining = draining });
 }
 
-/* After an endpoint went missing from the list, a listing of it in a later era is stale until its
- * store entry must have expired. */
+/* After an endpoint went missing from the list, a listing of it in a later era is treated as stale
+ * for 6 s: by then a store entry that nobody renews is no longer listed. */
 static void
 test_tombstone_missing (void)
 {
--- a/test/unit_experts.c
+++ b/test/unit_experts.c
@@ -198,8 +198,8 @@
 }
 
 /* Demand has shifted in 16 layers of a group with 96 ranks, each with one slot more than the
- * experts need. A minimum gain of a move that is tuned for few ranks rejected moves that pay here:
- * it left a skew of 1.8, while a minimum that fits many ranks leaves 1.3. */
+ * experts need. A minimum gain of a move meant for few ranks rejected useful moves here and left a
+ * skew of 1.8; the minimum for many ranks leaves 1.3. */
 static void
 test_skew_of_many_ranks (void)
 {
@@ -292,8 +292,8 @@
 
 /* The number of streams per rank must follow the engine. Nine streams, right for one engine, gave
  * passes of 145 ms after a shift of demand on an engine whose streams cost 2.5 times as much:
- * callers waited over 120 ms between events, and only 0.25 of them got a good stream, where six
- * streams gave 0.6. */
+ * callers waited over 120 ms between events. Only 0.25 of the callers got a stream without such
+ * pauses, where six streams per rank gave 0.6. */
 static void
 test_pass_streams (void)
 {
@@ -309,7 +309,7 @@
       CU_ASSERT (sequence_ms > 0.95 || shifted_ms < 120);
       /* One more stream makes a pass longer than 100 ms at a skew of 4. */
       CU_ASSERT (streams == engine.slots || ash_pass_model_ms (&engine, streams + 1, 4) > 100);
-      /* Within 120 ms while demand does not shift. */
+      /* Passes take less than 120 ms while demand does not shift. */
       CU_ASSERT (ash_pass_model_ms (&engine, streams, 1.2) < 120);
     }
   /* An engine that can't keep 120 ms with any number of streams gets the maximum, and so does an
@@ -333,8 +333,8 @@
   return ash_change_plan_copies (&terms, skew, after, most);
 }
 
-/* A change must not copy more experts than pays off. Copying two per rank in one change took 0.93
- * s, copying one takes 0.4 s: passes stayed long for twice the time. */
+/* A change must not copy more experts per rank than pays off. Two per rank took 0.93 s where one
+ * takes 0.4 s, so passes stayed long for twice the time. */
 static void
 test_change_plan (void)
 {
@@ -405,7 +405,8 @@
   CU_ASSERT (ash_pass_watch_is_slow (&watch, 64, 1.2));
   for (int i = 0; i < 50; i++)
     ash_pass_watch_add_pause (&watch, &engine, 12, 95);
-  /* The counts showed no shift: this ratio is accepted, and only longer passes are slow again. */
+  /* The counts showed no shift: the present ratio is accepted, and only longer passes count as slow
+   * again. */
   ash_pass_watch_accept_ratio (&watch);
   CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 1.2));
   for (int i = 0; i < 50; i++)
--- a/test/unit_platform.c
+++ b/test/unit_platform.c
@@ -334,7 +334,7 @@
     }
 }
 
-/* ---- streams ---- */
+/* ---- event streams ---- */
 
 static void
 test_events (void)
--- a/test/unit_prompts.c
+++ b/test/unit_prompts.c
@@ -43,7 +43,7 @@
   ash_prompt_gate_add_pause (gate, at (ms), pause_ms, PAUSE_AIM_MS);
 }
 
-/* ---- decisions ---- */
+/* ---- decisions of the gate ---- */
 
 static void
 test_sudden_long_pass (void)
@@ -131,7 +131,7 @@
   CU_ASSERT_FALSE (ash_prompt_gate_maps_adapt_in_time (&engine, AIM_MS));
 }
 
-/* ---- played ---- */
+/* ---- simulation ---- */
 
 #define ROUTERS 40
 #define PROMPTS_MAX 2000
@@ -267,12 +267,12 @@
 static void
 test_shift_simulated (void)
 {
-  static struct simulation open;
+  static struct simulation ungated;
   static struct simulation gated;
 
-  simulate_load (&open, false, true, 0);
+  simulate_load (&ungated, false, true, 0);
   simulate_load (&gated, true, true, 0);
-  CU_ASSERT (open.longest_pass_ms > PAUSE_AIM_MS);
+  CU_ASSERT (ungated.longest_pass_ms > PAUSE_AIM_MS);
   CU_ASSERT (gated.longest_pass_ms < PAUSE_AIM_MS);
   CU_ASSERT_EQUAL (gated.late_count, 0);
 }
@@ -280,13 +280,13 @@
 static void
 test_return_simulated (void)
 {
-  static struct simulation open;
+  static struct simulation ungated;
   static struct simulation gated;
 
-  simulate_load (&open, false, false, STREAMS);
+  simulate_load (&ungated, false, false, STREAMS);
   simulate_load (&gated, true, false, STREAMS);
-  CU_ASSERT (open.longest_pass_ms > PAUSE_AIM_MS - 10);
-  CU_ASSERT (gated.longest_pass_ms < open.longest_pass_ms - 20);
+  CU_ASSERT (ungated.longest_pass_ms > PAUSE_AIM_MS - 10);
+  CU_ASSERT (gated.longest_pass_ms < ungated.longest_pass_ms - 20);
   CU_ASSERT_EQUAL (gated.late_count, 0);
 }
 
--- a/test/unit_quarantine.c
+++ b/test/unit_quarantine.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Unit tests of the quarantine, which keeps requests from being sent on after endpoints have exited
- * while running them.
+ * Unit tests of the quarantine, which rejects a request for a while once endpoints have repeatedly
+ * exited while running it.
  */
 #include "controllers/quarantine.h"
 #include "test/unit.h"
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -401,7 +401,7 @@
   CU_ASSERT_NOT_EQUAL (decision.endpoint->hash, test.forward.tried[0]);
   ash_forward_sent (&test.forward, decision.endpoint);
   ash_forward_not_run (&test.forward, true);
-  /* Both endpoints state that it did not run. */
+  /* Both endpoints state that the request did not run. */
   expect_answer (next (&test, 1300), 503, ASH_FORWARD_REJECTED);
   ash_direct_finish (&test.set);
 }
@@ -415,7 +415,8 @@
   ash_forward_sent (&test.forward, next (&test, 1000).endpoint);
   CU_ASSERT_EQUAL (next (&test, 1100).action, ASH_FORWARD_SEND);
   ash_forward_sent (&test.forward, ash_direct_find (&test.set, "a"));
-  /* The first endpoint may have run it, even though the last one states that it did not. */
+  /* The first endpoint may have run the request, even though the last one states that it did
+   * not. */
   ash_forward_not_run (&test.forward, true);
   expect_answer (next (&test, 1200), 502, ASH_FORWARD_FAILED);
   ash_direct_finish (&test.set);
@@ -545,7 +546,7 @@
   CU_ASSERT_EQUAL (settings.grace_ms, 8000);
   CU_ASSERT_EQUAL (settings.resend_window_ms, 100);
   ash_findings_finish (&findings);
-  /* Defaults. */
+  /* Defaults apply to settings that are not given. */
   read_settings (&settings, "", &findings);
   CU_ASSERT_EQUAL (findings.count, 0);
   CU_ASSERT_EQUAL (settings.grace_ms, 8000);
@@ -576,11 +577,12 @@
   ash_findings_finish (&findings);
 }
 
-/* ---- talk with the others ---- */
+/* ---- message periods ---- */
 
 /* The number of messages per second that a router sends to other halls is bounded. A router with
  * 119 peers there sent heartbeats every 300 ms and loads every 50 ms, 2,800 messages a second. With
- * up to 30 heartbeat peers, and up to 20 for loads, the periods are those of the settings. */
+ * few peers in other halls (up to 30 for heartbeats, 20 for loads) the periods are those of the
+ * settings. */
 static void
 test_peer_periods (void)
 {
@@ -592,7 +594,7 @@
   CU_ASSERT (1000 * 1000 / ash_peer_period_remote_load_ms (50, 1000) <= 410);
   CU_ASSERT_EQUAL (ash_peer_period_remote_parts (50, 20), 1);
   CU_ASSERT_EQUAL (ash_peer_period_remote_parts (50, 119), 5);
-  /* A link may be silent for longer than the heartbeat period that its peer announces. */
+  /* A link may be silent for several of the heartbeat periods that its peer announces. */
   CU_ASSERT_EQUAL (ash_peer_period_silence_ms (1000, 300, 0), 1000);
   CU_ASSERT_EQUAL (ash_peer_period_silence_ms (1000, 300, 300), 1000);
   CU_ASSERT (ash_peer_period_silence_ms (1000, 300, 1190) > 3 * 1190);
@@ -657,7 +659,7 @@
   own = ash_direct_find (&set, "e149");
   CU_ASSERT_PTR_NOT_NULL_FATAL (own);
   snprintf (own->facts.hall, sizeof own->facts.hall, "own");
-  /* There are three free slots, and all routers choose from them. */
+  /* There are three free slots; every router sends to one of them. */
   CU_ASSERT (spill_over (&set, 1, &sent) > SPILLOVER_ROUTERS / 5);
   CU_ASSERT_EQUAL (sent, SPILLOVER_ROUTERS);
   /* With more than one part, the last slots are left for requests that this router does not know of
@@ -685,7 +687,7 @@
   ash_direct_finish (&set);
 }
 
-/* ---- lives of an endpoint ---- */
+/* ---- restarts of an endpoint ---- */
 
 static void
 count_restart (void *data, struct ash_direct_endpoint *endpoint)
@@ -737,7 +739,7 @@
   ash_direct_finish (&set);
 }
 
-/* ---- what peers have ---- */
+/* ---- versions of peers ---- */
 
 static void
 test_peer_version (void)
@@ -754,7 +756,7 @@
   ash_peer_version_reported (&version, (struct ash_time){ 1300 }, 9, 4);
   ash_peer_version_reported (&version, (struct ash_time){ 1350 }, 5, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1400 }, 4, 400));
-  /* A version that arrives here in the meantime restarts the wait: the source is working. */
+  /* A newer version that arrives here restarts the wait: the source is working. */
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1500 }, 6, 1));
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1600 }, 6, 100));
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1600 }, 6, 101));
@@ -773,21 +775,22 @@
   ash_peer_version_reported (&version, at (1000), 9, 4);
   ash_peer_version_equal (&version, at (1100), 9, 4);
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, at (1900), 4, 0));
-  /* A peer whose list differs and is older than that lacks something itself. */
+  /* A peer whose list differs and is of an older revision may lack something itself; this router is
+   * not behind. */
   ash_peer_version_reported (&version, at (1900), 8, 4);
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, at (1950), 4, 0));
   /* An equal list of an older revision says nothing about the newest. */
   ash_peer_version_reported (&version, at (2000), 12, 4);
   ash_peer_version_equal (&version, at (2100), 11, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, at (2700), 4, 700));
-  /* A later change starts a new wait. */
+  /* A later change that a peer reports starts a new wait. */
   ash_peer_version_equal (&version, at (2800), 13, 4);
   ash_peer_version_reported (&version, at (3000), 14, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, at (3100), 4, 100));
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, at (3100), 4, 101));
 }
 
-/* ---- who asks the store often ---- */
+/* ---- pollers of the store ---- */
 
 #define POLLERS_MAX 400
 #define POLLERS_WANTED 3
@@ -858,7 +861,7 @@
   return i % 3;
 }
 
-/* All names of the first hall sort before those of the second. */
+/* Router names sort by hall: ten routers per hall. */
 static uint32_t
 halls_of_ten (uint32_t i)
 {
@@ -963,7 +966,7 @@
   CU_ASSERT_EQUAL_FATAL (pipe (ends), 0);
   sink.out = fdopen (ends[1], "w");
   ash_log_bound_init (&bound, sink.out, LOG_LINES);
-  /* Important events are not left out because of the volume of others. */
+  /* Warnings are written even when the bound for events of lower levels is used up. */
   for (int i = 0; i < 10 * LOG_LINES; i++)
     ash_log_event (&log, ASH_EV_FORWARD_SENT, "id=%d", i);
   for (int i = 0; i < LOG_LINES; i++)
--- a/test/unit_router_world.c
+++ b/test/unit_router_world.c
@@ -58,8 +58,8 @@
   CU_ASSERT_FALSE (is_same (&first, &other));
 }
 
-/* Every call has exactly one result: in time, late, rejected twice, given up while waiting, or
- * broken off. */
+/* Every call has exactly one result: in time, late, rejected twice, abandoned while waiting, or
+ * interrupted. */
 static void
 test_ends (void)
 {
@@ -172,10 +172,11 @@
   CU_ASSERT (router_world_worth (&ordered.classes[0]) > router_world_worth (&ordered.classes[1]));
 }
 
-/* The number of streams per rank must follow the engine. Three streams are worth 0.5 on an engine
- * whose streams add 0.36 ms to a step, where nine are worth 0.9. On engines whose streams add 0.12
- * to 1.1 ms to a step and whose ranks copy an expert in 0.05 to 0.45 s, the computed number is
- * worth at most 0.075 less than the best fixed number for each engine. */
+/* The number of streams per rank must follow the engine. On an engine whose streams add 0.36 ms to
+ * a step, requests have a mean value of 0.5 (1: all in time) with three streams and of 0.9 with
+ * nine. On engines whose streams add 0.12 to 1.1 ms to a step and whose ranks copy an expert in
+ * 0.05 to 0.45 s, the computed number gives at most 0.075 less than the best fixed number for each
+ * engine. */
 static void
 test_streams_of_engines (void)
 {
--- a/test/unit_rows.c
+++ b/test/unit_rows.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* ---- items of a list ---- */
+/* ---- items of a JSON list ---- */
 
 /* @return the number of items of the list, or -1 if it is malformed. */
 static int
@@ -68,7 +68,7 @@
   CU_ASSERT_EQUAL (count_rows (""), -1);
 }
 
-/* ---- routes known before ---- */
+/* ---- routes copied from the former table ---- */
 
 #define TEXT_MAX 4096
 
--- a/test/unit_terms.c
+++ b/test/unit_terms.c
@@ -186,7 +186,7 @@
   CU_ASSERT_EQUAL (limit.milli_per_s, 0);
 }
 
-/* ---- requests ---- */
+/* ---- forwarding under these terms ---- */
 
 #define ENDPOINTS 16
 
