--- a/test/expert_schedule.c
+++ b/test/expert_schedule.c
@@ -314,8 +314,8 @@
 {
   int others = 0;
 
-  /* If all ranks that know the map are replaced at once, the group must be started anew, which this
-   * protocol does not cover. */
+  /* If all ranks that know the map were replaced at once, the group would have to be set up again,
+   * which this protocol does not cover. */
   for (int q = 0; q < RANKS; q++)
     others += q != r && !sim->ranks[q].blank;
   if (!others)
--- a/test/golden.c
+++ b/test/golden.c
@@ -96,7 +96,7 @@
 
   if (text == line || strncmp (text, " < ", 3) != 0)
     {
-      replay->error = "not understood";
+      replay->error = "expected TIME < message";
       return;
     }
   event = ash_event_parse (text + 3, &replay->error);
--- a/test/map_schedule.c
+++ b/test/map_schedule.c
@@ -3,7 +3,7 @@
  * Random schedules of changes of a group's map by routers outside the group: orders that
  * are lost, answered late, overtaken by later ones or carried out seconds late, ranks that
  * copy for longer than expected, routers that are killed or suspended at any point, two
- * routers that lead at once, groups that form anew. In each pass all ranks must use the same
+ * routers that lead at once, groups that restart. In each pass all ranks must use the same
  * map, and a group must make progress once the faults have ended.
  */
 #include "common/random.h"
@@ -47,7 +47,7 @@
 {
   uint64_t map;
   uint64_t prepared;
-  int64_t copied_ms; /* when copying the prepared map ends */
+  int64_t copied_ms; /* time at which copying the prepared map ends */
   uint64_t last_prepared;
   uint64_t armed;
   uint64_t armed_step;
@@ -95,7 +95,8 @@
   struct message messages[MESSAGES_MAX];
   uint32_t loss_percent; /* percentage of orders whose answer is lost */
   uint32_t late_percent; /* percentage of orders that are carried out seconds late */
-  uint32_t slow_percent; /* percentage of orders that later ones may overtake */
+  uint32_t
+      slow_percent; /* percentage of orders that are delayed so that later ones may overtake them */
   bool two_leaders;
   bool traced;
   const char *violation;
--- a/test/unit_config.c
+++ b/test/unit_config.c
@@ -312,8 +312,8 @@
   ash_findings_finish (&findings);
 }
 
-/* @param place receives the place of the first finding in an entry's settings with @p more
- * appended, or an empty text. */
+/* @param place receives the name of the first setting with a finding, or an empty text, when @p
+ * more is appended to an entry's settings. */
 static void
 first_entry_finding (const char *more, char place[128])
 {
--- a/test/unit_maps.c
+++ b/test/unit_maps.c
@@ -3,6 +3,11 @@
  * Unit tests of the map switch, with which a router outside a group changes the group's expert map:
  * which step it holds, how it finishes the change of another router, and how much memory a group
  * takes.
+ *
+ * Orders to ranks: prepare (copy a version of the map), hold (do not begin a step), arm (switch to
+ * the prepared version at that step), go (release the step), disarm (do not switch). After a disarm
+ * all ranks prepare a newer version with the old map, the fence: with it they reject arm orders of
+ * the aborted version that arrive late.
  */
 #include "controllers/map_switch.h"
 #include "test/unit.h"
@@ -64,7 +69,7 @@
   report_all (&sw, now, 100);
   ash_map_switch_begin (&sw, now, ash_map_switch_new_version (&sw, 1), copy_ms);
   CU_ASSERT_EQUAL (order_until_hold (&sw, now), 101);
-  /* The group is working: the steps since its last report are extrapolated. */
+  /* The group is working: the router adds the steps that have passed since the last report. */
   ash_map_switch_init (&sw, 4, 200, 0);
   report_all (&sw, now, 100);
   ash_map_switch_set_pass_ms (&sw, 50);
@@ -136,12 +141,14 @@
     }
   now = ash_time_add (now, 5000);
   answer_all (&sw, now, ASH_RANK_DISARM, 4, 0);
-  /* Disarming all ranks is not enough to release the step: a late arm order may still arrive. */
+  /* Disarming all ranks is not enough to release the step: an arm order may still arrive late, so a
+   * newer version must be prepared first (fence). */
   CU_ASSERT (ash_map_switch_needs_fence (&sw));
   CU_ASSERT_EQUAL (ash_map_switch_orders (&sw, now, orders), 0);
   ash_map_switch_set_fence (&sw, ash_map_switch_new_version (&sw, 2));
   CU_ASSERT (sw.fence > version);
-  /* The late arm order was accepted after the disarm order, so the rank rejects the fence. */
+  /* The late arm order was accepted after the disarm order, so the rank rejects the newer version
+   * (fence) and must be disarmed again. */
   answer_all (&sw, now, ASH_RANK_PREPARE, 3, 409);
   CU_ASSERT_EQUAL (ash_map_switch_orders (&sw, now, orders), 1);
   CU_ASSERT_EQUAL (orders[0].kind, ASH_RANK_DISARM);
@@ -185,9 +192,9 @@
 }
 
 /* A rank still holds step 103 for this router, from before the router restarted, so it rejects
- * holds of step 101 and later. That does not show that those steps have begun: otherwise the
- * router would release the change that another router left at step 101 before its versions are
- * disarmed. */
+ * holds of step 101 and later. That does not show that those steps have begun. If the router
+ * assumed so, it would release the change that another router left at step 101 before disarming the
+ * ranks. */
 static void
 test_refused_hold (void)
 {
@@ -202,7 +209,8 @@
   answer_all (&sw, now, ASH_RANK_HOLD, 0, 409);
   CU_ASSERT_EQUAL (sw.last_step, 100);
   CU_ASSERT_EQUAL (sw.step, 102);
-  /* Once the reports show that the step has begun, nothing is armed any more. */
+  /* Once the reports show that the held step has begun, the change is aborted, as no rank can be
+   * armed for it any more. */
   answer_all (&sw, now, ASH_RANK_HOLD, 4, 0);
   answer_all (&sw, now, ASH_RANK_ARM, 3, 409);
   report_all (&sw, now, 102);
@@ -249,9 +257,9 @@
   return now;
 }
 
-/* Another router died between hold and go, with its version prepared on some ranks only. The router
- * that finishes the change holds the step too, on a rank without a hold of its own former
- * incarnation, and disarms the ranks before it releases the step. */
+/* Another router died between its hold and go orders, with its version prepared on some ranks only.
+ * The router that finishes the change holds the step too, on a rank without a hold of its own
+ * former incarnation, and disarms the ranks before it releases the step. */
 static void
 test_finish_uneven (void)
 {
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -239,8 +239,8 @@
   b->in_flight = 1;
   ash_direct_set_pace (a, at (100), 3);
   CU_ASSERT_STRING_EQUAL (choose (&set, at (200), 8, 120), "b");
-  /* At a pace of 3 the endpoint gets a third of the load of the others, up to a third of the
-   * cap. */
+  /* At a pace of 3 (its passes take three times as long) the endpoint gets a third of the load of
+   * the others, up to a third of the cap. */
   b->in_flight = 7;
   a->in_flight = 1;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (200), 8, 120), "a");
@@ -279,7 +279,8 @@
   add_endpoint_at (&set, "a1", "10.0.0.1:80");
   add_endpoint_at (&set, "b1", "10.0.0.2:80");
   add_endpoint_at (&set, "c1", "10.0.0.3:80");
-  /* The new id is listed before the former id goes missing (a), or after (b). */
+  /* The new id is listed before the former id goes missing (endpoint a), or after it (endpoint
+   * b). */
   add_endpoint_at (&set, "a2", "10.0.0.1:80");
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "a1")));
   ash_direct_remove (&set, "a1", false, at (9000));
@@ -401,7 +402,7 @@
   CU_ASSERT_NOT_EQUAL (decision.endpoint->hash, test.forward.tried[0]);
   ash_forward_sent (&test.forward, decision.endpoint);
   ash_forward_not_run (&test.forward, true);
-  /* Both endpoints state that the request did not run. */
+  /* Both endpoints state that they did not run the request. */
   expect_answer (next (&test, 1300), 503, ASH_FORWARD_REJECTED);
   ash_direct_finish (&test.set);
 }
@@ -501,7 +502,7 @@
   /* At most this entry's quarter of the slack plus the ratio times its own requests, but not
    * nothing. */
   CU_ASSERT (sent > 80 && sent <= 0.2 * 1000 + 20.0 / 4);
-  /* Resends are allowed again once the window has passed, and not earlier. */
+  /* Resends are allowed again only once the window has passed. */
   CU_ASSERT_FALSE (ash_resend_window_spend (&window, &bound, 4, at (15000)));
   CU_ASSERT (ash_resend_window_spend (&window, &bound, 4, at (40000)));
 }
@@ -662,8 +663,8 @@
   /* There are three free slots; every router sends to one of them. */
   CU_ASSERT (spill_over (&set, 1, &sent) > SPILLOVER_ROUTERS / 5);
   CU_ASSERT_EQUAL (sent, SPILLOVER_ROUTERS);
-  /* With more than one part, the last slots are left for requests that this router does not know of
-   * yet. */
+  /* With more than one part, the last slots stay free for requests of other routers that this
+   * router has not learned of yet. */
   spill_over (&set, 6, &sent);
   CU_ASSERT_EQUAL (sent, 0);
   /* When endpoints have many free slots, each gets only some of the routers, and every router finds
@@ -730,7 +731,7 @@
   CU_ASSERT_FALSE (ash_time_before (at (1001), a->ejected_until));
   CU_ASSERT_EQUAL (ash_direct_pace (a, at (1001)), 1);
   CU_ASSERT_FALSE (ash_direct_update (&set, &facts));
-  /* An unknown start time alone is no restart; a new address is. */
+  /* An update without a start time is not a restart, unless the address has changed. */
   facts.born_ms = 0;
   CU_ASSERT_FALSE (ash_direct_update (&set, &facts));
   snprintf (facts.address, sizeof facts.address, "127.0.0.1:2");
