--- a/test/unit_maps.c
+++ b/test/unit_maps.c
@@ -292,7 +292,7 @@
   now = report_held (&sw, now, prepared, held);
   answer_all (&sw, now, ASH_RANK_HOLD, 4, 0);
   CU_ASSERT_EQUAL (sw.step, 101);
-  CU_ASSERT (sw.finishing);
+  CU_ASSERT (sw.taking_over);
 }
 
 /* A rank where this router has already released a step, or a later one, must not hold that step
@@ -353,7 +353,7 @@
       ash_map_switch_set_prepared (&sw, rank, 1, 7, now);
     }
   answer_all (&sw, now, ASH_RANK_HOLD, 4, 0);
-  CU_ASSERT (sw.finishing);
+  CU_ASSERT (sw.taking_over);
   CU_ASSERT_EQUAL (sw.version, 7);
 }
 
