--- a/test/unit_config.c
+++ b/test/unit_config.c
@@ -303,7 +303,7 @@
   ash_findings_init (&findings, "test");
   ash_settings_read (&settings, start, strlen (start), &findings);
   CU_ASSERT_EQUAL (findings.count, 1);
-  CU_ASSERT (findings.count && strcmp (findings.items[0].place, "suspect_ms") == 0);
+  CU_ASSERT (findings.count && strcmp (findings.items[0].key_path, "suspect_ms") == 0);
   ash_findings_finish (&findings);
   ash_findings_init (&findings, "test");
   snprintf (text, sizeof text, "%ssuspect_ms = 2000\n", start);
@@ -312,10 +312,10 @@
   ash_findings_finish (&findings);
 }
 
-/* @param place receives the name of the first setting with a finding, or an empty text, when @p
+/* @param key_path receives the name of the first setting with a finding, or an empty text, when @p
  * more is appended to an entry's settings. */
 static void
-first_entry_finding (const char *more, char place[128])
+first_entry_finding (const char *more, char key_path[128])
 {
   static const char start[] =
       "box = 'e'\nrole = 'entry'\nhall = 'h'\npeer_listen = '127.0.0.1:1'\n"
@@ -328,7 +328,7 @@
   ash_findings_init (&findings, "test");
   snprintf (text, sizeof text, "%s%s", start, more);
   ash_settings_read (&settings, text, strlen (text), &findings);
-  snprintf (place, 128, "%s", findings.count ? findings.items[0].place : "");
+  snprintf (key_path, 128, "%s", findings.count ? findings.items[0].key_path : "");
   ash_findings_finish (&findings);
 }
 
@@ -340,7 +340,7 @@
   static const struct
   {
     const char *more;
-    const char *place;
+    const char *key_path;
   } cases[] = {
     { "", "" },
     { "grace_ms = 0\naddress_keep_ms = 20000\n", "" },
@@ -350,12 +350,12 @@
     { "address_keep_ms = 8000\n", "" },
     { "grace_ms = 8000\naddress_keep_ms = 8000\n", "grace_ms" },
   };
-  char place[128];
+  char key_path[128];
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      first_entry_finding (cases[i].more, place);
-      CU_ASSERT_STRING_EQUAL (place, cases[i].place);
+      first_entry_finding (cases[i].more, key_path);
+      CU_ASSERT_STRING_EQUAL (key_path, cases[i].key_path);
     }
 }
 
