--- a/test/unit_experts.c
+++ b/test/unit_experts.c
@@ -3,7 +3,7 @@
  * Unit tests of what the leading router models and decides for groups of ranks: the time of passes,
  * whether a change of the expert map pays off, and the new maps.
  */
-#include "bench/router_world.h"
+#include "bench/router_sim.h"
 #include "common/random.h"
 #include "controllers/change_plan.h"
 #include "controllers/layer_policy.h"
@@ -279,14 +279,14 @@
 
 /* ---- passes and changes ---- */
 
-/* An engine of the simulation in bench/router_world.h, whose ranks copy an expert of @p expert_mb
+/* An engine of the simulation in bench/router_sim.h, whose ranks copy an expert of @p expert_mb
  * megabytes over a link of 60 Gbit/s. */
 static struct ash_engine_facts
 engine_of (double sequence_ms, double expert_mb)
 {
   struct ash_engine_facts engine;
 
-  router_world_engine (&engine, sequence_ms, expert_mb * 8 / 60);
+  router_sim_engine (&engine, sequence_ms, expert_mb * 8 / 60);
   return engine;
 }
 
