--- a/test/router.c
+++ b/test/router.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * The router as a real process, before stand-ins of the platform: what callers and
- * servers see of it, calm, with odd framing, and where endpoints answer badly. The
- * program's other tests are in files by topic: test/router_tests.h.
+ * The router as a real process with stand-ins for the platform: what callers and servers see of it
+ * in normal operation, with malformed framing, and when endpoints answer incorrectly. The program's
+ * other tests are in files by topic: test/router_tests.h.
  */
 #include "cli/trace.h"
 #include "test/router_tests.h"
@@ -15,7 +15,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Whether either server's log holds the text. */
+/* @return whether the log of either server contains the text. */
 static bool
 server_logs_contain (const char *text)
 {
@@ -24,7 +24,7 @@
   return first || strstr (server_log (1), text) != NULL;
 }
 
-/* ---- calm ---- */
+/* ---- normal operation ---- */
 
 static void
 test_path (void)
@@ -35,7 +35,8 @@
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT (answer.complete && answer_has ("Ashspindle-Server-Seal: seal-i-"));
   CU_ASSERT_STRING_EQUAL (answer.body, "whole answer");
-  /* Byte for byte, with the system's own fields and without the key or what is hop by hop. */
+  /* The target is forwarded byte for byte. The router adds its own header fields and removes the
+   * API key and hop-by-hop fields. */
   CU_ASSERT (server_logs_contain ("a1 POST /once/x?q=%20a;b body=5 "));
   CU_ASSERT (server_logs_contain ("tenant=shop last=- urgency=- authorization=- connection=-"));
   CU_ASSERT (server_logs_contain ("expect=i-"));
@@ -44,7 +45,8 @@
   testbed_stop (&testbed);
 }
 
-/* An answer without a body is complete without it, here and towards the server. */
+/* The answer to HEAD has no body although it states a Content-Length, both between caller and
+ * router and between router and server. */
 static void
 test_head (void)
 {
@@ -68,7 +70,7 @@
   testbed_stop (&testbed);
 }
 
-/* What a log holds can't be made up by a caller. */
+/* A caller can't forge log fields through its request id. */
 static void
 test_invalid_id (void)
 {
@@ -79,7 +81,7 @@
   testbed_stop (&testbed);
 }
 
-/* More callers than the settings allow wait for their turn. */
+/* Connections beyond connections_max wait until others close. */
 static void
 test_many_callers (void)
 {
@@ -127,7 +129,7 @@
     fleet_sleep (20);
   CU_ASSERT_PTR_NOT_NULL (
       strstr (testbed_fetch (testbed.routers[0].directory_port, "GET", "/resolution", ""), other));
-  /* One that stops is no longer named. */
+  /* A router that is stopping is removed from the directory. */
   kill (testbed.routers[1].pid, SIGTERM);
   fleet_sleep (300);
   CU_ASSERT_FALSE (
@@ -135,7 +137,7 @@
   testbed_stop (&testbed);
 }
 
-/* ---- who may ask for what ---- */
+/* ---- API keys and routes ---- */
 
 static void
 test_keys (void)
@@ -143,7 +145,7 @@
   start ();
   testbed_call (&testbed, "k1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  /* Taken away: refused soon, and not run. */
+  /* A revoked key is rejected, and the request does not run. */
   testbed.has_key = false;
   testbed_publish (&testbed);
   fleet_sleep (200);
@@ -166,7 +168,7 @@
   testbed_start (&testbed);
   CU_ASSERT (testbed_wait_ready (&testbed, 0, false));
   testbed_call (&testbed, "n1", "/safe/x", NULL, "", &answer);
-  /* Nothing is known: neither denied nor not found. */
+  /* Without a configuration an unknown key (401) can't be told from an unknown route (404). */
   CU_ASSERT_EQUAL (answer.status, 503);
   CU_ASSERT (answer_has ("Retry-After:"));
   testbed_publish (&testbed);
@@ -189,7 +191,8 @@
   CU_ASSERT (testbed_logged (&testbed, 0, "place=Routes[0] why=\"names a service"));
   testbed_publish_text (&testbed, "no JSON");
   fleet_sleep (100);
-  /* The last good one stays, and an older one never comes back. */
+  /* An invalid configuration does not replace the last valid one, nor does a valid one with a lower
+   * version. */
   testbed_call (&testbed, "b1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_publish_text (&testbed, "{\"Version\":1,\"Routes\":[],\"Services\":[]}");
@@ -199,9 +202,10 @@
   testbed_stop (&testbed);
 }
 
-/* ---- odd framing ---- */
+/* ---- malformed framing ---- */
 
-/* A request that must be refused, and what follows it must not be read as another. */
+/* Checks that a request is rejected, and that bytes after it on the connection are not read as
+ * another request (request smuggling). */
 static void
 expect_refused (const char *text, int status)
 {
@@ -236,7 +240,7 @@
   expect_refused ("no request at all\r\n\r\n", 400);
   CU_ASSERT_FALSE (server_logs_contain ("smuggled"));
   CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "f1") + testbed_count_runs (&testbed, "f2"), 0);
-  /* A chunked body is one body, with a length of its own towards the server. */
+  /* A chunked body is forwarded with a Content-Length. */
   {
     int fd = testbed_connect (&testbed, 0);
 
@@ -255,11 +259,12 @@
 test_framing_out (void)
 {
   start ();
-  /* Another request's answer comes first on the connection: ours is the one after it. */
+  /* The answer to another request precedes the right one on the connection and must be skipped. */
   testbed_call (&testbed, "o1", "/once/x", "*=foreign", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_STRING_EQUAL (answer.body, "whole answer");
-  /* No answer of ours: the caller must not take it for one. */
+  /* Answers without the attempt id, without the server's seal, with an encoding or cut off are not
+   * passed to the caller. */
   testbed_call (&testbed, "o2", "/once/x", "*=noid", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
   testbed_call (&testbed, "o3", "/once/x", "*=unsigned", "", &answer);
@@ -271,7 +276,7 @@
   testbed_call (&testbed, "o6", "/once/x", "*=unframed", "", &answer);
   CU_ASSERT (answer.status == 200 && answer.complete);
   CU_ASSERT_STRING_EQUAL (answer.body, "whole answer");
-  /* A second answer to the same request belongs to nobody. */
+  /* A second answer to the same request must not reach the next request on the connection. */
   for (int i = 0; i < 4; i++)
     {
       testbed_call (&testbed, "o7", "/once/x", "*=extra", "", &answer);
@@ -281,26 +286,26 @@
   testbed_stop (&testbed);
 }
 
-/* ---- at most once, and a true "not run" ---- */
+/* ---- at most once, and "not run" only if that is certain ---- */
 
 static void
 test_once (void)
 {
   start ();
-  /* It was sent and no answer came: nobody can say that it did not run. */
+  /* The connection was reset after the request was sent: the request may have run. */
   testbed_call (&testbed, "u1", "/once/x", "*=reset", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
   CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "u1"), 1);
-  /* The servers vouch that it did not run. */
+  /* The servers state that the request did not run. */
   testbed_call (&testbed, "u2", "/once/x", "*=shed", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
   CU_ASSERT (answer_has ("Retry-After:"));
-  /* A server's own failure is passed on as it made it. */
+  /* An error answer of the server is passed on unchanged. */
   testbed_call (&testbed, "u3", "/once/x", "*=fail", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 500);
   CU_ASSERT (answer_has ("Server-Seal"));
   CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "u3"), 1);
-  /* One server turns it away, the other runs it: once. */
+  /* One server rejects the request without running it, and the other one runs it once. */
   testbed_call (&testbed, "u4", "/once/x", "A=shed B=ok", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_call (&testbed, "u5", "/once/x", "A=ok B=shed", "", &answer);
@@ -312,7 +317,7 @@
 test_repeatable (void)
 {
   start ();
-  /* Whichever server breaks, the other one is asked, and no third time. */
+  /* If the first server fails, the request is sent to the other one, and no third time. */
   testbed_call (&testbed, "r1", "/safe/x", "A=reset B=ok", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_call (&testbed, "r2", "/safe/x", "A=ok B=cut", "", &answer);
@@ -322,7 +327,8 @@
   testbed_call (&testbed, "r4", "/safe/x", "*=reset", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
   CU_ASSERT (testbed_count_runs (&testbed, "r4") <= 2);
-  /* Silence counts after some time; the answer still comes within the caller's. */
+  /* A server that does not answer in time counts as failed, early enough to answer within the
+   * caller's deadline. */
   testbed_call (&testbed, "r5", "/safe/x", "A=mute B=ok", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_call (&testbed, "r6", "/safe/x", "A=ok B=mute", "", &answer);
@@ -330,7 +336,8 @@
   testbed_stop (&testbed);
 }
 
-/* A server ends while its kept connections wait: what is sent next must not run twice. */
+/* Servers are killed while the router keeps idle connections to them: no request that is sent next
+ * may run twice. */
 static void
 test_kept_connection_dies (void)
 {
@@ -372,7 +379,8 @@
   char port[16];
 
   start ();
-  /* Another life at the address of A, before the list tells: it turns requests away. */
+  /* Another incarnation runs at the address of server A before the store lists it. It rejects
+   * requests that expect the former incarnation. */
   fleet_end (&testbed.servers[0].pid, SIGKILL);
   snprintf (port, sizeof port, "%u", testbed.servers[0].port);
   testbed.servers[0].pid =
@@ -393,7 +401,7 @@
 
 /* ---- streams ---- */
 
-/* Whole events only, each once, and all of them. */
+/* Checks that the body has each event of the range exactly once. */
 static void
 expect_events (int first, int last)
 {
@@ -414,7 +422,8 @@
 test_stream_resumed (void)
 {
   start ();
-  /* Cut in the middle of an event by whichever server is asked first, if it is A. */
+  /* Server A cuts its stream in the middle of an event. Repeats the call until A was chosen first,
+   * so that the other server resumes the stream. */
   for (int i = 0; i < 30 && !server_logs_contain ("last=2"); i++)
     {
       testbed_call (&testbed, "t1", "/stream/x", "A=streamcut B=stream", "", &answer);
@@ -422,7 +431,7 @@
       expect_events (1, 6);
     }
   CU_ASSERT (server_logs_contain ("last=2"));
-  /* Both cut it: the caller sees that it is not complete. */
+  /* Both servers cut the stream: the caller's stream ends without its last chunk. */
   testbed_call (&testbed, "t3", "/stream/x", "*=streamcut", "", &answer);
   CU_ASSERT_FALSE (answer.complete);
   testbed_stop (&testbed);
@@ -439,7 +448,7 @@
                     "l1\r\nX-Do: *=mute\r\nContent-Length: 0\r\n\r\n");
   wait_arrived ("l1");
   close (fd);
-  /* The server sees it soon: its connection is closed. */
+  /* The router closes the connection to the server. */
   for (int i = 0;
        i < 40 && atoi (testbed_fetch (testbed.servers[0].port, "GET", "/gone", "")) +
                          atoi (testbed_fetch (testbed.servers[1].port, "GET", "/gone", "")) ==
@@ -461,7 +470,7 @@
   start ();
   began = fleet_now ();
   testbed_call (&testbed, "x1", "/once/x", "*=mute", "", &answer);
-  /* The route's time ends it, long before the caller's. */
+  /* The route's time-out (1.5 s) ends the request long before the caller's deadline (4 s). */
   CU_ASSERT_EQUAL (answer.status, 504);
   CU_ASSERT (fleet_now () - began < 3500);
   testbed_stop (&testbed);
@@ -491,7 +500,8 @@
     lines += strstr (line, path) != NULL;
   if (file)
     fclose (file);
-  /* All findings at once, each with its place: eight keys are missing or wrong, one is odd. */
+  /* All errors are reported at once, each with its file and key: eight keys are missing or invalid,
+   * one is unknown. */
   CU_ASSERT (lines >= 9);
   unlink (path);
   unlink (log);
@@ -512,7 +522,7 @@
   testbed_stop (&testbed);
 }
 
-/* What a trace of the routers' logs says of a request. */
+/* Explains a request from the logs of all routers, as the operator's trace command does. */
 static void
 trace_request (const char *id, char *end, size_t end_bytes)
 {
@@ -548,7 +558,7 @@
     printf ("\n%s: %s\n", id, end);
 }
 
-/* The failed requests of docs/OPERATIONS.md, from the id to the cause. */
+/* The failed requests that docs/OPERATIONS.md explains, from the id to the cause. */
 static void
 test_trace (void)
 {
@@ -564,12 +574,12 @@
   check_trace ("n3", "the endpoint broke off", "It was last at i-");
   testbed_call (&testbed, "n4", "/safe/x", NULL, "", &answer);
   check_trace ("n4", "Answered with 200 by i-", " ms after it came");
-  /* An id that only begins alike is another request. */
+  /* An id that is only a prefix of a logged one is another request. */
   check_trace ("n", "No line among", "tells of it");
   testbed_stop (&testbed);
 }
 
-/* Requests that routers other than this one have, by its metrics_port. */
+/* @return how many requests other routers have at the endpoints, by metrics of router @p r. */
 static int
 requests_elsewhere (int r)
 {
@@ -589,7 +599,7 @@
   return requests_elsewhere (r) == wanted;
 }
 
-/* @return the connection of a request at the first router that gets no answer. */
+/* Sends a request that is never answered to the first router. @return its connection. */
 static int
 begin_unanswered (int i)
 {
@@ -602,10 +612,10 @@
   return fd;
 }
 
-/* A router that starts answer_has its links before its list of endpoints where the store is slow to
- * answer. It was told of its peers' work as the links came up, dropped what concerned endpoints
- * that it did not know yet, and then sent as many requests again to endpoints that had them
- * already, until that work changed. */
+/* While the store is slow, a starting router has its links to peers before it has the list of
+ * endpoints. Peers reported their loads as the links came up, the new router dropped loads of
+ * endpoints that it did not know yet, and sent as many requests again to endpoints that were
+ * already loaded, until the loads changed. */
 static void
 test_peer_loads_before_list (void)
 {
@@ -614,7 +624,8 @@
   start ();
   for (int i = 0; i < 4; i++)
     fds[i] = begin_unanswered (i);
-  /* Each answer_has gone to its second endpoint, the last: nothing changes from now on. */
+  /* Each request has been resent to its second endpoint, the last one that it may try: the loads
+   * don't change from now on. */
   for (int i = 0; i < 4; i++)
     {
       char resent[64];
@@ -623,7 +634,7 @@
       CU_ASSERT (testbed_wait_logged (&testbed, 0, resent));
     }
   kill (testbed.store, SIGSTOP);
-  /* No seed: there is one link to it. */
+  /* Router 2 is not among the seeds, so there is only one link between the two routers. */
   testbed_start_router (&testbed, 2);
   CU_ASSERT (testbed_wait_ready (&testbed, 2, true));
   CU_ASSERT (wait_elsewhere (2, 4));
@@ -633,9 +644,8 @@
   testbed_stop (&testbed);
 }
 
-/* Peers are told what answer_has changed since the message before: what they add up must be what
- * there is, after requests have ended in another order, and for a peer that answer_has forgotten
- * all. */
+/* Peers receive only the changes of loads since the previous message. Their sums must match the
+ * actual loads after requests end in another order than they started, and after a peer restarts. */
 static void
 test_peer_loads (void)
 {
--- a/test/router_era.c
+++ b/test/router_era.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * A store that comes back from an older copy: revisions go back and are given out again with other
- * contents, its era rises, and what was written since the copy is gone until it is written again.
+ * The store is restored from an older copy: its revisions go back and are reused for other
+ * contents, its era increases, and what was written after the copy is missing until it is written
+ * again.
  */
 #include "test/router_tests.h"
 
@@ -10,7 +11,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* What the stand-in's revisions are once start() is through: two servers, one configuration. */
+/* Revisions of the stand-in store after start(): two servers are listed, then the configuration is
+ * published. */
 #define SERVER_A_REVISION 1
 #define SERVER_B_REVISION 2
 #define CONFIG_REVISION 3
@@ -28,7 +30,7 @@
   control_store ("/era?7");
   testbed_publish (&testbed);
   CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
-  /* The era is known before anything goes wrong. */
+  /* Wait until the router has learned the era. */
   fleet_sleep (1100);
 }
 
@@ -48,9 +50,9 @@
   return answer.status;
 }
 
-/* A key is taken away under a revision that had stood for something else, which the router had read
- * up to; by the time it asks again the store is past that. It asked from where it was on and missed
- * the change: the key worked on without end. */
+/* A key is revoked at a revision number that the router had already read with other contents. When
+ * the router polls again, the store is past that revision; polling on from its old position, the
+ * router missed the change and kept accepting the key. */
 static void
 test_revision_reused (void)
 {
@@ -72,7 +74,7 @@
   testbed_stop (&testbed);
 }
 
-/* The copy answer_has the configuration before the last one. */
+/* The copy contains the previous configuration, which must not become active again. */
 static void
 test_configuration_kept (void)
 {
@@ -81,7 +83,7 @@
   testbed_publish (&testbed);
   for (int i = 0; i < 100 && status_of ("stays", NULL) != 401; i++)
     fleet_sleep (20);
-  for (int twice = 0; twice < 2; twice++)
+  for (int round = 0; round < 2; round++)
     {
       restore (CONFIG_REVISION);
       for (int i = 0; i < 20; i++)
@@ -90,7 +92,8 @@
           fleet_sleep (20);
         }
     }
-  /* Written again as it was, it is the same; what comes after it is new. */
+  /* The configuration is written again with the same version and contents, then a newer one, which
+   * becomes active. */
   testbed.version -= 3;
   testbed_publish (&testbed);
   testbed.has_key = true;
@@ -101,7 +104,8 @@
   testbed_stop (&testbed);
 }
 
-/* A server that left since the copy stands in it as if it were ready. */
+/* The copy lists a server as ready that was drained or removed after the copy. The router must not
+ * use it. */
 static void
 test_removed_since_copy (void)
 {
@@ -117,7 +121,8 @@
       fleet_sleep (10);
     }
   CU_ASSERT_PTR_NULL (strstr (server_log (0), "drained"));
-  /* The other one left without a word. The first one's next life may be used. */
+  /* The other server is removed without draining first. The first server's next incarnation may be
+   * used. */
   kill (testbed.servers[0].pid, SIGKILL);
   while (!testbed_restart_servers (&testbed))
     fleet_sleep (10);
@@ -132,7 +137,7 @@
       fleet_sleep (10);
     }
   CU_ASSERT_PTR_NULL (strstr (server_log (1), "removed"));
-  /* One that is listed on and on lives after all. */
+  /* A server that keeps being listed after the restore is used again after some time. */
   for (int i = 0; i < 400 && !strstr (server_log (1), "lives"); i++)
     {
       status_of ("lives", NULL);
@@ -142,7 +147,8 @@
   testbed_stop (&testbed);
 }
 
-/* A server that came after the copy is missing in it until it writes its entry again. */
+/* A server that was added after the copy is missing in it until it writes its entry again. It stays
+ * in use. */
 static void
 test_missing_in_copy (void)
 {
@@ -160,16 +166,16 @@
   testbed_stop (&testbed);
 }
 
-/* What can't be read changes nothing; no header at all is the era before. */
+/* An invalid era is ignored; an answer without the header belongs to the current era. */
 static void
 test_bad_era (void)
 {
   static const char *const bad[] = { "x", "-1", "8%20", "8;9", "99999999999999999999", "0x8" };
-  int begun;
+  int era_changes;
 
   start_in_era ();
-  /* A router whose first answer came before the store had an era answer_has seen that begin. */
-  begun = testbed_count_logged (&testbed, 0, " store_era ");
+  /* The router may have logged the first era if its first answer came before the store had one. */
+  era_changes = testbed_count_logged (&testbed, 0, " store_era ");
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
     {
       char target[64];
@@ -186,12 +192,12 @@
   for (int i = 0; i < 100 && status_of ("none", NULL) != 401; i++)
     fleet_sleep (20);
   CU_ASSERT_EQUAL (answer.status, 401);
-  CU_ASSERT_EQUAL (testbed_count_logged (&testbed, 0, " store_era "), begun);
+  CU_ASSERT_EQUAL (testbed_count_logged (&testbed, 0, " store_era "), era_changes);
   testbed_stop (&testbed);
 }
 
-/* One router asks the store in the former era's time, another starts in the new one: what they tell
- * each other is ordered by the era. */
+/* One router still reads the former era, another one starts in the new era: what they send each
+ * other is ordered by era. */
 static void
 test_routers_of_two_eras (void)
 {
@@ -199,7 +205,7 @@
   for (int i = 0; i < 20; i++)
     control_store ("/put?servers/none");
   fleet_sleep (300);
-  /* The first router is away while the store comes back. */
+  /* The first router is stopped while the store is restored. */
   kill (testbed.routers[0].pid, SIGSTOP);
   restore (CONFIG_REVISION);
   testbed_list_server (&testbed, 0, "draining");
--- a/test/router_maps.c
+++ b/test/router_maps.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * The router before a group of ranks: its expert maps follow what is asked for, and
- * no call is broken by it.
+ * The router with a group of ranks: expert maps follow the demand for experts, and no stream breaks
+ * because of a change.
  */
 #include "test/router_tests.h"
 
@@ -14,7 +14,7 @@
 
 #define CALLERS 6
 
-/* Streams one after the other, over router @p r, until told to stop. */
+/* A thread that requests one stream after the other from router @p r. */
 struct caller
 {
   pthread_t thread;
@@ -76,7 +76,7 @@
   return complete;
 }
 
-/* Waits until the group has changed its map so often. */
+/* Waits until the group has changed its map @p changes times. @return false after 10 s. */
 static bool
 wait_changes (long changes)
 {
@@ -101,7 +101,7 @@
   CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
   start_callers (callers, 0);
   CU_ASSERT (wait_changes (1));
-  /* What is asked for shifts: the map follows. */
+  /* Demand shifts to other experts, and the map follows. */
   changes = testbed_group_state (&testbed, "changes");
   testbed_fetch (testbed.ranks[0], "GET", "/state?shift=7", "");
   CU_ASSERT (wait_changes (changes + 1));
@@ -111,8 +111,8 @@
   testbed_stop (&testbed);
 }
 
-/* The map still follows a shift, all ranks had one map throughout, and the group never stood for
- * long. */
+/* Checks that the map still follows a shift, that all ranks had the same map in each pass, and that
+ * the group never stalled for 3 s. */
 static void
 check_recovered (struct caller *callers)
 {
@@ -126,7 +126,7 @@
   testbed_stop (&testbed);
 }
 
-/* Starts two routers before a group, with callers at the second. */
+/* Starts two routers and a group. The first router leads, and all callers use the second. */
 static void
 start_with_leader (struct caller *callers, void (*start_world) (struct testbed *))
 {
@@ -139,7 +139,7 @@
   start_callers (callers, 1);
 }
 
-/* Orders get lost or come late, and the router that leads is killed again and again. */
+/* Orders are executed late and never answered, and the leading router is killed repeatedly. */
 static void
 test_maps_with_faults (void)
 {
@@ -157,14 +157,14 @@
       fleet_end (&testbed.routers[0].pid, SIGKILL);
       testbed_start_router (&testbed, 0);
     }
-  /* Calm again: late orders are over, and the map follows once more. */
+  /* No order is delayed any more, and the delayed ones have been executed. */
   testbed_fetch (testbed.ranks[0], "GET", "/state?late=0", "");
   fleet_sleep (2000);
   check_recovered (callers);
 }
 
-/* The router that leads is away while demand shifts, with a change held, armed or half done;
- * another one leads meanwhile. On waking it believes nothing of what it knew. */
+/* The leading router is suspended while demand shifts, with a map change held, armed or partly
+ * done; another router leads meanwhile. After resuming it must discard its old state. */
 static void
 test_leader_suspended (void)
 {
@@ -188,8 +188,8 @@
   check_recovered (callers);
 }
 
-/* The router that leads is stopped while the group stands for it. The one that would lead next does
- * not wait for the link to be silent for a second, nor for reports that lag. */
+/* The leading router is stopped while the group is held for it. The next leader takes over before
+ * the link counts as silent (0.8 s), and does not wait for delayed reports. */
 static void
 test_leader_stalled (void)
 {
--- a/test/router_quarantine.c
+++ b/test/router_quarantine.c
@@ -1,16 +1,15 @@
 /**
  * @file
- * Requests under which endpoints end.
+ * Requests that crash endpoints are quarantined.
  *
- * What users saw: for a quarter of a minute three streams in ten were refused or failed, while one
- * endpoint after the other ended and started anew, eight in all, each taking its group of ranks
- * with it for three seconds. One caller's request ended each endpoint that began to run it. It was
- * sent to another endpoint at once, which ended too; and it came again every few seconds under a
- * new id, at whichever router, where nothing was known of it.
+ * The failure: one caller's request crashed each endpoint that began to run it, eight in a row.
+ * Each crash stopped the endpoint's group of ranks for 3 s, and three streams in ten were rejected
+ * or failed for 15 s. The router resent the request to another endpoint, and the caller repeated it
+ * every few seconds under new ids at any of five routers.
  *
- * The cause: what a request met was kept with its submission and freed with it. The evidence: of
- * the requests whose connections broke off together, one of the same account, target and body was
- * among them each time, at five routers, under six ids, and had given no event yet; the others had.
+ * The cause: evidence about a request was kept with one submission of it and freed at its end, so
+ * nothing connected the submissions. What they have in common: account, target and body, and that
+ * no event had been sent when the connection broke.
  */
 #include "test/router_tests.h"
 
@@ -20,13 +19,13 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Ends that prove it: from then on no endpoint is to get the request. */
+/* After so many crashes no endpoint may receive the request any more. */
 #define CRASHES_MAX 3
 
 #define SUBMISSIONS 6
 
-/* Starts what answer_has ended anew, and waits until both routers have it. @return how many ended.
- */
+/* Restarts the servers that crashed, and waits until both routers have listed them. @return how
+ * many had crashed. */
 static int
 restart_servers (void)
 {
@@ -43,7 +42,7 @@
   return count;
 }
 
-/* The same request under further ids, at either router in turn. */
+/* Repeats a request that crashes its endpoint, under new ids, at both routers in turn. */
 static void
 check_quarantined (const char *path, const char *action)
 {
@@ -60,7 +59,7 @@
       crashes += restart_servers ();
       CU_ASSERT (!proved || (answer.status == 503 && answer_has ("Retry-After:")));
       CU_ASSERT (!proved || testbed_count_runs (&testbed, id) == 0);
-      /* Others are served all the while. */
+      /* Other requests are still served. */
       snprintf (id, sizeof id, "calm-%d", i);
       testbed_call_at (&testbed, i % 2, id, "/safe/calm", NULL, "", &answer);
       CU_ASSERT_EQUAL (answer.status, 200);
@@ -74,11 +73,11 @@
 {
   check_quarantined ("/safe/ends", "*=end");
   check_quarantined ("/stream/ends", "*=streamend");
-  /* One that may not be repeated crashes one endpoint a submission. */
+  /* A request that may not be repeated crashes at most one endpoint per submission. */
   check_quarantined ("/once/ends", "*=end");
 }
 
-/* A router that comes learns from its peers what is kept away. */
+/* A router that starts learns from its peers which requests are quarantined. */
 static void
 test_new_router (void)
 {
@@ -101,7 +100,7 @@
   testbed_stop (&testbed);
 }
 
-/* Connections that end under a request at endpoints that stand say nothing of the request. */
+/* A connection reset by an endpoint that keeps running is no evidence against the request. */
 static void
 test_reset_only (void)
 {
@@ -118,8 +117,7 @@
   testbed_stop (&testbed);
 }
 
-/* An end, an answer, an end: a request that is asked often, at endpoints that end for another
- * reason. */
+/* A frequent request is answered between crashes that have another cause: the answer clears it. */
 static void
 test_cleared (void)
 {
@@ -139,8 +137,7 @@
   testbed_stop (&testbed);
 }
 
-/* @return the server that answer_has a request, once the second router knows that it answer_has
- * one. */
+/* @return the server that runs a request, once the second router's metrics show it there. */
 static int
 server_with (const char *id)
 {
@@ -158,11 +155,11 @@
         return s;
       fleet_sleep (10);
     }
-  CU_FAIL ("the second router does not know of the request");
+  CU_FAIL ("the second router does not show the request in its metrics");
   return s;
 }
 
-/* A copy of the request that waits at an endpoint is taken back once two others have ended. */
+/* A copy of the request that is running is aborted once other copies have crashed two endpoints. */
 static void
 test_copy_aborted (void)
 {
--- a/test/router_stop.c
+++ b/test/router_stop.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Planned stops of the router: whoever is still with it gets a true answer, also
- * where the stop is cut short.
+ * Planned stops of the router: each caller that is still connected gets an answer that states
+ * correctly whether its request may have run, also if the stop is cut short.
  */
 #include "test/router_tests.h"
 
@@ -30,7 +30,7 @@
     fleet_sleep (10);
   kill (testbed.routers[0].pid, SIGTERM);
   CU_ASSERT (testbed_wait_ready (&testbed, 0, false));
-  /* A caller that still answer_has the address is served too. */
+  /* A caller that still uses the router's address is served too. */
   testbed_call (&testbed, "p2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT (answer_has ("Connection: close"));
@@ -48,7 +48,7 @@
   testbed_stop (&testbed);
 }
 
-/* Writes a request. @return its connection. */
+/* Sends a request. @return its connection. */
 static int
 begin_request (const char *path, const char *version, const char *id, const char *action)
 {
@@ -62,7 +62,7 @@
   return fd;
 }
 
-/* A request on a connection that is left open. @return its socket, once it runs. */
+/* Sends a request that is never answered. @return its socket, once a server has the request. */
 static int
 hold_request (const char *id)
 {
@@ -72,11 +72,10 @@
   return fd;
 }
 
-/* What users saw: a request was taken 5.2 s after SIGTERM and cut 2.5 s later, in the middle of its
- * answer, when the time to stop (8 s) was over. Events: callers that kept the address came late;
- * the router took whatever came and gave up all at its end. That was mended for streams, by a fixed
- * 5 s; a plain request whose endpoint is slow was still taken with less time left than it may
- * last. Cause: the time left was not held against the time that the request may take. */
+/* The failure: during a stop the router accepted a request 5.2 s after SIGTERM and cut its
+ * answer 2.5 s later, at the end of the grace period of 8 s. The cause: the router did not compare
+ * the time left with the time that the request may take. A fixed limit of 5 s, for streams only,
+ * still accepted plain requests that could outlast the stop. */
 static void
 check_late_in_stop (const char *path, const char *action)
 {
@@ -90,7 +89,7 @@
   CU_ASSERT (testbed_wait_ready (&testbed, 0, false));
   fleet_sleep (500);
   held[1] = hold_request ("p2");
-  /* A request may last 1.5 s here, of the 3 s that the stop may take: first they are taken. */
+  /* A request may take 1.5 s here, of the 3 s of the grace period: early requests are accepted. */
   do
     {
       snprintf (id, sizeof id, "l%d", served);
@@ -100,12 +99,12 @@
     }
   while (answer.status == 200 && answer.complete);
   CU_ASSERT (served > 0);
-  /* With less time left they go elsewhere, and have not run. */
+  /* With less time left the router rejects requests, and they have not run. */
   CU_ASSERT_EQUAL (answer.status, 503);
   CU_ASSERT (answer_has ("Retry-After:"));
   CU_ASSERT_EQUAL (testbed_count_runs (&testbed, id), 0);
   CU_ASSERT (testbed_logged (&testbed, 0, "reason=leaving"));
-  /* What was taken in time gets its final answer. */
+  /* A request that was accepted in time gets its final answer. */
   testbed_read (held[1], &answer);
   CU_ASSERT (answer.status == 504 && answer.complete);
   close (held[0]);
@@ -126,7 +125,7 @@
   check_late_in_stop ("/safe/x", NULL);
 }
 
-/* The first router answer_has other settings. */
+/* Starts the testbed and restarts the first router with other settings. */
 static void
 start_with_settings (const char *grace, uint32_t wait_ms)
 {
@@ -136,7 +135,7 @@
   restart_router ();
 }
 
-/* Writes a request. @return its connection, once a server answer_has the request. */
+/* Sends a request. @return its connection, once a server has the request. */
 static int
 run_request (const char *path, const char *version, const char *id, const char *action)
 {
@@ -147,7 +146,7 @@
   return fd;
 }
 
-/* Waits until a stream's first event answer_has come to the caller, and leaves it to be read. */
+/* Waits until the first event of a stream has reached the caller, and leaves it to be read. */
 static void
 wait_first_event (int fd)
 {
@@ -166,7 +165,7 @@
   CU_ASSERT (begun);
 }
 
-/* Reads to the connection's end. */
+/* Reads until the connection closes, and closes it. */
 static void
 read_to_end (int fd)
 {
@@ -206,7 +205,8 @@
   CU_ASSERT (testbed_logged (&testbed, 0, line));
 }
 
-/* Begun: what came stays, and that it ended too soon shows. */
+/* A stream that has begun keeps the events that were sent, and its missing last chunk shows that it
+ * was cut. */
 static void
 expect_truncated (int fd, const char *id)
 {
@@ -221,7 +221,8 @@
   CU_ASSERT (testbed_logged (&testbed, 0, line));
 }
 
-/* The requests that are under way when a stop comes to its end, each of another kind. */
+/* Ends a stop while requests of several kinds are in progress, by a second signal or by the end of
+ * the grace period. */
 static void
 check_stop_with_requests (bool by_signal)
 {
@@ -231,7 +232,7 @@
   int partly;
   int idle;
 
-  /* The model's service answer_has no endpoints: what asks for it waits. */
+  /* The service of /model/ has no endpoints, so that this request waits. */
   start_with_settings (by_signal ? "grace_s = 3" : "grace_s = 1.2", 10000);
   idle = testbed_connect (&testbed, 0);
   waiting = begin_request ("/model/x", "HTTP/1.1", "e-waits", "mute");
@@ -265,9 +266,9 @@
   testbed_stop (&testbed);
 }
 
-/* Callers that keep an address come just after the signal. A plain request that states no deadline
- * may take as long as its route allows, 6 s here, as long as the complete stop; it seldom takes a
- * tenth of that, so it is served. */
+/* Callers that still use a router's address connect just after the signal. A plain request without
+ * a deadline may take as long as its route allows, here 6 s, which is the complete grace period;
+ * most take less than a tenth of that, so it is served. */
 static void
 test_early_in_stop (void)
 {
@@ -290,12 +291,11 @@
   testbed_stop (&testbed);
 }
 
-/* What users saw: a router that got a second SIGTERM, or whose time to stop was over, closed what
- * it held without a word, and often crashed (SIGSEGV in 6 of 6 stops with 4 requests held). Events:
- * the callers' connections were freed first; then those to endpoints were closed, which ended each
- * request as cut: it was sent to another endpoint, or answered on the freed connection. Evidence:
- * lines of forward_resent after that of stopped; a heap-use-after-free in the exchange's answer,
- * below the end of its call. Cause: no request was ended before what it stands on. */
+/* The failure: after a second SIGTERM or at the end of the grace period, the router closed its
+ * connections without answers, and often crashed (SIGSEGV in 6 of 6 stops with 4 requests in
+ * progress). The cause: callers' connections were freed before the requests on them were ended.
+ * Closing the connections to endpoints then ended each request as disconnected, which resent it or
+ * answered on the freed connection (a heap-use-after-free). */
 static void
 test_second_signal (void)
 {
@@ -308,7 +308,7 @@
   check_stop_with_requests (false);
 }
 
-/* An address that takes no connection and refuses none: its queue is full. */
+/* An address that neither accepts nor refuses connections, since its listen queue is full. */
 struct full_address
 {
   int listener;
@@ -344,8 +344,7 @@
     close (full->waiting[i]);
 }
 
-/* A request whose connection is not up yet answer_has surely not run, though an endpoint was
- * chosen. */
+/* A request whose connection to the endpoint is not established yet has certainly not run. */
 static void
 test_stop_while_connecting (void)
 {
@@ -382,7 +381,7 @@
   testbed_stop (&testbed);
 }
 
-/* Two requests in one write. @return their connection, once a server answer_has the first. */
+/* Sends two requests in one write. @return their connection, once a server has the first. */
 static int
 send_two (const char *first, const char *action, const char *second)
 {
@@ -398,10 +397,9 @@
   return fd;
 }
 
-/* Two requests were written at once. The first one's answer said that the connection closes, and
- * the second, read complete by then, got none: a caller that sent it ahead can't tell whether it
- * ran.
- */
+/* The failure: of two pipelined requests the first one's answer had "Connection: close", and the
+ * second one, completely read by then, got no answer, so that its caller could not tell whether it
+ * had run. */
 static void
 test_stop_pipelined (void)
 {
@@ -416,7 +414,7 @@
   CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "q-second"), 1);
   CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
   testbed_stop (&testbed);
-  /* At the stop's end: the first may have run, the second answer_has not. */
+  /* At the end of the stop the first request may have run, the second one has not. */
   start ();
   fd = send_two ("q-third", "mute", "q-fourth");
   kill (testbed.routers[0].pid, SIGTERM);
@@ -430,8 +428,8 @@
   testbed_stop (&testbed);
 }
 
-/* Answered, and with 503 only if it did not run: whether it was read before the
- * signal or after is the loop's choice. */
+/* Checks that a request is answered, and with 503 only if it did not run. Whether the router read
+ * it before or after the signal depends on the order of events in its loop. */
 static void
 expect_truthful_answer (int fd, const char *id)
 {
@@ -443,7 +441,7 @@
     CU_ASSERT_EQUAL (testbed_count_runs (&testbed, id), 0);
 }
 
-/* A connection that rests after a request. */
+/* Makes a call on a connection and leaves it open and idle. @return the connection. */
 static int
 connect_kept (void)
 {
@@ -455,10 +453,10 @@
   return fd;
 }
 
-/* Requests that have arrived, unread, when the router learns that it is to stop. What callers saw:
- * a reset, on a connection that rested and was closed for being idle with their request unread, and
- * on a new one that was closed just as it was accepted. The router is held while they are written,
- * so that it sees all of it in one turn. */
+/* The failure: callers saw a connection reset if their request had arrived, unread, when the router
+ * began to stop: on an idle connection that was closed, or on a new one that was closed on accept.
+ * The router's process is stopped while the requests are sent, so that it sees requests and signal
+ * in one iteration of its loop. */
 static void
 test_stop_unread_requests (void)
 {
@@ -481,11 +479,11 @@
   CU_ASSERT (answer.status == 200 && answer.complete && answer_has ("Connection: close"));
   close (kept);
   close (fresh);
-  /* One that rested and that nothing was written on is closed. */
+  /* An idle connection without a request is closed. */
   testbed_read (idle, &answer);
   CU_ASSERT_EQUAL (answer.status, 0);
   close (idle);
-  /* One that is new waits for its request, over some turns of the loop. */
+  /* A new connection is kept for its request, over several iterations of the loop. */
   fresh = testbed_connect (&testbed, 0);
   fleet_sleep (250);
   testbed_send (fresh, "GET /once/x HTTP/1.1\r\n" HEAD "c-new\r\n\r\n");
@@ -494,7 +492,7 @@
   close (fresh);
   CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
   testbed_stop (&testbed);
-  /* The same at the end. */
+  /* The same, when a second signal ends the stop. */
   start ();
   kept = connect_kept ();
   kill (testbed.routers[0].pid, SIGSTOP);
@@ -509,13 +507,13 @@
   testbed_stop (&testbed);
 }
 
-/* Signals at odd moments: none leaves a caller without an answer or ends the process badly. */
+/* Signals at unusual moments must not leave a caller without an answer or crash the process. */
 static void
 test_stop_signals (void)
 {
   int fd;
 
-  /* Before there is a configuration. */
+  /* While there is no configuration. */
   testbed_start (&testbed);
   fd = begin_request ("/safe/x", "HTTP/1.1", "n-1", "ok");
   testbed_read (fd, &answer);
@@ -526,12 +524,12 @@
   testbed_call (&testbed, "n-2", "/safe/x", NULL, "", &answer);
   CU_ASSERT (answer.status == 503 && answer.complete);
   CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
-  /* Twice, before anything else. */
+  /* Two signals directly after the start. */
   testbed_start_router (&testbed, 0);
   kill (testbed.routers[0].pid, SIGTERM);
   kill (testbed.routers[0].pid, SIGINT);
   CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
-  /* New settings while it stops. */
+  /* Settings are reloaded during the stop. */
   testbed_publish (&testbed);
   testbed_start_router (&testbed, 0);
   CU_ASSERT (testbed_wait_ready (&testbed, 0, true));
@@ -547,9 +545,8 @@
   testbed_stop (&testbed);
 }
 
-/* Told to stop as soon as it could be connected to, a router was ended by the signal instead, 193
- * times of 200: its addresses were open before it watched for signals. Callers who were that quick
- * saw a reset. */
+/* The failure: a SIGTERM sent as soon as the router could be connected to killed it, in 193 of 200
+ * starts, because it listened before it handled signals. Callers that had connected saw a reset. */
 static void
 test_stop_at_start (void)
 {
--- a/test/router_store.c
+++ b/test/router_store.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * What the router learns from the store and from its peers: endpoints that come, leave
- * and lapse, and questions that no answer comes to.
+ * What the router learns from the store and from its peers: endpoints that are added, leave, or
+ * whose entries expire, and polls that are never answered.
  */
 #include "test/router_tests.h"
 
@@ -23,7 +23,8 @@
       CU_ASSERT_EQUAL (answer.status, 200);
     }
   CU_ASSERT_PTR_NULL (strstr (server_log (0), "g1"));
-  /* Gone from the list without a word: gone too. */
+  /* The entry of server B is removed without a draining state before: the server is not used any
+   * more. */
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
   fleet_sleep (200);
   testbed_call (&testbed, "g2", "/safe/x", NULL, "", &answer);
@@ -41,7 +42,8 @@
   CU_ASSERT (testbed_logged (&testbed, 0, "platform_down"));
   testbed_call (&testbed, "w1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  /* While it is away the servers' entries lapse, though they live; they are used on. */
+  /* While the store is unavailable the servers' entries expire although the servers still run. The
+   * router keeps using the servers. */
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-A1", "");
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
   testbed_fetch (testbed.store_port, "PUT", "/mode?ok", "");
@@ -50,11 +52,12 @@
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_list_server (&testbed, 0, "ready");
   fleet_sleep (2500);
-  /* The one that did not come back is gone, the other is not. */
+  /* The server that was not listed again is not used any more, the other one is. */
   testbed_call (&testbed, "w3", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_PTR_NULL (strstr (server_log (1), "w3"));
-  /* What is missing from now on answer_has not lapsed: it is gone at once. */
+  /* From now on a missing entry was removed, not expired: its endpoint is not used any more, at
+   * once. */
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-A1", "");
   fleet_sleep (200);
   testbed_call (&testbed, "w4", "/safe/x", NULL, "", &answer);
@@ -63,7 +66,8 @@
   testbed_stop (&testbed);
 }
 
-/* @return the value of a metric_value without labels. */
+/* @return the value of a metric without labels, or -1. @p name with the newline before it and the
+ * braces. */
 static long
 metric_value (int r, const char *name)
 {
@@ -73,8 +77,8 @@
   return line ? strtol (line + strlen (name), NULL, 10) : -1;
 }
 
-/* Many endpoints start one after the other. Each adds its entry by itself, and still a router
- * asks a few times only; the last of them is soon known. */
+/* Many endpoints start one after the other, each adding its own entry. The router still makes only
+ * a few calls, and soon knows the last endpoint. */
 static void
 test_endpoints_burst (void)
 {
@@ -103,8 +107,8 @@
   testbed_stop (&testbed);
 }
 
-/* The store takes questions and says nothing; the entries lapse, and that is the first that
- * it tells when it is back. */
+/* The store accepts polls and does not answer. The entries expire meanwhile, so the first answer
+ * after the outage reports them as removed. */
 static void
 test_store_silent (void)
 {
@@ -122,7 +126,7 @@
   testbed_stop (&testbed);
 }
 
-/* Waits until a round of requests passes server @p s by. @return false after some 10 s. */
+/* Waits until none of 16 requests in a row reaches server @p s. @return false after about 10 s. */
 static bool
 wait_unused (int s)
 {
@@ -141,7 +145,8 @@
   return false;
 }
 
-/* Waits until no server is used any more. @return false after some 10 s. */
+/* Waits until no server is used any more, so that requests are rejected. @return false after about
+ * 10 s. */
 static bool
 wait_refused (void)
 {
@@ -172,11 +177,10 @@
   testbed_stop (&testbed);
 }
 
-/* What a review saw: an endpoint that left while the store's history was lost was never noticed
- * and went on getting requests. Events: the endpoint's entry was removed; the watch was answered
- * with 410; the complete listing lacked the entry. Evidence: no endpoint_missing, and a use after
- * free under the address sanitizer. Cause: the entry of the old listing was freed before the
- * endpoint of that name was looked up by the entry's own id. */
+/* The failure: an endpoint whose entry was removed while the store lost its history kept getting
+ * requests. The watch was answered with 410 (revision no longer available), and the new list lacked
+ * the entry. The router freed the old entry before it looked up the endpoint by the entry's id (a
+ * use after free), and so missed the removal. */
 static void
 test_history_lost_removal (void)
 {
@@ -204,7 +208,7 @@
   start ();
   testbed_start_router (&testbed, 1);
   CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
-  /* A router that starts while the store is away learns all from its peer. */
+  /* A router that starts while the store is unavailable gets all data from its peer. */
   testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
   fleet_end (&testbed.routers[0].pid, SIGKILL);
   testbed_start_router (&testbed, 0);
@@ -215,10 +219,11 @@
   testbed_stop (&testbed);
 }
 
-/* Longer than the test's patience: only what notices the silence by itself ends these waits. */
+/* Longer than the tests wait: a poll that is lost must be detected in another way than by its
+ * time-out. */
 #define LONG_WAIT_MS 25000
 
-/* The first router's questions wait long at the store, and are there. */
+/* Restarts the first router with polls that wait long, and waits until they are at the store. */
 static void
 start_with_long_polls (void)
 {
@@ -229,7 +234,8 @@
   fleet_sleep (200);
 }
 
-/* The first router's questions wait for good, the second one asks anew after a second at most. */
+/* The first router's polls are lost without an error; the second router repeats its polls after 0.3
+ * s at most. */
 static void
 start_with_lost_polls (void)
 {
@@ -243,8 +249,8 @@
   CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
 }
 
-/* The first router is stopped; the second one answer_has not heard that a server answer_has left.
- */
+/* Stops the first router and removes server B's entry while the second router's polls are lost, so
+ * that its list is out of date. */
 static void
 start_with_stale_peer (void)
 {
@@ -258,8 +264,8 @@
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
 }
 
-/* Publishes a configuration and that a server leaves. @return whether the first router takes both.
- */
+/* Publishes a configuration and marks a server as draining. @return whether the first router
+ * applies both. */
 static bool
 applies_changes (void)
 {
@@ -273,33 +279,32 @@
   return testbed_wait_logged (&testbed, 0, "endpoint_leaving") && has_version;
 }
 
-/* What users saw: for 20 s one router denied their new keys and routes (401, 404) although the
- * store had them; its six peers had each change within 30 ms. Events: it was cut off from the
- * store with its questions waiting there. The question for the configuration may wait for
- * 20 s, so it was given up after 21.5 s, 5 s after the cut was over. Until then the reader counted
- * as answered, since its last question had been, and what peers told in each heartbeat was
- * left aside; the list's reader, back after the cut within 0.3 s, changed nothing for it.
- * Evidence: "behind_peers ... newest=116 for_ms=11483 store_answers=1 age_ms=12263" of such a run,
- * and "platform_down part=0 ... age_ms=21495", 44 ms before the newest version was in force. Cause:
- * silence counted as having nothing to tell. */
+/* The failure: one router rejected new keys and routes (401, 404) for 20 s although the store had
+ * them; its six peers had each change within 30 ms. The router had been cut off from the store
+ * while its polls were pending there. The poll of the configuration may wait for 20 s, so the
+ * router abandoned it only 5 s after the connection was restored. Until then the reader counted as
+ * up to date, since its previous poll had been answered, and ignored the newer version in its
+ * peers' heartbeats. The list's reader had reconnected within 0.3 s, without effect on the
+ * configuration's. The cause: a pending poll without an answer was taken as proof that there is
+ * nothing new. */
 static void
 test_store_watch_silent (void)
 {
-  /* Nobody else reads: the question itself must not be trusted for long. */
+  /* No peer reads the store: the router itself must limit how long it trusts a pending poll. */
   start_with_long_polls ();
   testbed_fetch (testbed.store_port, "PUT", "/deafen", "");
   CU_ASSERT (applies_changes ());
   testbed_stop (&testbed);
-  /* A peer answer_has what did not come here, and nobody asks often. */
+  /* A peer has the change that did not arrive here, and the first router's own polls wait long. */
   start_with_lost_polls ();
   CU_ASSERT (applies_changes ());
   testbed_stop (&testbed);
 }
 
-/* What a review saw: two servers that left at the same moment got requests from a router whose
- * question was silent until it ended, though its peer knew; one alone was noticed within a second.
- * Evidence: no endpoint_leaving within 10 s, and no behind_peers. Cause: the digests of the lists
- * were equal, since an even number of complements cancels out in an XOR. */
+/* The failure: two servers that left at the same moment got requests until the router's lost poll
+ * timed out, although its peer had the change; a single one was detected within a second. The
+ * cause: a list's digest was an XOR of entries, in which two complemented entries cancel out, so
+ * that both routers' digests were equal. */
 static void
 test_two_drain (void)
 {
@@ -310,10 +315,9 @@
   testbed_stop (&testbed);
 }
 
-/* What users saw: callers with new keys were told 401, which nobody tries again, by a router that
- * its peers had told of a newer configuration. Evidence: "410 forward_denied ... status=401
- * version=132" between two lines of "210 behind_peers". Cause: a denial was final though the router
- * knew that what it went by was old. */
+/* The failure: callers with new keys got 401, which clients don't retry, from a router whose peers
+ * had reported a newer configuration. The cause: a denial was final although the router knew that
+ * its configuration was out of date. */
 static void
 test_denied_by_old_configuration (void)
 {
@@ -326,8 +330,8 @@
   do
     testbed_call (&testbed, "old-1", "/safe/x", NULL, "", &answer);
   while (answer.status == 200);
-  /* The key comes back: once this router knows that there is something newer, it may not say
-   * that there is none. Its question for that is at the store by now. */
+  /* The key is published again. Once the router knows that there is a newer configuration, it must
+   * not answer 401. The poll that could learn of the key is at the store by now, and gets lost. */
   fleet_sleep (300);
   testbed_fetch (testbed.store_port, "PUT", "/deafen", "");
   testbed.has_key = true;
@@ -344,11 +348,11 @@
   testbed_stop (&testbed);
 }
 
-/* What a review saw: a server that had left got requests for as long as a router ran that started
- * after it. Events: the new router asked the store for the complete list; before the answer a peer
- * whose own watch was silent gave it an older list that still had the server; the store's answer
- * lacked it. Evidence: no endpoint_missing for the server in 10 s after the store's answer.
- * Cause: what the peer told counted as listed by the store, as both lists went by one number. */
+/* The failure: a router that had just started kept sending requests to a server that had been
+ * removed. It requested the complete list from the store; before the answer, a peer with an
+ * outdated list sent that list, which still had the server; the store's answer lacked it. The
+ * cause: entries from the peer counted as listed by the store, since both lists used the same
+ * listing number. */
 static void
 test_peer_list_during_listing (void)
 {
@@ -370,7 +374,8 @@
   return metric_value (r, "\nash_store_calls_total{} ");
 }
 
-/* Waits until a router's questions wait for long. @return false after some 10 s. */
+/* Waits until a router makes no store call for 2 s, so that its polls wait long. @return false
+ * after about 10 s. */
 static bool
 wait_polls_pending (int r)
 {
@@ -385,8 +390,8 @@
   return false;
 }
 
-/* What a review saw: with one of the few routers gone that ask often, the one that takes its place
- * let its own question wait on, up to 20 s at the store, so for that time one fewer asked often. */
+/* The failure: when one of the few routers that poll often was lost, the router that takes its
+ * place left its own long poll pending, up to 20 s, and only then polled often. */
 static void
 test_poller_replaced (void)
 {
@@ -408,11 +413,10 @@
   testbed_stop (&testbed);
 }
 
-/* What a review saw: a router that was started while the store took more than 300 ms for an answer
- * was never ready, and one that ran never heard of a change again after one failure. Events: after
- * a failure, or at the start, an answer was waited for for 300 ms, given up, and asked for again,
- * all the same each time. Evidence: not ready in 10 s at 500 ms an answer. Cause: the bound, meant
- * for a lost packet, did not grow. */
+/* The failure: a router that started while the store took more than 300 ms per answer never became
+ * ready (not within 10 s at 500 ms), and a running one learned of no change after one failure. The
+ * cause: the time-out of 300 ms at the start and after a failure, meant for lost packets, did not
+ * grow, so each attempt was abandoned. */
 static void
 test_store_slow (void)
 {
@@ -425,7 +429,7 @@
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT (applies_changes ());
   testbed_stop (&testbed);
-  /* One that ran answer_has its questions cut off. */
+  /* The same with a router that is running when its polls are cut off. */
   start ();
   testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
   CU_ASSERT (testbed_wait_logged (&testbed, 0, "platform_down"));
@@ -434,7 +438,8 @@
   testbed_stop (&testbed);
 }
 
-/* The entries lapse and the store is back. Once the first router knows it, callers are served. */
+/* Lets the servers' entries expire and the store answer again. Requests must still be served once
+ * the first router has seen the missing entries. */
 static void
 expire_entries_and_call (void)
 {
@@ -446,7 +451,7 @@
   CU_ASSERT_EQUAL (answer.status, 200);
 }
 
-/* The store says nothing, and what waits there is lost. */
+/* Makes the store answer nothing, and drops the polls that are pending. */
 static void
 silence_store (void)
 {
@@ -454,11 +459,10 @@
   testbed_fetch (testbed.store_port, "PUT", "/deafen", "");
 }
 
-/* What callers of a trial got: 503 although all servers lived, until they were listed again.
- * Events: the store was silent, and the entries lapsed; the question for the configuration was due
- * first, and its reader made the list's reader ask anew; the first answer told of the lapsed
- * entries. Evidence: the call after endpoint_missing got 503. Cause: only the reader whose own
- * question had been due distrusted what was missing. */
+/* The failure: callers got 503 although all servers were running, until the servers were listed
+ * again. The store was silent and the entries expired. The poll of the configuration timed out
+ * first, and its reader made the list's reader poll again; the answer lacked the expired entries.
+ * The cause: only the reader whose own poll had timed out distrusted missing entries. */
 static void
 test_silence_found_by_other_poll (void)
 {
@@ -472,11 +476,10 @@
   testbed_stop (&testbed);
 }
 
-/* The same as callers saw it, but a peer noticed the silence: its own questions wait for less
- * long. Events: with the store back the peer took the entries for lapsed, and told in its heartbeat
- * that it answer_has a newer list; this router, whose questions were lost, got it and asked the
- * store. Evidence: the call after endpoint_missing got 503. Cause: both answers were trusted, as no
- * question was due here. */
+/* The same failure, when a peer with a shorter time-out detects the silence. When the store answers
+ * again, the peer treats the entries as expired and reports a newer list in its heartbeat; this
+ * router, whose polls were lost, got that list and polled the store. The cause: it trusted both
+ * answers, since none of its own polls had timed out. */
 static void
 test_silence_found_by_peer (void)
 {
@@ -489,12 +492,12 @@
   silence_store ();
   CU_ASSERT (testbed_wait_logged (&testbed, 1, "no answer in time"));
   expire_entries_and_call ();
-  /* Those that do not come back are not used for long. */
+  /* Servers that are not listed again are not used for long. */
   CU_ASSERT (wait_refused ());
   testbed_stop (&testbed);
 }
 
-/* By name the last router of the hall. */
+/* The router whose name sorts last in the hall: the one that does not poll the store. */
 #define FOLLOWER (TESTBED_ROUTERS - 1)
 
 static bool
@@ -506,7 +509,8 @@
   return testbed_wait_logged (&testbed, FOLLOWER, text);
 }
 
-/* Starts four routers of one hall. Three of them ask the store, and the last one follows. */
+/* Starts four routers in one hall: three poll the store, and the last one (the follower) gets all
+ * changes from them. */
 static void
 start_hall (void)
 {
@@ -517,15 +521,15 @@
       CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, r, true));
     }
   CU_ASSERT (follower_logged ("store_reader", "reads=0"));
-  /* Questions that were under way then end with the first change. */
+  /* Polls that were in progress then end with the first change. */
   testbed_list_server (&testbed, 1, "draining");
   testbed_publish (&testbed);
   CU_ASSERT (follower_logged ("endpoint_leaving", "endpoint=i-B1"));
   fleet_sleep (1000);
 }
 
-/* 149 routers that all asked the store made 231 calls a second, most of them to learn of the same
- * endpoint: a price of 0.11 a day. In a hall of many a few ask, and tell the others at once. */
+/* A follower makes no store calls and still gets every change. 149 routers that all polled the
+ * store made 231 calls per second, most of them for the same endpoint, at a cost of 0.11 a day. */
 static void
 test_follower (void)
 {
@@ -544,7 +548,7 @@
   snprintf (version, sizeof version, "version=%u ", testbed.version);
   CU_ASSERT (follower_logged ("config_accepted", version));
   CU_ASSERT_EQUAL (store_calls (FOLLOWER), before);
-  /* One that asked is gone: this one asks from now on. */
+  /* When a polling router is lost, the follower takes its place. */
   fleet_end (&testbed.routers[0].pid, SIGKILL);
   CU_ASSERT (follower_logged ("store_reader", "reads=1"));
   fleet_sleep (300);
@@ -552,8 +556,8 @@
   testbed_stop (&testbed);
 }
 
-/* The store is silent, entries lapse though their endpoints live, and this router is told of it by
- * those that ask. Callers are served on, as where all ask. */
+/* The store is silent and entries expire although their endpoints are running. The follower learns
+ * of that from the routers that poll, and must still serve requests. */
 static void
 test_follower_of_silence (void)
 {
@@ -572,8 +576,8 @@
   testbed_stop (&testbed);
 }
 
-/* An entry may come from another writer, or be spoiled: it names no endpoint to use, and the others
- * hold. */
+/* An invalid entry, or one of another writer, adds no endpoint and does not affect the other
+ * entries. */
 static void
 test_foreign_entries (void)
 {
@@ -599,7 +603,7 @@
       testbed_call (&testbed, "f1", "/safe/x", NULL, "", &answer);
       CU_ASSERT_EQUAL (answer.status, 200);
     }
-  /* The entry of one that is used is spoiled: it gets nothing more. */
+  /* The entry of a used endpoint becomes invalid: the endpoint gets no more requests. */
   testbed_fetch (testbed.store_port, "PUT", "/put?servers/i-A1", "{\"State\":\"ready\"}");
   CU_ASSERT (testbed_wait_logged (&testbed, 0, "endpoint=i-A1 wrong=\"Service\""));
   for (int i = 0; i < 8; i++)
--- a/test/router_suspended.c
+++ b/test/router_suspended.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * A router whose machine was suspended: the event loop's timers and the steady clock did not count
- * that time, all others went on.
+ * A router whose machine was suspended: the event loop's timers and the monotonic clock did not
+ * count that time, all other clocks did.
  */
 #include "test/router_tests.h"
 
@@ -23,7 +23,7 @@
   CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
 }
 
-/* Stops the first router's process, as if its machine were suspended for so long. */
+/* Stops the first router's process, in place of suspending its machine. */
 static void
 suspend (void)
 {
@@ -38,7 +38,8 @@
   kill (testbed.routers[0].pid, SIGCONT);
 }
 
-/* What came meanwhile has been read: who comes now has not waited. */
+/* Waits until the router has read what arrived while it was stopped, so that the next requests
+ * count as new. */
 static void
 wait_resumed (void)
 {
@@ -46,7 +47,7 @@
   fleet_sleep (200);
 }
 
-/* A request on a connection of its own. @return the connection. */
+/* Sends a request on a new connection. @return the connection. */
 static int
 begin_call (const char *id, const char *path, const char *action, const char *more)
 {
@@ -67,8 +68,9 @@
   close (fd);
 }
 
-/* What a caller sent while the machine was suspended may be as old as that: an endpoint is
- * logged_deadline of the time that is left, and one whose caller has given up goes nowhere. */
+/* A request that was sent while the machine was suspended may be as old as the suspension: the
+ * endpoint gets only the time that is left as its deadline, and a request whose caller has given up
+ * is not sent. */
 static void
 test_deadlines (void)
 {
@@ -87,7 +89,7 @@
       fd = begin_call (id, "/any/x", "*=ok", "");
       resume (away_ms[i]);
       finish_call (fd);
-      /* The caller waits for 4 s. */
+      /* The caller's deadline is 4 s. */
       CU_ASSERT_EQUAL (answer.status, away_ms[i] < 4000 ? 200 : 503);
       CU_ASSERT_EQUAL (testbed_count_runs (&testbed, id), away_ms[i] < 4000 ? 1 : 0);
       if (away_ms[i] != 2000)
@@ -99,14 +101,14 @@
       CU_ASSERT (logged_deadline && atoi (logged_deadline + strlen (line)) <= 2000);
     }
   wait_resumed ();
-  /* All is as before for who comes now. */
+  /* New requests get their full time. */
   finish_call (begin_call ("now", "/any/x", "*=ok", ""));
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_stop (&testbed);
 }
 
-/* What was under way: its caller's time is over on waking, not when a timer of the loop has run for
- * as long as it had left. One that is asked then, with 1.5 s, is answered later. */
+/* The time of a request in progress expires on resuming, not when its timer, which did not count
+ * the suspension, fires. A request that arrives after that has its full 1.5 s. */
 static void
 test_requests_in_progress (void)
 {
@@ -129,8 +131,8 @@
   testbed_stop (&testbed);
 }
 
-/* Connections that were kept may have ended without a word: what may not be repeated does not find
- * out on one of them. */
+/* Idle connections to endpoints may have been lost without notice during the suspension: a request
+ * that may not be repeated must not be sent on one. */
 static void
 test_kept_connections (void)
 {
@@ -150,7 +152,7 @@
   testbed_stop (&testbed);
 }
 
-/* A planned stop of 3 s whose machine is suspended for 5 s is over when it wakes. */
+/* A planned stop of 3 s whose machine is suspended for 5 s ends on resuming. */
 static void
 test_suspended_in_stop (void)
 {
@@ -178,8 +180,8 @@
   testbed_stop (&testbed);
 }
 
-/* What was changed meanwhile is in force soon after, twice in a row, for routers that were all
- * away. */
+/* Changes of configuration and list during a suspension become active soon after it, twice in a
+ * row, and with all routers suspended. */
 static void
 test_changes_while_suspended (void)
 {
--- a/test/router_terms.c
+++ b/test/router_terms.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * What endpoints say in their answers about how they want to be used.
+ * What endpoints announce in their answers: rate limits, back-off, shutdown.
  */
 #include "test/router_tests.h"
 
@@ -11,10 +11,10 @@
 
 #define ROUTERS 3
 
-/* Of the stand-in's action "limit". */
+/* The rate that the stand-in server announces for the action "limit". */
 #define LIMIT_PER_S 1.0
 
-/* What is borne beyond a rate: half of it more, and five requests. */
+/* Tolerance above the rate limit: half of it, and five requests. */
 #define LIMIT_FACTOR 1.5
 #define LIMIT_SLACK 5
 
@@ -28,7 +28,7 @@
   return count_of (server_log (s), " POST ");
 }
 
-/* A call at each router in turn. @return how many were answered as the endpoint did. */
+/* Calls each router in turn, @p rounds times. @return how many calls were answered with 200. */
 static int
 call_all (const char *action, int rounds)
 {
@@ -42,7 +42,8 @@
   return served;
 }
 
-/* Until each router knows, by its own calls or from a peer. */
+/* Waits until each router has logged what the endpoint announced, learnt from an answer or from a
+ * peer. */
 static void
 wait_known (int s, const char *what)
 {
@@ -77,12 +78,13 @@
   while (ended_ms < began_ms + WINDOW_MS);
   CU_ASSERT ((arrived (0) - before) <=
              LIMIT_FACTOR * LIMIT_PER_S * (double) (ended_ms - began_ms) / MS_PER_S + LIMIT_SLACK);
-  /* The other endpoint has room for all. */
+  /* The other endpoint has capacity for all requests. */
   CU_ASSERT_EQUAL (served, calls);
   testbed_stop (&testbed);
 }
 
-/* Routers that the endpoint has told nothing, those that come later among them. */
+/* Routers that got no answer from the endpoint learn its limit from peers, also if they start
+ * later. */
 static void
 test_limit_forwarded (void)
 {
@@ -96,7 +98,7 @@
   testbed_stop (&testbed);
 }
 
-/* The endpoint gets work as before once it names no rate any more. */
+/* Once the endpoint's answers no longer have a limit, it gets requests as before. */
 static void
 test_limit_lifted (void)
 {
@@ -117,7 +119,8 @@
   testbed_stop (&testbed);
 }
 
-/* It was away when the others heard, and sends the endpoint nothing that could tell it. */
+/* A router was stopped when the others learned that the limit is lifted. It sends the endpoint no
+ * request whose answer would show that. */
 static void
 test_limit_lifted_while_stopped (void)
 {
@@ -137,7 +140,7 @@
   testbed_stop (&testbed);
 }
 
-/* Each router may find out by itself. */
+/* Each router may send one request before it learns that the endpoint wants no more for a while. */
 static void
 test_backoff_kept (void)
 {
@@ -147,7 +150,8 @@
   testbed_stop (&testbed);
 }
 
-/* The list still has it as ready, and an entry that is written again does not change that. */
+/* The store's list still has the endpoint as ready; writing that entry again must not make it used
+ * again. */
 static void
 test_leaving (void)
 {
@@ -163,7 +167,7 @@
   testbed_stop (&testbed);
 }
 
-/* A router that it has not told hears it from a peer. */
+/* A router that got no answer from the endpoint learns from a peer that the endpoint is leaving. */
 static void
 test_leaving_forwarded (void)
 {
--- a/test/router_testbed.c
+++ b/test/router_testbed.c
@@ -25,11 +25,11 @@
 connect_to (uint16_t port)
 {
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_port = htons (port) };
-  struct timeval patience = { .tv_sec = 8 };
+  struct timeval timeout = { .tv_sec = 8 };
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 
   address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
-  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   if (connect (fd, (struct sockaddr *) &address, sizeof address) < 0)
     {
       close (fd);
@@ -38,7 +38,8 @@
   return fd;
 }
 
-/* Where something that has this port is reached. */
+/* @return the port to connect to for a process that listens on @p port: the link's, if links are
+ * used. */
 static uint16_t
 reachable_port (const struct testbed *testbed, int link, uint16_t port)
 {
@@ -69,7 +70,7 @@
     }
 }
 
-/* Takes chunks apart. @return whether the last one was there. */
+/* Decodes a chunked body. @return whether the last chunk was there. */
 static bool
 join_chunks (const char *text, size_t length, char *body)
 {
@@ -91,7 +92,7 @@
   return false;
 }
 
-/* Whether the answer is complete; fills its body. */
+/* Extracts the body. @return whether the answer is complete according to its framing. */
 static bool
 is_complete (struct testbed_answer *answer, size_t length)
 {
@@ -262,8 +263,8 @@
                              server->id, (char *) NULL);
 }
 
-/* A process that ends closes what it listens on first: whoever has seen a connection to it end sees
- * this too. */
+/* A process that exits closes its listening sockets before its connections: whoever has seen one of
+ * its connections close also finds the port closed. */
 static bool
 listens (uint16_t port)
 {
@@ -354,7 +355,8 @@
   snprintf (path, 128, "%s/clock", testbed->folder);
 }
 
-/* For the next process: a clock that the test sets. A sanitizer wants to come first unless told. */
+/* Sets environment variables that give the next process a clock that the test controls.
+ * AddressSanitizer refuses to run behind another preloaded library unless told otherwise. */
 static void
 set_clock (const struct testbed *testbed)
 {
@@ -440,7 +442,7 @@
   return false;
 }
 
-/* Each link begins to take connections before what stands behind it does. */
+/* Starts a link in front of each process and waits until all links accept connections. */
 static void
 start_links (struct testbed *testbed)
 {
@@ -586,11 +588,11 @@
       return;
     }
   snprintf (command, sizeof command, "rm -rf %s", testbed->folder);
-  if (system (command) != 0) /* NOLINT: a folder of our own making */
-    fprintf (stderr, "%s is left\n", testbed->folder);
+  if (system (command) != 0) /* NOLINT: the path comes from mkdtemp() */
+    fprintf (stderr, "could not remove %s\n", testbed->folder);
 }
 
-/* ---- what was seen ---- */
+/* ---- observations ---- */
 
 int
 testbed_count_runs (struct testbed *testbed, const char *id)
--- a/test/router_testbed.h
+++ b/test/router_testbed.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A router as a real process before stand-ins of the platform, for tests: a store,
- * two servers of one service, and callers that write bytes as they like.
+ * A testbed of real processes: routers, and stand-ins for the platform, which are a store, two
+ * servers of one service and a group of ranks. Callers write raw bytes.
  */
 #ifndef ASH_TEST_ROUTER_TESTBED_H
 #define ASH_TEST_ROUTER_TESTBED_H
@@ -32,30 +32,32 @@
   pid_t pid;
   uint16_t port;
   char name[8];
-  char id[16];
+  char id[16]; /**< of the current incarnation */
   uint32_t incarnations;
 };
 
-/** What a link can stand before. */
+/** The link in front of each process; an index into testbed.links. */
 enum testbed_link_kind
 {
-  TESTBED_LINK_SERVERS,                                        /**< one a server */
-  TESTBED_LINK_RANKS = TESTBED_LINK_SERVERS + TESTBED_SERVERS, /**< one a rank */
-  TESTBED_LINK_PEERS = TESTBED_LINK_RANKS + TESTBED_RANKS, /**< one a router, from its peer_port */
-  TESTBED_LINK_CALLERS = TESTBED_LINK_PEERS + TESTBED_ROUTERS, /**< before the first router */
+  TESTBED_LINK_SERVERS,                                        /**< one per server */
+  TESTBED_LINK_RANKS = TESTBED_LINK_SERVERS + TESTBED_SERVERS, /**< one per rank */
+  TESTBED_LINK_PEERS =
+      TESTBED_LINK_RANKS + TESTBED_RANKS, /**< one per router, for links from its peers */
+  TESTBED_LINK_CALLERS =
+      TESTBED_LINK_PEERS + TESTBED_ROUTERS, /**< in front of the first router's frontend */
   TESTBED_LINK_STORE,
   TESTBED_LINKS,
 };
 
-/** How connections that are open fall silent. */
+/** In which direction the open connections of a link stop passing bytes. */
 enum testbed_silence
 {
   TESTBED_SILENT_BOTH = 1,
-  TESTBED_SILENT_ANSWERS,  /**< no answer comes; what is asked still arrives */
-  TESTBED_SILENT_REQUESTS, /**< nothing that is asked arrives */
+  TESTBED_SILENT_ANSWERS,  /**< requests still arrive, answers don't */
+  TESTBED_SILENT_REQUESTS, /**< requests don't arrive */
 };
 
-/** A link that connections can be silenced at: test/standin_link.c. */
+/** A proxy that can silence its open connections: test/standin_link.c. */
 struct testbed_link
 {
   pid_t pid;
@@ -63,7 +65,7 @@
   uint16_t control;
 };
 
-/** All of it. */
+/** The processes of a test and the settings of routers that are started from now on. */
 struct testbed
 {
   char folder[64];
@@ -71,91 +73,95 @@
   uint16_t store_port;
   struct testbed_server servers[TESTBED_SERVERS];
   struct testbed_router routers[TESTBED_ROUTERS];
-  pid_t group; /**< of ranks; started by testbed_start_group() */
+  pid_t group; /**< the group of ranks; started by testbed_start_group() */
   uint16_t ranks[TESTBED_RANKS];
-  bool linked; /**< connections pass links */
-  bool suspendable;
-  int64_t ahead_ms;
+  bool linked;      /**< connections pass through the links */
+  bool suspendable; /**< routers use the clock of test/standin_clock.c */
+  int64_t ahead_ms; /**< how far the routers' CLOCK_BOOTTIME is ahead */
   struct testbed_link links[TESTBED_LINKS];
-  uint32_t version;
-  bool has_key;           /**< the published account has its key */
-  uint32_t store_wait_ms; /**< of routers started from now on: how long their questions wait */
-  uint32_t list_wait_ms;
-  uint32_t short_wait_ms; /**< at those that ask often */
-  uint32_t wait_ms;       /**< of routers started from now on: how long a request waits for room */
-  const char *grace;      /**< their line of settings for the time to stop */
+  uint32_t version;       /**< of the configuration published last */
+  bool has_key;           /**< the published account has the key "key-1" */
+  uint32_t store_wait_ms; /**< setting store_wait_ms of new routers */
+  uint32_t list_wait_ms;  /**< setting list_wait_ms of new routers */
+  uint32_t short_wait_ms; /**< setting short_wait_ms of new routers */
+  uint32_t wait_ms;       /**< setting wait_ms of new routers: the wait for a free slot */
+  const char *grace;      /**< settings line with grace_s, the time for a planned stop */
 };
 
-/** What a caller got. */
+/** What a caller received. */
 struct testbed_answer
 {
-  int status;    /**< 0: none */
-  bool complete; /**< as far as its framing tells */
+  int status;    /**< 0: no answer */
+  bool complete; /**< according to its framing */
   char text[TESTBED_ANSWER_BYTES];
   char body[TESTBED_ANSWER_BYTES];
 };
 
-/** Starts store and servers, publishes, and starts the first router. */
+/** Starts the store and the servers and lists the servers, then starts the first router. Publishes
+ * no configuration. */
 void testbed_start (struct testbed *testbed);
 
-/** The same, with a link before all that is connected to. */
+/** Like testbed_start(), with a link in front of each process. */
 void testbed_start_linked (struct testbed *testbed);
 
-/** The same; routers that are started may find their clock ahead, see testbed_advance_boot_clock().
- */
+/** Like testbed_start_linked(); routers use a clock that testbed_advance_boot_clock() moves. */
 void testbed_start_suspendable (struct testbed *testbed);
 
-/** The clock that counts suspended time runs ahead by so much more, for all routers. */
+/** Moves the clock that counts suspended time (CLOCK_BOOTTIME) ahead by @p ms more, for all
+ * routers. */
 void testbed_advance_boot_clock (struct testbed *testbed, int64_t ms);
 
-/** Silences the connections that are open at a link, for good and without an end. */
+/** Makes the connections that are open at a link silent for good: bytes are no longer passed, and
+ * they are not closed. New connections work. */
 void testbed_silence (struct testbed *testbed, int link, enum testbed_silence silence);
 
-/** @return the connections that a link has taken so far. */
+/** @return how many connections a link has accepted so far. */
 int testbed_link_accepted (struct testbed *testbed, int link);
 
 void testbed_stop (struct testbed *testbed);
 
-/** Starts a router (again). */
+/** Starts a router, or restarts one that was ended. */
 void testbed_start_router (struct testbed *testbed, int r);
 
-/** Starts a group of ranks and lists them as the service "model", whose route is /model/. */
+/** Starts a group of ranks and lists them as the service "model", for the route /model/. */
 void testbed_start_group (struct testbed *testbed);
 
-/** @return a number of the group's state: see test/standin_ranks.c. */
+/** @return a number of the group's state, by its name there, or -1: see test/standin_ranks.c. */
 long testbed_group_state (struct testbed *testbed, const char *name);
 
-/** Waits until it says that it is ready, or not. @return false after 10 s. */
+/** Waits until the router's readiness page reports @p ready. @return false after 10 s. */
 bool testbed_wait_ready (struct testbed *testbed, int r, bool ready);
 
-/** Publishes the configuration of routes, with a new version. */
+/** Publishes the configuration with a higher version. */
 void testbed_publish (struct testbed *testbed);
 
-/** Publishes any text as the configuration. */
+/** Publishes a text as the configuration, valid or not. */
 void testbed_publish_text (struct testbed *testbed, const char *text);
 
-/** Puts a server into the store's list. @param state "ready" or "draining". */
+/** Writes the store's entry of server @p s. @param state "ready" or "draining". */
 void testbed_list_server (struct testbed *testbed, int s, const char *state);
 
-/** Starts servers that have ended again, each with another id, and lists them in place of the
- * former. @return how many there were. */
+/** Restarts the servers that have crashed, each with a new id, and lists them in place of their
+ * former entries. @return how many there were. */
 int testbed_restart_servers (struct testbed *testbed);
 
-/** A call to a stand-in or a page of a router. @return the body. */
+/** Makes an HTTP call to a stand-in, or to a page of a router. @return the body, valid until the
+ * next call. */
 const char *testbed_fetch (uint16_t port, const char *method, const char *target, const char *body);
 
-/** Connects to a router's frontend_port. @return a socket. */
+/** Connects to a router's frontend. @return a socket, or -1. */
 int testbed_connect (struct testbed *testbed, int r);
 
-/** Writes a text. */
+/** Writes a text; stops early if the peer has closed the connection. */
 void testbed_send (int fd, const char *text);
 
-/** Reads one answer, until it is complete or the connection ends. */
+/** Reads one answer, until it is complete or the connection closes. */
 void testbed_read (int fd, struct testbed_answer *answer);
 
 /**
- * A request on a connection of its own.
- * @param path as "/safe/x"; @param action for X-Do, or NULL; @param more further header lines.
+ * Sends a request to the first router on a new connection, and reads the answer.
+ * @param path as "/safe/x"; @param action the value of X-Do (test/standin_server.c), or NULL;
+ * @param more further header lines, each with its line end.
  */
 void testbed_call (struct testbed *testbed,
                    const char *id,
@@ -164,7 +170,7 @@
                    const char *more,
                    struct testbed_answer *answer);
 
-/** The same at any router. */
+/** Like testbed_call(), to router @p r. */
 void testbed_call_at (struct testbed *testbed,
                       int r,
                       const char *id,
@@ -173,16 +179,16 @@
                       const char *more,
                       struct testbed_answer *answer);
 
-/** @return how often that request arrived at any server. */
+/** @return how many requests with that attempt id the servers have received. */
 int testbed_count_runs (struct testbed *testbed, const char *id);
 
-/** @return whether the router's log holds the text. */
+/** @return whether the router's log contains the text. */
 bool testbed_logged (struct testbed *testbed, int r, const char *text);
 
-/** @return in how many lines of a router's log the text stands. */
+/** @return how many lines of the router's log contain the text. */
 int testbed_count_logged (struct testbed *testbed, int r, const char *text);
 
-/** Waits until it does. @return false after 10 s. */
+/** Waits until the router's log contains the text. @return false after 10 s. */
 bool testbed_wait_logged (struct testbed *testbed, int r, const char *text);
 
 #endif
--- a/test/router_tests.h
+++ b/test/router_tests.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What the files of the router's tests share: the one testbed that each test starts
- * anew, the last answer in it, and small looks at both.
+ * Shared by the files of the router's tests: the testbed, which each test starts from scratch, the
+ * last answer, and helpers.
  */
 #ifndef ASH_TEST_ROUTER_TESTS_H
 #define ASH_TEST_ROUTER_TESTS_H
@@ -9,30 +9,30 @@
 #include "test/fault_tests.h"
 #include "test/router_testbed.h"
 
-/** A request's header lines up to its id, which follows. */
+/** Header lines of a request up to its attempt id, which the caller of the macro appends. */
 #define HEAD                                                                                       \
   "Host: shop.example\r\nAuthorization: Bearer key-1\r\nAshspindle-Deadline-Ms: 4000\r\n"          \
   "Ashspindle-Attempt-Id: "
 
-/** The testbed of the test that runs. */
+/** The testbed of the running test. */
 extern struct testbed testbed;
 
-/** What its caller got last. */
+/** The answer that the last call received. */
 extern struct testbed_answer answer;
 
-/** Planned stops, by signals at any moment. */
+/** Planned stops, with signals at any moment. */
 extern const struct fault_test router_stop_tests[];
 
-/** What comes from the store and from peers, and the silence of questions to them. */
+/** Data from the store and from peers, and polls that are never answered. */
 extern const struct fault_test router_store_tests[];
 
-/** Requests under which endpoints end. */
+/** Requests that crash endpoints. */
 extern const struct fault_test router_quarantine_tests[];
 
-/** What endpoints say of how they want to be used. */
+/** Rate limits, back-off and shutdown that endpoints announce in answers. */
 extern const struct fault_test router_terms_tests[];
 
-/** A store that comes back from an older copy. */
+/** A store that is restored from an older copy. */
 extern const struct fault_test router_era_tests[];
 
 /** Routers whose machine was suspended. */
@@ -41,25 +41,26 @@
 /** Groups of ranks, and their expert maps. */
 extern const struct fault_test router_map_tests[];
 
-/** Starts the testbed, with a configuration; the first router is ready. */
+/** Starts the testbed and publishes a configuration; waits until the first router is ready. */
 void start (void);
 
-/** The same with so many routers; all are ready. */
+/** Like start(), with @p count routers; waits until all are ready. */
 void start_routers (int count);
 
-/** Ends the first router and starts it anew, with the testbed's settings; it is ready. */
+/** Kills the first router and starts it again with the testbed's current settings; waits until it
+ * is ready. */
 void restart_router (void);
 
-/** Waits until a request is at a server; gives up after some 100 looks, 10 ms apart. */
+/** Waits until a server has received the request, for about 1 s at most. */
 void wait_arrived (const char *id);
 
-/** @return whether the last answer holds the text. */
+/** @return whether the last answer contains the text. */
 bool answer_has (const char *text);
 
-/** @return a server's log. */
+/** @return the log of server @p s: a line for each request that it received. */
 const char *server_log (int s);
 
-/** @return how often a text stands in another. */
+/** @return how often @p part occurs in @p text. */
 int count_of (const char *text, const char *part);
 
 #endif
--- a/test/silence.c
+++ b/test/silence.c
@@ -1,9 +1,9 @@
 /**
  * @file
- * Connections that are open fall silent for good, without an end, while new ones work: each
- * kind that a router has, both ways and one way. The links before everything acknowledge each
- * byte, as a userland proxy must: what is seen here are the router's own bounds, and what the
- * kernel notices (keep-alive, unacknowledged bytes) comes in addition.
+ * Open connections become silent for good without being closed, while new ones work: each kind of
+ * connection that a router has, in both directions and in one. The links in front of each process
+ * acknowledge every byte, as a proxy in user space does, so these tests cover the router's own
+ * time-outs; what the kernel detects (keep-alive, unacknowledged bytes) comes in addition.
  */
 #include "test/fault_tests.h"
 #include "test/router_testbed.h"
@@ -20,7 +20,8 @@
   "Host: shop.example\r\nAuthorization: Bearer key-1\r\nAshspindle-Deadline-Ms: 4000\r\n"          \
   "Ashspindle-Attempt-Id: "
 
-/* Kept connections to each endpoint, requests of a kind, and how many go at a time. */
+/* Idle connections to each endpoint, requests of a kind, and how many of these run at the same
+ * time. */
 #define KEPT_CONNECTIONS 4
 #define REQUESTS 8
 #define CONCURRENT_CALLS 2
@@ -36,14 +37,14 @@
   CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
 }
 
-/* Figures for docs/OPERATIONS.md; nothing is asserted on them. */
+/* Prints figures for docs/OPERATIONS.md; nothing is asserted on them. */
 static void
 print_elapsed (const char *what, int silence, int64_t began_ms)
 {
   printf ("\n    %s, silence %d: %lld ms ", what, silence, (long long) (fleet_now () - began_ms));
 }
 
-/* ---- to endpoints ---- */
+/* ---- connections to endpoints ---- */
 
 struct call
 {
@@ -80,7 +81,7 @@
     pthread_join (calls[i].thread, NULL);
 }
 
-/* Leaves connections to each endpoint open. */
+/* Makes the router open connections to each endpoint, which stay idle after that. */
 static void
 keep_connections (void)
 {
@@ -110,8 +111,8 @@
   return accepted_count;
 }
 
-/* @return how many of the requests were not served; none may have run twice unless it may be
- * repeated, and one that is told to come back must not have run. */
+/* @return how many requests failed. Checks that a request ran once at most, or twice if it may be
+ * repeated. */
 static int
 count_failed (const char *path, const char *action, bool repeatable)
 {
@@ -135,14 +136,12 @@
   return failed;
 }
 
-/* What users saw: a third of a box's requests that may be repeated failed for seconds though its
- * endpoints were sound, and every request that may not. Events: the box's open connections fell
- * silent; requests met them one after the other; one that may be repeated was sent again after
- * 0.9 s on the next kept connection, as silent as the first; one that may not waited until its
- * time was up and left no evidence, so that the next met the next silent one. Evidence: of 8
- * requests of each kind, two at a time, before 4 kept connections to each of 2 endpoints, 4 that
- * may be repeated and 8 that may not got 504, and 2 streams. Cause: each connection's silence was
- * learnt by itself, at the price of a request. */
+/* The failure: when a box's open connections became silent, a third of its repeatable requests and
+ * all others failed for seconds although its endpoints were healthy. A repeatable request was
+ * resent after 0.9 s on the next idle connection, which was silent too; any other one waited until
+ * its deadline. Of 8 requests of each kind, two at a time, with 4 idle connections to each of 2
+ * endpoints, 4 repeatable and 8 other requests and 2 streams got 504. The cause: the router
+ * detected the silence of each connection separately, at the cost of one request each. */
 static void
 check_silent_endpoints (const char *path, const char *action, bool repeatable, int failed_max)
 {
@@ -170,7 +169,7 @@
   check_silent_endpoints ("/safe/x", NULL, true, 0);
 }
 
-/* Those that meet the silence first can't be helped; the next ones don't meet it. */
+/* The requests that detect the silence fail; the next ones must use new connections. */
 static void
 test_once (void)
 {
@@ -183,10 +182,11 @@
   check_silent_endpoints ("/long/x", "*=stream", true, 0);
 }
 
-/* Some events of a stream have passed after this: there are six, 30 ms apart. */
+/* Long enough for some of a stream's six events, which are 30 ms apart. */
 #define STREAM_STARTED_MS 60
 
-/* @return whether an endpoint was asked to go on with a stream after one of its events. */
+/* @return whether an endpoint received the stream's request with the id of an event that was
+ * already sent. */
 static bool
 was_resumed (const char *id)
 {
@@ -204,7 +204,8 @@
   return false;
 }
 
-/* Silence in the middle of a stream: it goes on at the other endpoint, each event once. */
+/* Connections become silent in the middle of a stream: it is resumed at the other endpoint, with
+ * each event exactly once. */
 static void
 test_stream_midway (void)
 {
@@ -244,15 +245,14 @@
     }
 }
 
-/* A request that is larger than what the link holds unread. */
+/* The size of a request that does not fit into the link's buffers. */
 #define LARGE_BYTES 90000
 
-/* After half of the time after which an endpoint counts as silent (test/router_testbed.c: 900 ms).
- */
+/* More than half of the time after which an endpoint counts as silent (900 ms). */
 #define SUSPECTED_MS 600
 
-/* One connection whose bytes are not acknowledged tells that others are silent, at other
- * endpoints too: what comes next meets none of them, though no request has failed yet. */
+/* Unacknowledged bytes on one connection make the router close its idle connections to all
+ * endpoints: the next requests use new ones, although no request has failed yet. */
 static void
 test_unacknowledged (void)
 {
@@ -271,7 +271,7 @@
   testbed_send (fd, text);
   fleet_sleep (SUSPECTED_MS);
   CU_ASSERT_EQUAL (count_failed ("/once/x", NULL, false), 0);
-  /* This one may have run for all that its router knows. */
+  /* The router can't know whether the large request has run. */
   testbed_read (fd, &answer);
   close (fd);
   CU_ASSERT (answer.status == 502 || answer.status == 504);
@@ -279,12 +279,13 @@
   testbed_stop (&testbed);
 }
 
-/* The kernel's timer of a resting connection that is to be probed, in /proc/net/tcp. */
+/* Values in /proc/net/tcp: the timer of an idle connection with keep-alive, and the state of an
+ * open connection. */
 #define KEEP_ALIVE_TIMER 2
 #define ESTABLISHED 1
 
-/* @return how many connections to or from a port have a keep-alive timer running, or -1 if any that
- * rests has none. */
+/* @return how many connections to or from a port have a keep-alive timer running, or -1 if an idle
+ * one has none. */
 static int
 count_probed (uint16_t port, bool accepted)
 {
@@ -315,7 +316,7 @@
   return probed;
 }
 
-/* Beside the bounds that the links can show: the kernel probes what rests. */
+/* Idle connections have the kernel's keep-alive probes enabled. */
 static void
 test_probes (void)
 {
@@ -333,7 +334,7 @@
   testbed_stop (&testbed);
 }
 
-/* An endpoint that takes its time has lost nothing: no request, and no connection. */
+/* Slow endpoints don't count as silent: no request fails, and no connection is replaced. */
 static void
 test_slow_endpoints (void)
 {
@@ -348,9 +349,9 @@
   testbed_stop (&testbed);
 }
 
-/* ---- to the store ---- */
+/* ---- connections to the store ---- */
 
-/* Longer than the test's patience: only what notices the silence by itself ends these waits. */
+/* Longer than the tests wait: the silence must be detected in another way than by this time-out. */
 #define LONG_WAIT_MS 25000
 
 static void
@@ -380,7 +381,7 @@
     }
 }
 
-/* ---- between routers ---- */
+/* ---- connections between routers ---- */
 
 static int
 count_logged (int r, const char *text)
@@ -411,7 +412,8 @@
   return false;
 }
 
-/* The link is closed, comes up anew, and carries what the other router lacks. */
+/* The routers close the silent link between them and open a new one, over which a router gets what
+ * it lacks. */
 static void
 test_peers (void)
 {
@@ -433,7 +435,8 @@
       CU_ASSERT (wait_counted (1, "link_up", ups + 1));
       print_elapsed ("peers, up again", silence, began_ms);
       CU_ASSERT (count_logged (0, "why=\"silent\"") + count_logged (1, "why=\"silent\"") > 0);
-      /* The first router's way to the store is closed: it learns from the other one. */
+      /* The first router can't reach the store, so that it gets the configuration from the other
+       * one. */
       testbed_fetch (testbed.links[TESTBED_LINK_STORE].control, "POST", "/control?mode=1", "");
       fleet_end (&testbed.routers[0].pid, SIGKILL);
       testbed_start_router (&testbed, 0);
@@ -444,12 +447,12 @@
     }
 }
 
-/* ---- from callers ---- */
+/* ---- connections from callers ---- */
 
-#define CALLERS 10 /* all that the router takes */
+#define CALLERS 10 /* connections_max in test/router_testbed.c */
 
-/* Callers that can't be heard any more hold their places no longer than those that rest or are
- * slow may: others come in. */
+/* Connections of callers that became silent (idle, with half a request, or waiting for an answer)
+ * use up connections_max only until the usual time-outs: then the next caller is served. */
 static void
 test_callers (void)
 {
@@ -484,7 +487,7 @@
       CU_ASSERT_EQUAL (answer.status, 200);
       close (fd);
       print_elapsed ("callers, the next is served", silence, began_ms);
-      /* What was at work for them has ended, and none ran again. */
+      /* The requests of those callers have been aborted, and none ran again. */
       for (int i = 0;
            i < 400 && atoi (testbed_fetch (testbed.servers[0].port, "GET", "/gone", "")) +
                               atoi (testbed_fetch (testbed.servers[1].port, "GET", "/gone", "")) <
@@ -498,7 +501,7 @@
     }
 }
 
-/* ---- to ranks ---- */
+/* ---- connections to ranks ---- */
 
 struct stream
 {
@@ -543,12 +546,12 @@
   return false;
 }
 
-/* Silences during a change, against the 2 to 3 s that one takes. */
+/* How often connections are silenced during a map change, which takes 2 to 3 s. */
 #define SILENCES 15
 #define BETWEEN_MS 170
 
-/* Questions and orders meet silent connections at every moment of a change; the group goes on,
- * never with two maps, and never stands for long. */
+/* Connections to ranks become silent at any moment of a map change, for queries and orders: the
+ * group always continues, its ranks never have different maps, and it never stalls for 1.5 s. */
 static void
 test_ranks (void)
 {
--- a/test/standin_clock.c
+++ b/test/standin_clock.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * Stands before the C library in a process under test: the clock that counts suspended time runs
- * ahead by the milliseconds in the file that ASH_TEST_CLOCK names, as it does after the machine was
- * suspended for as long; all other clocks stay.
+ * A library to preload before the C library in a process under test. CLOCK_BOOTTIME, which counts
+ * suspended time, runs ahead by the milliseconds in the file that ASH_TEST_CLOCK names, as after a
+ * suspension of that length; all other clocks are unchanged.
  */
 #include <fcntl.h>
 #include <stdlib.h>
@@ -10,7 +10,7 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Read at each call: the file changes while the process is stopped. */
+/* Reads the file at each call, since it changes while the process is stopped. */
 static long long
 ahead_ms (void)
 {
--- a/test/standin_ranks.c
+++ b/test/standin_ranks.c
@@ -1,16 +1,19 @@
 /**
  * @file
- * A stand-in of a group of the platform's model servers, as one process with a port
- * for each rank: streams that get an event a pass, passes that all ranks make
- * together, an expert map a rank, reports that lag, counts, orders. It checks the
- * group's own promise: GET /state at any rank tells
+ * A stand-in for a group of the platform's model servers, as one process with a port for each rank:
+ * streams that send an event in each pass, passes that all ranks make together, an expert map for
+ * each rank, delayed load reports, counts of chosen experts, and orders to change the map.
+ *
+ * It checks that all ranks always change their maps in the same pass. GET /state at any rank
+ * returns
  *
  *     step=N map=V changes=N held=0|1 broken=0|1 standing_ms=N
  *
- * where broken says that a pass began while two ranks highest_version different maps. GET
- * /state?shift=N moves what is asked for; GET /state?delayed_order=PERCENT carries so many orders
- * out delayed_order and leaves them unanswered; GET /state?drops_arm_orders=1 has ranks lose all
- * orders to arm, till /state?drops_arm_orders=0, so that a step that is held stays so.
+ * where broken=1 means that a pass began while two ranks had different maps, and standing_ms is the
+ * time since the last pass. GET /state?shift=N shifts the demand to other experts. GET
+ * /state?late=PERCENT makes that share of orders be executed late and never answered. GET
+ * /state?deaf=1 makes ranks drop all orders to arm until /state?deaf=0, so that a held step stays
+ * held.
  */
 #include "common/random.h"
 #include "net/http_conn.h"
@@ -38,8 +41,8 @@
 struct map
 {
   uint64_t version;
-  uint64_t digest; /* of what it holds */
-  json_t *experts; /* of this rank, by layer */
+  uint64_t digest; /* digest of the complete map, of all ranks */
+  json_t *experts; /* the experts of this rank, by layer */
 };
 
 struct rank
@@ -49,16 +52,16 @@
   char id[24];
   struct map map;
   struct map prepared;
-  struct ash_time copied_at;
-  uint64_t highest_version;
-  uint64_t armed;
+  struct ash_time copied_at; /* when the prepared map's experts have been copied */
+  uint64_t highest_version;  /* of all maps prepared so far */
+  uint64_t armed;            /* version that becomes the map at armed_step; 0: none */
   uint64_t armed_step;
-  uint64_t held;
+  uint64_t held; /* step that must not begin; 0: none */
   uint64_t counts[LAYERS * EXPERTS];
-  char reports[HISTORY][256]; /* a ring, one a pass time */
+  char reports[HISTORY][256]; /* a ring with a report per timer tick */
 };
 
-/* An order that is carried out later. */
+/* An order that is executed later. */
 struct delayed_order
 {
   struct rank *rank;
@@ -75,13 +78,13 @@
   uint32_t rank_count;
   uint64_t step;
   uint64_t changes;
-  uint32_t shift;
+  uint32_t shift; /* by which the popular expert's number is shifted */
   uint32_t delayed_percent;
   bool drops_arm_orders;
   uint32_t ticks;
   bool broken;
   struct ash_time last_pass_at;
-  struct delayed_order *delayed_order;
+  struct delayed_order *delayed_orders;
   ev_timer timer;
 } group;
 
@@ -222,7 +225,7 @@
   return status;
 }
 
-/* The request's body as a text. */
+/* @return the request's body as a string, to be freed. */
 static char *
 copy_body (const struct ash_http_conn *conn)
 {
@@ -251,14 +254,14 @@
       delayed_order->due = ash_time_add (
           ash_clock_now (),
           ORDER_DELAY_MIN_MS + ash_random_below (&group.random, ORDER_DELAY_RANGE_MS));
-      LL_PREPEND (group.delayed_order, delayed_order);
+      LL_PREPEND (group.delayed_orders, delayed_order);
       return; /* never answered */
     }
   ash_http_conn_respond (conn, execute_order (rank, body), "", 0, "", 0);
   free (body);
 }
 
-/* ---- questions ---- */
+/* ---- reports and queries ---- */
 
 static void
 record_report (struct rank *rank)
@@ -359,7 +362,8 @@
   ash_http_conn_begin (conn, 200, fields, strlen (fields));
 }
 
-/* One event a pass, and the experts that its tokens chose: three in four the same one. */
+/* Writes the event of a pass and counts the experts that its tokens chose, three in four times the
+ * same one. */
 static void
 write_event (struct rank *rank, struct ash_http_conn *conn)
 {
@@ -410,7 +414,7 @@
 
 static const struct ash_conn_handler handler = { on_request, on_disconnected, NULL };
 
-/* ---- time ---- */
+/* ---- timer ---- */
 
 static bool
 any_stream (void)
@@ -430,10 +434,10 @@
   struct delayed_order *delayed_order;
   struct delayed_order *next;
 
-  LL_FOREACH_SAFE (group.delayed_order, delayed_order, next)
+  LL_FOREACH_SAFE (group.delayed_orders, delayed_order, next)
     if (ash_time_before (delayed_order->due, ash_clock_now ()))
       {
-        LL_DELETE (group.delayed_order, delayed_order);
+        LL_DELETE (group.delayed_orders, delayed_order);
         execute_order (delayed_order->rank, delayed_order->body);
         free (delayed_order->body);
         free (delayed_order);
@@ -450,7 +454,7 @@
   (void) events;
   execute_delayed_orders ();
   group.ticks++;
-  /* An idle group makes no passes. */
+  /* An idle group makes no passes and does not count as stalled. */
   if (any_stream ())
     begin_pass ();
   else
@@ -473,7 +477,7 @@
 {
   if (argc < 3 || argc > 1 + RANKS_MAX)
     {
-      fprintf (stderr, "usage: standin-ranks PORT PORT...   one for each rank, 2 to %d\n",
+      fprintf (stderr, "usage: standin-ranks PORT PORT...   one port per rank, 2 to %d\n",
                RANKS_MAX);
       return EXIT_FAILURE;
     }
--- a/test/standin_server.c
+++ b/test/standin_server.c
@@ -1,19 +1,20 @@
 /**
  * @file
- * A stand-in of one of the platform's servers, as a process. What it does with a
- * request stands in the request's field X-Do, as NAME=ACTION pairs with blanks
- * between them; NAME is this server's, or * for all. Actions:
+ * A stand-in for one of the platform's servers, as a process. The request's header field X-Do
+ * selects what the server does with the request, as NAME=ACTION pairs separated by blanks; NAME is
+ * the server's name, or * for all servers. Actions:
  *
  *     ok fail shed moved reset mute foreign noid unsigned encoded cut unframed extra
  *     stream streamcut streamhang slow slower end streamend limit rest leave
  *
- * With "end" the process itself ends once it has begun to run the request, with "streamend" after
- * two events. With "limit" it answers and names a rate, of one request a second;
- * with "leave" it answers and says that it is leaving; with "rest" it turns the request away and
- * asks for half a minute of rest.
+ * With "end" the process exits once it has begun to run the request, with "streamend" after two
+ * events. With "limit" it answers and announces a rate limit of one request per second; with
+ * "leave" it answers and announces that it is shutting down; with "rest" it rejects the request and
+ * asks for a back-off of 30 s.
  *
- * GET /log tells each request that it got, a line each:
+ * GET /log returns a line for each request received:
  *     ID METHOD TARGET body=BYTES deadline=MS expect=ID tenant=NAME last=ID urgency=N
+ * GET /gone returns how many callers disconnected before their answer.
  */
 #include "net/http_conn.h"
 
@@ -37,17 +38,17 @@
   const char *name;
   const char *id;
   struct ash_buffer log;
-  uint32_t disconnects; /* callers that left while a request was at work */
+  uint32_t disconnects; /* callers that disconnected during a request */
   ev_timer tick;
 };
 
-/* A request that is answered by and by. */
+/* A request that is answered later, or in several parts. */
 struct work
 {
   char action[16];
-  int next;          /* event */
-  int last;          /* event before which it breaks off; 0: none */
-  int silent_before; /* event before which it falls silent_before; 0: none */
+  int next;          /* the next event's number */
+  int cut_before;    /* number of the event before which the stream is cut; 0: none */
+  int silent_before; /* number of the event before which the stream becomes silent; 0: none */
   struct ash_time due;
 };
 
@@ -147,7 +148,7 @@
     abort ();
   snprintf (work->action, sizeof work->action, "%s", action);
   work->next = last ? atoi (last) + 1 : 1;
-  work->last = strcmp (action, "streamcut") == 0 ? 3 : 0;
+  work->cut_before = strcmp (action, "streamcut") == 0 ? 3 : 0;
   work->silent_before = strcmp (action, "streamhang") == 0 ? 3 : 0;
   work->due = ash_clock_now ();
   if (strcmp (action, "slow") == 0)
@@ -180,9 +181,9 @@
       conn->request = NULL;
       answer (conn, 200, "");
     }
-  else if (work->next == work->last)
+  else if (work->next == work->cut_before)
     {
-      /* Half an event, and the end. */
+      /* Cuts the stream in the middle of an event. */
       ash_http_conn_write (conn, "id: 3\nda", 8);
       close_conn (conn);
     }
@@ -279,7 +280,7 @@
       ash_http_conn_respond (conn, 200, "", 0, count, strlen (count));
       return;
     }
-  /* Another life has this address: it does not run the request. */
+  /* The request was meant for another incarnation at this address: it does not run. */
   if (expected && strcmp (expected, server.id) != 0)
     {
       answer (conn, 421, "");
--- a/test/standin_store.c
+++ b/test/standin_store.c
@@ -1,15 +1,15 @@
 /**
  * @file
- * A stand-in of the platform's store, as a process: items with revisions that are
- * listed page by page and watched. Tests set items and its troubles over HTTP:
+ * A stand-in for the platform's store, as a process: items with revisions that can be listed page
+ * by page and watched. Tests set items and faults over HTTP:
  *
  *     PUT /put?KEY (body: the value)      PUT /remove?KEY
- *     PUT /mode?ok | busy | silent | forget (its history is gone)
- *     PUT /mode?slowMS (each answer comes so many ms late)
- *     PUT /era?TEXT (the header Store-Era of all answers from now on; none: no such header)
- *     PUT /restore?REVISION (it comes back from a copy of that revision: what was written since is
- *     gone, revisions are given out again, the era rises by one, what waits is cut)
- *     PUT /drop_pending (what waits now is never answered, nor cut; new questions are)
+ *     PUT /mode?ok | busy (answers 503) | silent (no answers) | forget (drops the history)
+ *     PUT /mode?slowMS (delays each answer by so many ms)
+ *     PUT /era?TEXT (sets the header Store-Era of all answers; empty: no such header)
+ *     PUT /restore?REVISION (restores a copy of that revision: later writes are lost, revision
+ *     numbers are reused, the era increases by one, pending requests are cut)
+ *     PUT /deafen (pending requests are never answered nor cut; new ones are answered)
  */
 #include "net/http_conn.h"
 
@@ -20,7 +20,7 @@
 #include <string.h>
 #include <utlist.h>
 
-/* Small pages, so that every listing has several. */
+/* Small, so that every list takes several pages. */
 #define PAGE_ITEMS 3
 #define WATCH_TICK_S 0.01
 #define JSON_FIELDS "Content-Type: application/json\r\n"
@@ -37,9 +37,9 @@
 struct store
 {
   struct ash_http_listener listener;
-  struct item *items; /* every write, the oldest first: the history too */
+  struct item *items; /* all writes, the oldest first, as the history */
   uint64_t revision;
-  uint64_t oldest_watch_revision; /* no watch from before this */
+  uint64_t oldest_watch_revision; /* a watch from an older revision gets 410 */
   char mode[16];
   char era[64];
   ev_timer tick;
@@ -47,10 +47,10 @@
 
 static struct store store;
 
-/* Stands as the request of a connection that is never answered. */
+/* Marks, in a connection's request member, a request that is never answered. */
 static char never_answered;
 
-/* Stands as the request of a connection whose question has not been looked at yet. */
+/* Marks, in a connection's request member, a request whose answer is delayed. */
 static char delayed_request;
 
 /* ---- items ---- */
@@ -68,7 +68,7 @@
   DL_APPEND (store.items, item);
 }
 
-/* Whether this write is the last of its key. */
+/* @return whether this write is the last of its key. */
 static bool
 is_newest (const struct item *item)
 {
@@ -101,7 +101,7 @@
   return object;
 }
 
-/* ---- calls ---- */
+/* ---- requests ---- */
 
 static void
 answer_text (struct ash_http_conn *conn, uint16_t status, const char *text)
@@ -123,7 +123,7 @@
   json_decref (object);
 }
 
-/* A parameter of the query, or an empty text. */
+/* @return a parameter of the query, or an empty string; valid until the next call. */
 static const char *
 parameter (const struct ash_http_conn *conn, const char *name)
 {
@@ -153,7 +153,7 @@
 
   snprintf (prefix, sizeof prefix, "%s", parameter (conn, "PathPrefix"));
   snprintf (from, sizeof from, "%s", parameter (conn, "SinceRevision"));
-  /* In the order of keys: the smallest that is above the last one, again and again. */
+  /* Sorts by key: repeatedly finds the smallest key above the last one. */
   for (;;)
     {
       const struct item *item;
@@ -178,7 +178,8 @@
                                 "StoreRevision", (json_int_t) store.revision));
 }
 
-/* @return whether there was something to answer with. */
+/* Answers with the writes since the requested revision; without any, only if the wait is over.
+ * @return whether it answered. */
 static bool
 answer_watch (struct ash_http_conn *conn, bool due)
 {
@@ -209,7 +210,7 @@
   if (since < store.oldest_watch_revision || since > store.revision)
     answer_text (conn, 410, "");
   else if (!answer_watch (conn, false))
-    conn->request = conn; /* answered by the tick */
+    conn->request = conn; /* on_tick() answers it */
 }
 
 static void
@@ -247,7 +248,7 @@
       }
 }
 
-/* The request's body as a text. */
+/* @return the request's body as a string, to be freed. */
 static char *
 copy_body (const struct ash_http_conn *conn)
 {
@@ -281,7 +282,7 @@
   ash_http_conn_respond (conn, 200, "", 0, "", 0);
 }
 
-/* By how much answers come late. */
+/* @return by how much answers are delayed. */
 static int64_t
 delay_ms (void)
 {
