--- a/test/router_store.c
+++ b/test/router_store.c
@@ -374,7 +374,7 @@
   return metric_value (r, "\nash_store_calls_total{} ");
 }
 
-/* Waits until a router makes no store call for 2 s, so that its polls wait long. @return false
+/* Waits until a router makes no store call for 2 s, as all its polls are pending. @return false
  * after about 10 s. */
 static bool
 wait_polls_pending (int r)
--- a/test/router_tests.h
+++ b/test/router_tests.h
@@ -23,7 +23,7 @@
 /** Planned stops, with signals at any moment. */
 extern const struct fault_test router_stop_tests[];
 
-/** Data from the store and from peers, and polls that are never answered. */
+/** Data from the store and from peers, and polls (long requests for changes) without an answer. */
 extern const struct fault_test router_store_tests[];
 
 /** Requests that crash endpoints. */
--- a/test/silence.c
+++ b/test/silence.c
@@ -111,8 +111,8 @@
   return accepted_count;
 }
 
-/* @return how many requests failed. Checks that a request ran once at most, or twice if it may be
- * repeated. */
+/* @return how many requests failed. Checks that each ran once at most, or twice if it may be
+ * repeated, and that a failed one got 502 or 504. */
 static int
 count_failed (const char *path, const char *action, bool repeatable)
 {
