--- a/test/router_era.c
+++ b/test/router_era.c
@@ -31,7 +31,7 @@
   testbed_publish (&testbed);
   CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
   /* Wait until the router has learned the era. */
-  fleet_sleep (1100);
+  fleet_sleep_ms (1100);
 }
 
 static void
@@ -59,7 +59,7 @@
   start_in_era ();
   for (int i = 0; i < 4; i++)
     control_store ("/put?op/other");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   control_store ("/mode?silent");
   restore (CONFIG_REVISION);
   testbed.has_key = false;
@@ -68,7 +68,7 @@
     control_store ("/put?op/other");
   control_store ("/mode?ok");
   for (int i = 0; i < 100 && status_of ("given", NULL) != 401; i++)
-    fleet_sleep (30);
+    fleet_sleep_ms (30);
   CU_ASSERT_EQUAL (answer.status, 401);
   CU_ASSERT (testbed_logged (&testbed, 0, " store_era "));
   testbed_stop (&testbed);
@@ -82,14 +82,14 @@
   testbed.has_key = false;
   testbed_publish (&testbed);
   for (int i = 0; i < 100 && status_of ("stays", NULL) != 401; i++)
-    fleet_sleep (20);
+    fleet_sleep_ms (20);
   for (int round = 0; round < 2; round++)
     {
       restore (CONFIG_REVISION);
       for (int i = 0; i < 20; i++)
         {
           CU_ASSERT_EQUAL (status_of ("stays", NULL), 401);
-          fleet_sleep (20);
+          fleet_sleep_ms (20);
         }
     }
   /* The configuration is written again with the same version and contents, then a newer one, which
@@ -99,7 +99,7 @@
   testbed.has_key = true;
   testbed_publish (&testbed);
   for (int i = 0; i < 100 && status_of ("stays", NULL) != 200; i++)
-    fleet_sleep (20);
+    fleet_sleep_ms (20);
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_stop (&testbed);
 }
@@ -111,37 +111,37 @@
 {
   start_in_era ();
   testbed_list_server (&testbed, 0, "draining");
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   restore (CONFIG_REVISION);
   CU_ASSERT (testbed_wait_logged (&testbed, 0, " store_era "));
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   for (int i = 0; i < 20; i++)
     {
       CU_ASSERT_EQUAL (status_of ("drained", NULL), 200);
-      fleet_sleep (10);
+      fleet_sleep_ms (10);
     }
   CU_ASSERT_PTR_NULL (strstr (server_log (0), "drained"));
   /* The other server is removed without draining first. The first server's next incarnation may be
    * used. */
   kill (testbed.servers[0].pid, SIGKILL);
   while (!testbed_restart_servers (&testbed))
-    fleet_sleep (10);
+    fleet_sleep_ms (10);
   control_store ("/remove?servers/i-B1");
-  fleet_sleep (2500);
+  fleet_sleep_ms (2500);
   restore (CONFIG_REVISION);
   testbed_list_server (&testbed, 0, "ready");
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   for (int i = 0; i < 20; i++)
     {
       CU_ASSERT_EQUAL (status_of ("removed", NULL), 200);
-      fleet_sleep (10);
+      fleet_sleep_ms (10);
     }
   CU_ASSERT_PTR_NULL (strstr (server_log (1), "removed"));
   /* A server that keeps being listed after the restore is used again after some time. */
   for (int i = 0; i < 400 && !strstr (server_log (1), "lives"); i++)
     {
       status_of ("lives", NULL);
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   CU_ASSERT_PTR_NOT_NULL (strstr (server_log (1), "lives"));
   testbed_stop (&testbed);
@@ -156,11 +156,11 @@
   restore (SERVER_A_REVISION);
   CU_ASSERT (testbed_wait_logged (&testbed, 0, " store_era "));
   testbed_publish (&testbed);
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   CU_ASSERT_EQUAL (status_of ("missing", "A=shed"), 200);
   CU_ASSERT (answer_has ("seal-i-B1"));
   testbed_list_server (&testbed, 1, "ready");
-  fleet_sleep (3000);
+  fleet_sleep_ms (3000);
   CU_ASSERT_EQUAL (status_of ("back", "A=shed"), 200);
   CU_ASSERT (answer_has ("seal-i-B1"));
   testbed_stop (&testbed);
@@ -190,7 +190,7 @@
   testbed.has_key = false;
   testbed_publish (&testbed);
   for (int i = 0; i < 100 && status_of ("none", NULL) != 401; i++)
-    fleet_sleep (20);
+    fleet_sleep_ms (20);
   CU_ASSERT_EQUAL (answer.status, 401);
   CU_ASSERT_EQUAL (testbed_count_logged (&testbed, 0, " store_era "), era_changes);
   testbed_stop (&testbed);
@@ -204,7 +204,7 @@
   start_in_era ();
   for (int i = 0; i < 20; i++)
     control_store ("/put?servers/none");
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   /* The first router is stopped while the store is restored. */
   kill (testbed.routers[0].pid, SIGSTOP);
   restore (CONFIG_REVISION);
@@ -212,7 +212,7 @@
   testbed_start_router (&testbed, 1);
   CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
   kill (testbed.routers[0].pid, SIGCONT);
-  fleet_sleep (1500);
+  fleet_sleep_ms (1500);
   for (int i = 0; i < 10; i++)
     for (int r = 0; r < 2; r++)
       {
