--- a/bench/spread.c
+++ b/bench/spread.c
@@ -147,7 +147,7 @@
   snprintf (port, sizeof port, "%u", spread->platform_port);
   spread->platform =
       fleet_spawn (spread->folder, "platform", "standin", "platform", port, (char *) NULL);
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   publish (spread);
   for (int i = 0; i < BOXES; i++)
     start_box (spread, i);
@@ -159,8 +159,8 @@
   char command[128];
 
   for (int i = 0; i < BOXES; i++)
-    fleet_end (&spread->boxes[i].pid, SIGKILL);
-  fleet_end (&spread->platform, SIGKILL);
+    fleet_end_process (&spread->boxes[i].pid, SIGKILL);
+  fleet_end_process (&spread->platform, SIGKILL);
   snprintf (command, sizeof command, "rm -rf %s", spread->folder);
   if (system (command) != 0)
     fprintf (stderr, "can't remove %s\n", spread->folder);
@@ -213,7 +213,7 @@
 static int64_t
 everywhere_ms (const struct spread *spread, int64_t since_ms, double *took_ms)
 {
-  int64_t until_ms = fleet_now () + PATIENCE_MS;
+  int64_t until_ms = fleet_now_ms () + PATIENCE_MS;
   int64_t last_ms = 0;
 
   for (int i = 0; i < BOXES; i++)
@@ -222,9 +222,9 @@
 
       while (!(at_ms = accepted_ms (spread, i)))
         {
-          if (fleet_now () > until_ms)
+          if (fleet_now_ms () > until_ms)
             return -1;
-          fleet_sleep (20);
+          fleet_sleep_ms (20);
         }
       if (at_ms > since_ms + last_ms)
         last_ms = at_ms - since_ms;
@@ -286,7 +286,7 @@
   static double whole_ms[CHANGES];
   int64_t calls = platform_calls (spread);
   int64_t bytes = entry_bytes (spread, 0);
-  int64_t start_ms = fleet_now ();
+  int64_t start_ms = fleet_now_ms ();
 
   for (int c = 0; c < CHANGES; c++)
     {
@@ -294,7 +294,7 @@
 
       publish (spread);
       whole_ms[c] = (double) everywhere_ms (spread, since_ms, &took_ms[c * BOXES]);
-      fleet_sleep (200 + 37 * (c % 10));
+      fleet_sleep_ms (200 + 37 * (c % 10));
     }
   printf ("%d changes of a row, in force at a box after: median %.0f ms, 95 in 100 %.0f ms, worst "
           "%.0f ms; at all 27: median %.0f ms, worst %.0f ms\n",
@@ -303,8 +303,9 @@
           stats_percentile (took_ms, CHANGES * BOXES, 1), stats_percentile (whole_ms, CHANGES, 0.5),
           stats_percentile (whole_ms, CHANGES, 1));
   printf ("meanwhile the platform was asked %.1f times a second; an entry sent %.0f bytes/s\n",
-          (double) (platform_calls (spread) - calls) * 1000 / (double) (fleet_now () - start_ms),
-          (double) (entry_bytes (spread, 0) - bytes) * 1000 / (double) (fleet_now () - start_ms));
+          (double) (platform_calls (spread) - calls) * 1000 / (double) (fleet_now_ms () - start_ms),
+          (double) (entry_bytes (spread, 0) - bytes) * 1000 /
+              (double) (fleet_now_ms () - start_ms));
 }
 
 static void
@@ -316,7 +317,7 @@
 
   for (int e = 0; e < ENTRIES; e++)
     bytes[e] = entry_bytes (spread, e);
-  fleet_sleep (IDLE_MS);
+  fleet_sleep_ms (IDLE_MS);
   for (int e = 0; e < ENTRIES; e++)
     sum += entry_bytes (spread, e) - bytes[e];
   printf ("at rest the platform is asked %.1f times a second; an entry sends %.0f bytes/s\n",
@@ -334,9 +335,9 @@
   for (int i = 0; i < BOXES; i++)
     if (spread->boxes[i].hall == 1)
       kill (spread->boxes[i].pid, SIGSTOP);
-  fleet_sleep (500);
+  fleet_sleep_ms (500);
   publish (spread);
-  fleet_sleep (PAUSE_MS);
+  fleet_sleep_ms (PAUSE_MS);
   since_ms = wall_now_ms ();
   for (int i = 0; i < BOXES; i++)
     if (spread->boxes[i].hall == 1)
@@ -353,7 +354,7 @@
   int64_t since_ms;
 
   fleet_control (spread->platform_port, "/control/mode?config=1&list=1");
-  fleet_sleep (11000);
+  fleet_sleep_ms (11000);
   publish (spread);
   since_ms = wall_now_ms ();
   fleet_control (spread->platform_port, "/control/mode?config=0&list=0");
@@ -373,7 +374,7 @@
     {
       char path[128];
 
-      fleet_end (&spread->boxes[i].pid, SIGKILL);
+      fleet_end_process (&spread->boxes[i].pid, SIGKILL);
       snprintf (path, sizeof path, "%s/%s.log", spread->folder, spread->boxes[i].name);
       remove (path);
     }
@@ -396,11 +397,11 @@
   start_fleet (&spread);
   printf ("start of 27 boxes: all have the configuration after %lld ms\n",
           (long long) everywhere_ms (&spread, since_ms, took_ms));
-  fleet_sleep (3000);
+  fleet_sleep_ms (3000);
   measure_idle (&spread);
   measure_changes (&spread);
   measure_paused_hall (&spread);
-  fleet_sleep (3000);
+  fleet_sleep_ms (3000);
   measure_platform_down (&spread);
   measure_replaced (&spread);
   stop_fleet (&spread);
--- a/test/router.c
+++ b/test/router.c
@@ -124,12 +124,12 @@
                                                  "/resolution?Name=shop.example", ""),
                                       other);
        i++)
-    fleet_sleep (20);
+    fleet_sleep_ms (20);
   CU_ASSERT_PTR_NOT_NULL (
       strstr (world_get (world.routers[0].directory, "GET", "/resolution", ""), other));
   /* One that stops is no longer named. */
   kill (world.routers[1].pid, SIGTERM);
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   CU_ASSERT_FALSE (
       strstr (world_get (world.routers[0].directory, "GET", "/resolution", ""), other));
   world_stop (&world);
@@ -146,13 +146,13 @@
   /* Taken away: refused soon, and not run. */
   world.has_key = false;
   world_publish (&world);
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   world_call (&world, "k2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 401);
   CU_ASSERT_EQUAL (world_runs (&world, "k2"), 0);
   world.has_key = true;
   world_publish (&world);
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   world_call (&world, "k3", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   world_call (&world, "k4", "/nowhere/x", NULL, "", &answer);
@@ -182,17 +182,17 @@
   start ();
   world_publish_text (&world, "{\"Version\":900,\"Routes\":[{\"Host\":\"h\",\"RouteKind\":\"odd\","
                               "\"Service\":\"none\"}],\"Services\":[{}]}");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   CU_ASSERT (world_logged (&world, 0, "place=Services[0] why=\"has no Name\""));
   CU_ASSERT (world_logged (&world, 0, "place=Routes[0] why=\"has a RouteKind"));
   CU_ASSERT (world_logged (&world, 0, "place=Routes[0] why=\"names a service"));
   world_publish_text (&world, "no JSON");
-  fleet_sleep (100);
+  fleet_sleep_ms (100);
   /* The last good one stays, and an older one never comes back. */
   world_call (&world, "b1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   world_publish_text (&world, "{\"Version\":1,\"Routes\":[],\"Services\":[]}");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   world_call (&world, "b2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   world_stop (&world);
@@ -343,14 +343,14 @@
       char name[8];
       char id[16];
 
-      fleet_end (&world.servers[s].pid, SIGKILL);
+      fleet_end_process (&world.servers[s].pid, SIGKILL);
       snprintf (port, sizeof port, "%u", world.servers[s].port);
       snprintf (name, sizeof name, "%s", world.servers[s].name);
       snprintf (id, sizeof id, "%s", world.servers[s].id);
       world.servers[s].pid =
           fleet_spawn (world.folder, name, "standin-server", port, name, id, (char *) NULL);
     }
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   for (int i = 0; i < 8; i++)
     {
       char request[8];
@@ -372,11 +372,11 @@
 
   start ();
   /* Another life at the address of A, before the list tells: it turns requests away. */
-  fleet_end (&world.servers[0].pid, SIGKILL);
+  fleet_end_process (&world.servers[0].pid, SIGKILL);
   snprintf (port, sizeof port, "%u", world.servers[0].port);
   world.servers[0].pid =
       fleet_spawn (world.folder, "A", "standin-server", port, "A", "i-A2", (char *) NULL);
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   for (int i = 0; i < 6; i++)
     {
       char request[8];
@@ -443,7 +443,7 @@
                                     atoi (world_get (world.servers[1].port, "GET", "/gone", "")) ==
                                 0;
        i++)
-    fleet_sleep (10);
+    fleet_sleep_ms (10);
   CU_ASSERT_EQUAL (atoi (world_get (world.servers[0].port, "GET", "/gone", "")) +
                        atoi (world_get (world.servers[1].port, "GET", "/gone", "")),
                    1);
@@ -457,11 +457,11 @@
   int64_t began;
 
   start ();
-  began = fleet_now ();
+  began = fleet_now_ms ();
   world_call (&world, "x1", "/once/x", "*=mute", "", &answer);
   /* The route's time ends it, long before the caller's. */
   CU_ASSERT_EQUAL (answer.status, 504);
-  CU_ASSERT (fleet_now () - began < 3500);
+  CU_ASSERT (fleet_now_ms () - began < 3500);
   world_stop (&world);
 }
 
@@ -482,7 +482,7 @@
   CU_ASSERT_FATAL (fd >= 0 && write (fd, text, strlen (text)) > 0);
   close (fd);
   pid = fleet_spawn ("/tmp", "ash-router-settings", "ashspindle-router", path, (char *) NULL);
-  CU_ASSERT_EQUAL (fleet_end (&pid, 0), 2);
+  CU_ASSERT_EQUAL (fleet_end_process (&pid, 0), 2);
   snprintf (log, sizeof log, "/tmp/ash-router-settings.log");
   file = fopen (log, "r");
   while (file && fgets (line, sizeof line, file))
@@ -583,7 +583,7 @@
 comes_to_have_elsewhere (int r, int wanted)
 {
   for (int i = 0; i < 200 && elsewhere (r) != wanted; i++)
-    fleet_sleep (20);
+    fleet_sleep_ms (20);
   return elsewhere (r) == wanted;
 }
 
@@ -648,7 +648,7 @@
   close (fds[1]);
   close (fds[2]);
   CU_ASSERT (comes_to_have_elsewhere (1, 2));
-  fleet_end (&world.routers[1].pid, SIGKILL);
+  fleet_end_process (&world.routers[1].pid, SIGKILL);
   world_start_router (&world, 1);
   CU_ASSERT (world_wait_ready (&world, 1, true));
   CU_ASSERT (comes_to_have_elsewhere (1, 2));
--- a/test/router_ends.c
+++ b/test/router_ends.c
@@ -89,7 +89,7 @@
       CU_ASSERT_EQUAL (revive (), 1);
     }
   CU_ASSERT (world_wait_logged (&world, 1, " quarantined "));
-  fleet_end (&world.routers[1].pid, SIGKILL);
+  fleet_end_process (&world.routers[1].pid, SIGKILL);
   world_start_router (&world, 1);
   CU_ASSERT (world_wait_ready (&world, 1, true));
   CU_ASSERT (world_wait_logged (&world, 1, "ends=2 spoke=0 for_ms=59"));
@@ -131,7 +131,7 @@
       CU_ASSERT (world_wait_logged (&world, (i + 1) % 2, " link_up "));
       world_call_at (&world, (i + 1) % 2, "often", "/once/often", NULL, "", &answer);
       CU_ASSERT_EQUAL (answer.status, 200);
-      fleet_sleep (50);
+      fleet_sleep_ms (50);
     }
   CU_ASSERT (world_logged (&world, 0, " quarantine_cleared "));
   CU_ASSERT (world_logged (&world, 1, "source=router-0"));
@@ -154,7 +154,7 @@
     {
       if (strstr (world_get (world.routers[1].figures, "GET", "/metrics", ""), wanted))
         return s;
-      fleet_sleep (10);
+      fleet_sleep_ms (10);
     }
   CU_FAIL ("the second router does not know of the request");
   return s;
--- a/test/router_maps.c
+++ b/test/router_maps.c
@@ -36,7 +36,7 @@
 
       if (fd < 0)
         {
-          fleet_sleep (50);
+          fleet_sleep_ms (50);
           continue;
         }
       world_send (fd, "POST /model/x HTTP/1.1\r\n" HEAD "g1\r\nContent-Length: 0\r\n\r\n");
@@ -84,7 +84,7 @@
     {
       if (world_group (&world, "changes") >= changes)
         return true;
-      fleet_sleep (25);
+      fleet_sleep_ms (25);
     }
   return false;
 }
@@ -152,13 +152,13 @@
 
       snprintf (target, sizeof target, "/state?shift=%d", 3 * i);
       world_get (world.ranks[0], "GET", target, "");
-      fleet_sleep (600 + 130 * i);
-      fleet_end (&world.routers[0].pid, SIGKILL);
+      fleet_sleep_ms (600 + 130 * i);
+      fleet_end_process (&world.routers[0].pid, SIGKILL);
       world_start_router (&world, 0);
     }
   /* Calm again: late orders are over, and the map follows once more. */
   world_get (world.ranks[0], "GET", "/state?late=0", "");
-  fleet_sleep (2000);
+  fleet_sleep_ms (2000);
   end_calm (callers);
 }
 
@@ -177,12 +177,12 @@
 
       snprintf (target, sizeof target, "/state?shift=%d", 3 * i + 2);
       world_get (world.ranks[0], "GET", target, "");
-      fleet_sleep (90 * i);
+      fleet_sleep_ms (90 * i);
       kill (world.routers[0].pid, SIGSTOP);
-      fleet_sleep (i % 2 ? 1500 : 100);
+      fleet_sleep_ms (i % 2 ? 1500 : 100);
       world_clock_ahead (&world, i % 2 ? 5000 : 1500);
       kill (world.routers[0].pid, SIGCONT);
-      fleet_sleep (600);
+      fleet_sleep_ms (600);
     }
   end_calm (callers);
 }
@@ -201,15 +201,15 @@
   world_get (world.ranks[0], "GET", "/state?deaf=1", "");
   world_get (world.ranks[0], "GET", "/state?shift=7", "");
   for (int i = 0; i < 4000 && !world_group (&world, "held"); i++)
-    fleet_sleep (1);
+    fleet_sleep_ms (1);
   kill (world.routers[0].pid, SIGSTOP);
-  stopped = fleet_now ();
+  stopped = fleet_now_ms ();
   CU_ASSERT_EQUAL (world_group (&world, "held"), 1);
   step = world_group (&world, "step");
   world_get (world.ranks[0], "GET", "/state?deaf=0", "");
-  while (world_group (&world, "step") == step && fleet_now () - stopped < 5000)
-    fleet_sleep (5);
-  CU_ASSERT (fleet_now () - stopped < 1000);
+  while (world_group (&world, "step") == step && fleet_now_ms () - stopped < 5000)
+    fleet_sleep_ms (5);
+  CU_ASSERT (fleet_now_ms () - stopped < 1000);
   CU_ASSERT (world_logged (&world, 1, "map_leader"));
   kill (world.routers[0].pid, SIGCONT);
   end_calm (callers);
--- a/test/router_stop.c
+++ b/test/router_stop.c
@@ -27,7 +27,7 @@
                          "p1\r\nX-Do: *=slow\r\nContent-Length: 0\r\n\r\n");
     }
   for (int i = 0; i < 100 && world_runs (&world, "p1") < 4; i++)
-    fleet_sleep (10);
+    fleet_sleep_ms (10);
   kill (world.routers[0].pid, SIGTERM);
   CU_ASSERT (world_wait_ready (&world, 0, false));
   /* A caller that still has the address is served too. */
@@ -40,7 +40,7 @@
       CU_ASSERT (answer.status == 200 && answer.whole);
       close (fd[i]);
     }
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&world.routers[0].pid, 0), 0);
   world_start_router (&world, 0);
   CU_ASSERT (world_wait_ready (&world, 0, true));
   world_call (&world, "p3", "/safe/x", NULL, "", &answer);
@@ -88,7 +88,7 @@
   held[0] = hold_request ("p1");
   kill (world.routers[0].pid, SIGTERM);
   CU_ASSERT (world_wait_ready (&world, 0, false));
-  fleet_sleep (500);
+  fleet_sleep_ms (500);
   held[1] = hold_request ("p2");
   /* A request may last 1.5 s here, of the 3 s that the stop may take: first they are taken. */
   do
@@ -96,7 +96,7 @@
       snprintf (id, sizeof id, "l%d", served);
       world_call (&world, id, path, action, "", &answer);
       served += answer.status == 200 && answer.whole;
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   while (answer.status == 200 && answer.whole);
   CU_ASSERT (served > 0);
@@ -110,7 +110,7 @@
   CU_ASSERT (answer.status == 504 && answer.whole);
   close (held[0]);
   close (held[1]);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&world.routers[0].pid, 0), 0);
   world_stop (&world);
 }
 
@@ -161,7 +161,7 @@
       text[length > 0 ? length : 0] = '\0';
       begun = strstr (text, "id: 1\n") != NULL;
       if (!begun)
-        fleet_sleep (5);
+        fleet_sleep_ms (5);
     }
   CU_ASSERT (begun);
 }
@@ -258,7 +258,7 @@
   CU_ASSERT (answer.status == 503 && answer.whole && has ("Retry-After:"));
   close (partly);
   close (idle);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&world.routers[0].pid, 0), 0);
   CU_ASSERT_FALSE (world_logged (&world, 0, "forward_resent"));
   CU_ASSERT (world_logged (&world, 0, " stopped "));
   world_stop (&world);
@@ -375,7 +375,7 @@
   CU_ASSERT (world_wait_logged (&world, 0, " stopping "));
   kill (world.routers[0].pid, SIGTERM);
   expect_not_run (fd, "e-up");
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&world.routers[0].pid, 0), 0);
   close_full (&full);
   world_stop (&world);
 }
@@ -411,7 +411,7 @@
   CU_ASSERT_EQUAL (count_of (answer.text, "HTTP/1.1 200 OK\r\n"), 2);
   CU_ASSERT_EQUAL (count_of (answer.text, "Connection: close\r\n"), 1);
   CU_ASSERT_EQUAL (world_runs (&world, "q-second"), 1);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&world.routers[0].pid, 0), 0);
   world_stop (&world);
   /* At the stop's end: the first may have run, the second has not. */
   start ();
@@ -423,7 +423,7 @@
   CU_ASSERT_EQUAL (count_of (answer.text, "HTTP/1.1 502 "), 1);
   CU_ASSERT_EQUAL (count_of (answer.text, "HTTP/1.1 503 "), 1);
   CU_ASSERT_EQUAL (world_runs (&world, "q-fourth"), 0);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&world.routers[0].pid, 0), 0);
   world_stop (&world);
 }
 
@@ -469,7 +469,7 @@
   kill (world.routers[0].pid, SIGSTOP);
   world_send (kept, "GET /once/x HTTP/1.1\r\n" HEAD "c-kept\r\n\r\n");
   fresh = begin_request ("/once/x", "HTTP/1.1", "c-fresh", "ok");
-  fleet_sleep (250);
+  fleet_sleep_ms (250);
   kill (world.routers[0].pid, SIGTERM);
   kill (world.routers[0].pid, SIGCONT);
   world_read (kept, &answer);
@@ -484,12 +484,12 @@
   close (idle);
   /* One that is new waits for its request, over some turns of the loop. */
   fresh = world_connect (&world, 0);
-  fleet_sleep (250);
+  fleet_sleep_ms (250);
   world_send (fresh, "GET /once/x HTTP/1.1\r\n" HEAD "c-new\r\n\r\n");
   world_read (fresh, &answer);
   CU_ASSERT (answer.status == 200 && answer.whole && has ("Connection: close"));
   close (fresh);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&world.routers[0].pid, 0), 0);
   world_stop (&world);
   /* The same at the end. */
   start ();
@@ -502,7 +502,7 @@
   kill (world.routers[0].pid, SIGCONT);
   expect_true_end (kept, "c-late");
   expect_true_end (fresh, "c-last");
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&world.routers[0].pid, 0), 0);
   world_stop (&world);
 }
 
@@ -522,12 +522,12 @@
   CU_ASSERT (world_wait_logged (&world, 0, " stopping "));
   world_call (&world, "n-2", "/safe/x", NULL, "", &answer);
   CU_ASSERT (answer.status == 503 && answer.whole);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&world.routers[0].pid, 0), 0);
   /* Twice, before anything else. */
   world_start_router (&world, 0);
   kill (world.routers[0].pid, SIGTERM);
   kill (world.routers[0].pid, SIGINT);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&world.routers[0].pid, 0), 0);
   /* New settings while it stops. */
   world_publish (&world);
   world_start_router (&world, 0);
@@ -540,7 +540,7 @@
   CU_ASSERT (answer.status == 200 && answer.whole);
   close (fd);
   CU_ASSERT (world_wait_ready (&world, 0, false));
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&world.routers[0].pid, 0), 0);
   world_stop (&world);
 }
 
@@ -555,7 +555,7 @@
     {
       kill (world.routers[0].pid, SIGTERM);
       kill (world.routers[0].pid, SIGINT);
-      CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+      CU_ASSERT_EQUAL (fleet_end_process (&world.routers[0].pid, 0), 0);
       world_start_router (&world, 0);
     }
   world_stop (&world);
--- a/test/router_store.c
+++ b/test/router_store.c
@@ -16,7 +16,7 @@
 {
   start ();
   world_list (&world, 0, "draining");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   for (int i = 0; i < 6; i++)
     {
       world_call (&world, "g1", "/safe/x", NULL, "", &answer);
@@ -25,7 +25,7 @@
   CU_ASSERT_PTR_NULL (strstr (server_log (0), "g1"));
   /* Gone from the list without a word: gone too. */
   world_get (world.store_port, "PUT", "/remove?servers/i-B1", "");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   world_call (&world, "g2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
   CU_ASSERT_EQUAL (world_runs (&world, "g2"), 0);
@@ -37,7 +37,7 @@
 {
   start ();
   world_get (world.store_port, "PUT", "/mode?busy", "");
-  fleet_sleep (1500);
+  fleet_sleep_ms (1500);
   CU_ASSERT (world_logged (&world, 0, "platform_down"));
   world_call (&world, "w1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
@@ -45,18 +45,18 @@
   world_get (world.store_port, "PUT", "/remove?servers/i-A1", "");
   world_get (world.store_port, "PUT", "/remove?servers/i-B1", "");
   world_get (world.store_port, "PUT", "/mode?ok", "");
-  fleet_sleep (700);
+  fleet_sleep_ms (700);
   world_call (&world, "w2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   world_list (&world, 0, "ready");
-  fleet_sleep (2500);
+  fleet_sleep_ms (2500);
   /* The one that did not come back is gone, the other is not. */
   world_call (&world, "w3", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_PTR_NULL (strstr (server_log (1), "w3"));
   /* What is missing from now on has not lapsed: it is gone at once. */
   world_get (world.store_port, "PUT", "/remove?servers/i-A1", "");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   world_call (&world, "w4", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
   CU_ASSERT_EQUAL (world_runs (&world, "w4"), 0);
@@ -94,10 +94,10 @@
       world_get (world.store_port, "PUT", target,
                  "{\"Service\":\"other\",\"Address\":\"127.0.0.1:1\",\"Zone\":\"hall-a\","
                  "\"Slots\":8,\"State\":\"ready\"}");
-      fleet_sleep (15);
+      fleet_sleep_ms (15);
     }
   for (int i = 0; i < 100 && !world_logged (&world, 0, "endpoint=i-burst59"); i++)
-    fleet_sleep (10);
+    fleet_sleep_ms (10);
   CU_ASSERT (world_logged (&world, 0, "endpoint=i-burst59"));
   CU_ASSERT (figure (0, "\nash_store_calls_total{} ") - before < STARTS / 2);
   world_stop (&world);
@@ -111,12 +111,12 @@
   start ();
   world_call (&world, "v1", "/safe/x", NULL, "", &answer);
   world_get (world.store_port, "PUT", "/mode?silent", "");
-  fleet_sleep (1300);
+  fleet_sleep_ms (1300);
   world_get (world.store_port, "PUT", "/remove?servers/i-A1", "");
   world_get (world.store_port, "PUT", "/remove?servers/i-B1", "");
   world_get (world.store_port, "PUT", "/mode?ok", "");
   for (int i = 0; i < 100 && !world_logged (&world, 0, "endpoint_missing"); i++)
-    fleet_sleep (10);
+    fleet_sleep_ms (10);
   world_call (&world, "v2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   world_stop (&world);
@@ -136,7 +136,7 @@
       strncat (id, " ", sizeof id - strlen (id) - 1);
       if (!strstr (server_log (s), id))
         return true;
-      fleet_sleep (100);
+      fleet_sleep_ms (100);
     }
   return false;
 }
@@ -150,7 +150,7 @@
       world_call (&world, "unused", "/safe/x", NULL, "", &answer);
       if (answer.status == 503)
         return true;
-      fleet_sleep (100);
+      fleet_sleep_ms (100);
     }
   return false;
 }
@@ -160,11 +160,11 @@
 {
   start ();
   world_get (world.store_port, "PUT", "/mode?busy", "");
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   world_list (&world, 0, "draining");
   world_get (world.store_port, "PUT", "/mode?forget", "");
   world_get (world.store_port, "PUT", "/mode?ok", "");
-  fleet_sleep (800);
+  fleet_sleep_ms (800);
   for (int i = 0; i < 4; i++)
     world_call (&world, "h1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
@@ -182,7 +182,7 @@
 {
   start ();
   world_get (world.store_port, "PUT", "/mode?busy", "");
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   world_get (world.store_port, "PUT", "/remove?servers/i-B1", "");
   world_get (world.store_port, "PUT", "/mode?forget", "");
   world_get (world.store_port, "PUT", "/mode?ok", "");
@@ -206,7 +206,7 @@
   CU_ASSERT (world_wait_ready (&world, 1, true));
   /* A router that starts while the store is away learns all from its peer. */
   world_get (world.store_port, "PUT", "/mode?busy", "");
-  fleet_end (&world.routers[0].pid, SIGKILL);
+  fleet_end_process (&world.routers[0].pid, SIGKILL);
   world_start_router (&world, 0);
   CU_ASSERT (world_wait_ready (&world, 0, true));
   world_call (&world, "e1", "/safe/x", NULL, "", &answer);
@@ -226,7 +226,7 @@
   world.store_wait_ms = LONG_WAIT_MS;
   world.list_wait_ms = LONG_WAIT_MS;
   restart ();
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
 }
 
 /* The first router's questions wait for good, the second one asks anew after a second at most. */
@@ -236,7 +236,7 @@
   start_patient ();
   world.short_wait_ms = LONG_WAIT_MS;
   restart ();
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   world_get (world.store_port, "PUT", "/deafen", "");
   world.short_wait_ms = 300;
   world_start_router (&world, 1);
@@ -251,8 +251,8 @@
   world.store_wait_ms = world.list_wait_ms = world.short_wait_ms = LONG_WAIT_MS;
   world_start_router (&world, 1);
   CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 1, true));
-  fleet_sleep (300);
-  fleet_end (&world.routers[0].pid, SIGKILL);
+  fleet_sleep_ms (300);
+  fleet_end_process (&world.routers[0].pid, SIGKILL);
   world_get (world.store_port, "PUT", "/deafen", "");
   world_get (world.store_port, "PUT", "/remove?servers/i-B1", "");
 }
@@ -327,7 +327,7 @@
   while (answer.status == 200);
   /* The key comes back: once this router knows that there is something newer, it may not say
    * that there is none. Its question for that is at the store by now. */
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   world_get (world.store_port, "PUT", "/deafen", "");
   world.has_key = true;
   world_publish (&world);
@@ -377,7 +377,7 @@
     {
       long before = store_calls (r);
 
-      fleet_sleep (2000);
+      fleet_sleep_ms (2000);
       if (store_calls (r) == before)
         return true;
     }
@@ -400,9 +400,9 @@
     }
   CU_ASSERT_TRUE_FATAL (wait_patient (3));
   before = store_calls (3);
-  fleet_end (&world.routers[0].pid, SIGKILL);
+  fleet_end_process (&world.routers[0].pid, SIGKILL);
   for (int i = 0; i < 500 && store_calls (3) == before; i++)
-    fleet_sleep (20);
+    fleet_sleep_ms (20);
   CU_ASSERT_NOT_EQUAL (store_calls (3), before);
   world_stop (&world);
 }
@@ -417,7 +417,7 @@
 {
   start ();
   world_get (world.store_port, "PUT", "/mode?slow500", "");
-  fleet_end (&world.routers[0].pid, SIGKILL);
+  fleet_end_process (&world.routers[0].pid, SIGKILL);
   world_start_router (&world, 0);
   CU_ASSERT (world_wait_ready (&world, 0, true));
   world_call (&world, "sl1", "/safe/x", NULL, "", &answer);
@@ -464,7 +464,7 @@
   start ();
   world.list_wait_ms = world.short_wait_ms = LONG_WAIT_MS;
   restart ();
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   silence_store ();
   CU_ASSERT (world_wait_logged (&world, 0, "the other one is silent"));
   lapse_and_call ();
@@ -484,7 +484,7 @@
   CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 1, true));
   world.store_wait_ms = world.list_wait_ms = world.short_wait_ms = LONG_WAIT_MS;
   restart ();
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   silence_store ();
   CU_ASSERT (world_wait_logged (&world, 1, "no answer in time"));
   lapse_and_call ();
@@ -520,7 +520,7 @@
   world_list (&world, 1, "draining");
   world_publish (&world);
   CU_ASSERT (follower_logged ("endpoint_leaving", "endpoint=i-B1"));
-  fleet_sleep (1000);
+  fleet_sleep_ms (1000);
 }
 
 /* 149 routers that all asked the store made 231 calls a second, most of them to learn of the same
@@ -544,9 +544,9 @@
   CU_ASSERT (follower_logged ("config_accepted", version));
   CU_ASSERT_EQUAL (store_calls (FOLLOWER), before);
   /* One that asked is gone: this one asks from now on. */
-  fleet_end (&world.routers[0].pid, SIGKILL);
+  fleet_end_process (&world.routers[0].pid, SIGKILL);
   CU_ASSERT (follower_logged ("store_reader", "reads=1"));
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   CU_ASSERT (store_calls (FOLLOWER) > before);
   world_stop (&world);
 }
--- a/test/router_tests.c
+++ b/test/router_tests.c
@@ -29,7 +29,7 @@
 void
 restart (void)
 {
-  fleet_end (&world.routers[0].pid, SIGKILL);
+  fleet_end_process (&world.routers[0].pid, SIGKILL);
   world_start_router (&world, 0);
   CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 0, true));
 }
@@ -38,7 +38,7 @@
 wait_arrived (const char *id)
 {
   for (int i = 0; i < 100 && !world_runs (&world, id); i++)
-    fleet_sleep (10);
+    fleet_sleep_ms (10);
 }
 
 bool
--- a/test/router_world.c
+++ b/test/router_world.c
@@ -333,9 +333,9 @@
 static void
 wait_port (uint16_t port)
 {
-  int64_t until = fleet_now () + WAIT_MS;
+  int64_t until = fleet_now_ms () + WAIT_MS;
 
-  while (fleet_now () < until)
+  while (fleet_now_ms () < until)
     {
       int fd = connect_to (port);
 
@@ -425,15 +425,15 @@
 bool
 world_wait_ready (struct world *world, int r, bool ready)
 {
-  int64_t until = fleet_now () + WAIT_MS;
+  int64_t until = fleet_now_ms () + WAIT_MS;
 
-  while (fleet_now () < until)
+  while (fleet_now_ms () < until)
     {
       const char *body = world_get (world->routers[r].readiness, "GET", "/readyz", "");
 
       if ((strcmp (body, "ready\n") == 0) == ready)
         return true;
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   return false;
 }
@@ -568,16 +568,16 @@
 
   for (int r = 0; r < WORLD_ROUTERS; r++)
     if (world->routers[r].pid)
-      fleet_end (&world->routers[r].pid, SIGKILL);
+      fleet_end_process (&world->routers[r].pid, SIGKILL);
   for (int s = 0; s < WORLD_SERVERS; s++)
     if (world->servers[s].pid)
-      fleet_end (&world->servers[s].pid, SIGKILL);
+      fleet_end_process (&world->servers[s].pid, SIGKILL);
   for (int i = 0; i < WORLD_LINKS; i++)
     if (world->links[i].pid)
-      fleet_end (&world->links[i].pid, SIGKILL);
+      fleet_end_process (&world->links[i].pid, SIGKILL);
   if (world->group)
-    fleet_end (&world->group, SIGKILL);
-  fleet_end (&world->store, SIGKILL);
+    fleet_end_process (&world->group, SIGKILL);
+  fleet_end_process (&world->store, SIGKILL);
   if (getenv ("FLEET_KEEP"))
     {
       printf ("logs: %s\n", world->folder);
@@ -633,13 +633,13 @@
 bool
 world_wait_logged (struct world *world, int r, const char *text)
 {
-  int64_t until = fleet_now () + WAIT_MS;
+  int64_t until = fleet_now_ms () + WAIT_MS;
 
-  while (fleet_now () < until)
+  while (fleet_now_ms () < until)
     {
       if (world_logged (world, r, text))
         return true;
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   return false;
 }
--- a/test/silence.c
+++ b/test/silence.c
@@ -40,7 +40,8 @@
 static void
 print_noticed (const char *what, int silence, int64_t began_ms)
 {
-  printf ("\n    %s, silence %d: %lld ms ", what, silence, (long long) (fleet_now () - began_ms));
+  printf ("\n    %s, silence %d: %lld ms ", what, silence,
+          (long long) (fleet_now_ms () - began_ms));
 }
 
 /* ---- to endpoints ---- */
@@ -154,7 +155,7 @@
       start ();
       keep_connections ();
       silence_endpoints ((enum world_silence) silence);
-      began_ms = fleet_now ();
+      began_ms = fleet_now_ms ();
       failed = count_failed (path, action, repeatable);
       print_noticed (path, silence, began_ms);
       CU_ASSERT (failed <= failed_max);
@@ -219,10 +220,10 @@
       world_send (fd, "POST /long/x HTTP/1.1\r\n" HEAD
                       "mid-1\r\nX-Do: *=stream\r\nContent-Length: 0\r\n\r\n");
       for (int i = 0; i < 200 && !world_runs (&world, "mid-1"); i++)
-        fleet_sleep (5);
-      fleet_sleep (BEGUN_MS);
+        fleet_sleep_ms (5);
+      fleet_sleep_ms (BEGUN_MS);
       silence_endpoints ((enum world_silence) silence);
-      began_ms = fleet_now ();
+      began_ms = fleet_now_ms ();
       world_read (fd, &answer);
       close (fd);
       print_noticed ("midway", silence, began_ms);
@@ -268,7 +269,7 @@
       LARGE_BYTES);
   memset (text + length, 'x', LARGE_BYTES);
   world_send (fd, text);
-  fleet_sleep (DOUBTED_MS);
+  fleet_sleep_ms (DOUBTED_MS);
   CU_ASSERT_EQUAL (count_failed ("/once/x", NULL, false), 0);
   /* This one may have run for all that its router knows. */
   world_read (fd, &answer);
@@ -323,7 +324,7 @@
   start ();
   keep_connections ();
   fd = world_connect (&world, 0);
-  fleet_sleep (100);
+  fleet_sleep_ms (100);
   for (int s = 0; s < WORLD_SERVERS; s++)
     CU_ASSERT (count_probed (world.links[WORLD_LINK_SERVERS + s].port, false) > 0);
   CU_ASSERT (count_probed (world.links[WORLD_LINK_STORE].port, false) > 0);
@@ -363,12 +364,12 @@
       start ();
       world.store_wait_ms = LONG_WAIT_MS;
       world.list_wait_ms = LONG_WAIT_MS;
-      fleet_end (&world.routers[0].pid, SIGKILL);
+      fleet_end_process (&world.routers[0].pid, SIGKILL);
       world_start_router (&world, 0);
       CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 0, true));
-      fleet_sleep (200);
+      fleet_sleep_ms (200);
       world_silence (&world, WORLD_LINK_STORE, (enum world_silence) silence);
-      began_ms = fleet_now ();
+      began_ms = fleet_now_ms ();
       world_publish (&world);
       world_list (&world, 0, "draining");
       snprintf (accepted, sizeof accepted, "version=%u before=", world.version);
@@ -405,7 +406,7 @@
     {
       if (count_logged (r, text) >= count)
         return true;
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   return false;
 }
@@ -424,17 +425,17 @@
       world_start_router (&world, 1);
       CU_ASSERT (world_wait_ready (&world, 1, true));
       CU_ASSERT (wait_counted (1, "link_up", 1));
-      fleet_sleep (300);
+      fleet_sleep_ms (300);
       ups = count_logged (1, "link_up");
       for (int r = 0; r < WORLD_ROUTERS; r++)
         world_silence (&world, WORLD_LINK_PEERS + r, (enum world_silence) silence);
-      began_ms = fleet_now ();
+      began_ms = fleet_now_ms ();
       CU_ASSERT (wait_counted (1, "link_up", ups + 1));
       print_noticed ("peers, up again", silence, began_ms);
       CU_ASSERT (count_logged (0, "why=\"silent\"") + count_logged (1, "why=\"silent\"") > 0);
       /* The first router's way to the store is closed: it learns from the other one. */
       world_get (world.links[WORLD_LINK_STORE].control, "POST", "/control?mode=1", "");
-      fleet_end (&world.routers[0].pid, SIGKILL);
+      fleet_end_process (&world.routers[0].pid, SIGKILL);
       world_start_router (&world, 0);
       CU_ASSERT (world_wait_logged (&world, 0, "source=router-1"));
       snprintf (accepted, sizeof accepted, "version=%u before=", world.version);
@@ -474,9 +475,9 @@
             world_send (fds[i], "POST /once/x HTTP/1.1\r\n" HEAD
                                 "mute-1\r\nX-Do: *=mute\r\nContent-Length: 0\r\n\r\n");
         }
-      fleet_sleep (300);
+      fleet_sleep_ms (300);
       world_silence (&world, WORLD_LINK_CALLERS, (enum world_silence) silence);
-      began_ms = fleet_now ();
+      began_ms = fleet_now_ms ();
       fd = world_connect (&world, 0);
       world_send (fd, "GET /safe/x HTTP/1.1\r\n" HEAD "next-1\r\n\r\n");
       world_read (fd, &answer);
@@ -489,7 +490,7 @@
                               atoi (world_get (world.servers[1].port, "GET", "/gone", "")) <
                           3;
            i++)
-        fleet_sleep (10);
+        fleet_sleep_ms (10);
       CU_ASSERT_EQUAL (world_runs (&world, "mute-1"), 3);
       for (int i = 0; i < CALLERS; i++)
         close (fds[i]);
@@ -518,7 +519,7 @@
 
       if (fd < 0)
         {
-          fleet_sleep (50);
+          fleet_sleep_ms (50);
           continue;
         }
       world_send (fd, "POST /model/x HTTP/1.1\r\n" HEAD "g1\r\nContent-Length: 0\r\n\r\n");
@@ -537,7 +538,7 @@
     {
       if (world_group (&world, "changes") >= changes)
         return true;
-      fleet_sleep (25);
+      fleet_sleep_ms (25);
     }
   return false;
 }
@@ -570,12 +571,12 @@
       changes = world_group (&world, "changes");
       snprintf (target, sizeof target, "/state?shift=%d", 3 * n + 2);
       world_get (world.ranks[0], "GET", target, "");
-      began_ms = fleet_now ();
+      began_ms = fleet_now_ms ();
       for (int i = 0; i < SILENCES && world_group (&world, "changes") == changes; i++)
         {
           for (int rank = 0; rank < WORLD_RANKS; rank++)
             world_silence (&world, WORLD_LINK_RANKS + rank, (enum world_silence) (1 + n % 3));
-          fleet_sleep (BETWEEN_MS);
+          fleet_sleep_ms (BETWEEN_MS);
         }
       CU_ASSERT (wait_changes (changes + 1));
       print_noticed ("ranks, the next change", 1 + n % 3, began_ms);
