--- a/test/bounds.c
+++ b/test/bounds.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * What comes from outside is bounded: HTTP and peer links of a real entry are
- * fed too much, too slowly, malformed or forged. After each it still serves.
+ * Limits on external input: the HTTP port and the peer port of a real entry get input that is too
+ * large, too slow, malformed or forged. The entry must reject it and still serve other callers.
  */
 #include "common/id.h"
 #include "net/frame.h"
@@ -113,7 +113,7 @@
 
   raw_send (fd, start, sizeof start - 1);
   CU_ASSERT (raw_read_until_closed (fd, text, sizeof text));
-  /* Headers that never end, a byte at a time so that it is never silent. */
+  /* Sends endless headers, one byte every 150 ms, so that the idle timeout alone can't end it. */
   fd = raw_connect (fleet.entries[0].http_port);
   for (int i = 0; i < 12; i++)
     {
@@ -132,7 +132,7 @@
 
   for (int i = 0; i < CONNECTIONS_TRIED; i++)
     fds[i] = raw_connect (fleet.entries[0].http_port);
-  /* All are closed in the end, the ones that were let in for their silence. */
+  /* Connections above the limit are rejected; accepted ones are closed when they time out. */
   for (int i = 0; i < CONNECTIONS_TRIED; i++)
     CU_ASSERT (fds[i] < 0 || raw_read_until_closed (fds[i], text, sizeof text));
   assert_still_serves ();
@@ -146,7 +146,7 @@
   return raw_connect (fleet.entries[0].peer_port);
 }
 
-/* Reads the challenge of a new link into nonces. */
+/* Reads the challenge of a new link and stores its nonce in nonces->accept. */
 static bool
 read_challenge (int fd, struct ash_nonces *nonces)
 {
@@ -174,7 +174,7 @@
   return ok;
 }
 
-/* Writes a hello that is proved with that key. */
+/* Appends a hello to the buffer, with a proof made with the key. */
 static void
 write_hello (struct ash_buffer *buffer, const struct ash_nonces *nonces, const uint8_t *key)
 {
@@ -214,7 +214,7 @@
   memset (bytes, 0xff, sizeof bytes);
   raw_send (fd, bytes, sizeof bytes);
   CU_ASSERT (raw_read_until_closed (fd, text, sizeof text));
-  /* Says nothing at all: closed after the silence that a link may have. */
+  /* A connection that sends nothing is closed after link_silence_ms. */
   CU_ASSERT (raw_read_until_closed (open_peer (), text, sizeof text));
   assert_still_serves ();
 }
@@ -246,7 +246,7 @@
   int fd = open_peer ();
   int replay;
 
-  /* A hello that is right for one link is sent on another first. */
+  /* A hello with a valid proof for one link is sent on another link, which must be closed. */
   CU_ASSERT (read_challenge (fd, &nonces));
   write_hello (&buffer, &nonces, fleet_key);
   replay = open_peer ();
@@ -254,10 +254,10 @@
   raw_send (replay, buffer.bytes, buffer.length);
   CU_ASSERT (raw_read_until_closed (replay, text, sizeof text));
   CU_ASSERT_FALSE (is_link_up ());
-  /* On its own link it is right, so the test above has tested the replay. */
+  /* The same hello is accepted on its own link, so the rejection above was due to the replay. */
   raw_send (fd, buffer.bytes, buffer.length);
   CU_ASSERT (is_link_up ());
-  /* And an unsigned frame on the link that is up ends it. */
+  /* An unsigned frame on an established link closes the link. */
   raw_send (fd, buffer.bytes, buffer.length);
   CU_ASSERT (raw_read_until_closed (fd, text, sizeof text));
   assert_still_serves ();
@@ -274,7 +274,7 @@
   curl_global_init (CURL_GLOBAL_DEFAULT);
   if (sodium_init () < 0)
     return EXIT_FAILURE;
-  /* The fleet's key is 64 digits whose last is 7. */
+  /* Daemons of the fleet have a fleet_key of 63 zeros and a 7, in hexadecimal. */
   fleet_key[ASH_FRAME_KEY_BYTES - 1] = 7;
   fleet_start (&fleet, DAEMON_SETTINGS);
   CU_initialize_registry ();
--- a/test/faults.c
+++ b/test/faults.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Fault tests with real processes on loopback: kills, pauses, cuts, planned
- * stops. What callers were has_outcome is compared with the stand-ins' own records.
+ * Fault tests with real processes on loopback: killed and paused processes, cut
+ * links, planned stops. The outcomes that callers got are compared with the runs
+ * that the stand-in engines recorded.
  */
 #include "test/fault_tests.h"
 #include "test/fleet.h"
@@ -25,14 +26,14 @@
   return strcmp (call->answer.outcome, outcome) == 0;
 }
 
-/* Waits until the guard after the start of an agent's life is over. */
+/* Waits longer than an agent that has just started refuses callers' keys. */
 static void
 wait_guard_period (void)
 {
   fleet_sleep_ms (900);
 }
 
-/* Waits until either model's engine runs something. */
+/* Waits until an engine of either model endpoint has started a run. @return false after 10 s. */
 static bool
 wait_model_run (struct fleet *fleet)
 {
@@ -83,7 +84,7 @@
   fleet_end_process (&fleet.entries[0].pid, SIGKILL);
   fleet_wait_call (&calls[0]);
   CU_ASSERT_EQUAL (calls[0].answer.status, 0);
-  /* The caller comes through the other entry for the same run's answer. */
+  /* The caller retries through the other entry and gets the answer of the same run. */
   fleet_begin_order (&fleet, &calls[1], 1, "order-1", 2, 600, 0);
   fleet_wait_call (&calls[1]);
   CU_ASSERT_EQUAL (calls[1].answer.status, 200);
@@ -115,7 +116,7 @@
     }
   CU_ASSERT (fleet_wait_live (&fleet, 0, FLEET_ENDPOINTS));
   wait_guard_period ();
-  /* The new life can't know what the old one did with that key. */
+  /* The restarted agent can't know what its former incarnation did with that key. */
   fleet_begin_order (&fleet, &calls[2], 0, "order-1", 2, 1, 0);
   fleet_wait_call (&calls[2]);
   CU_ASSERT (has_outcome (&calls[2], "unknown"));
@@ -142,8 +143,9 @@
   fleet_stop (&fleet);
 }
 
-/* A minted key names its home's life: it runs in a young one, once, whichever
- * attempt it is; and it does not run in the next life. */
+/* A minted key names its home endpoint and the incarnation of that endpoint's agent. An agent that
+ * has just started therefore runs it, once, whatever the attempt; a later incarnation refuses it.
+ */
 static void
 test_minted_key (void)
 {
@@ -180,13 +182,13 @@
   fleet_start (&fleet, SHORT_LIFE);
   fleet_sleep_ms (OLD_MS);
   kill (fleet.entries[0].pid, SIGSTOP);
-  /* Waits in the paused entry's socket for longer than its deadline. */
+  /* This request waits in the paused entry's socket for longer than its deadline. */
   fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 1, 1000);
   fleet_begin_order (&fleet, &calls[1], 1, "order-1", 2, 1, 0);
   fleet_wait_call (&calls[1]);
   CU_ASSERT (has_outcome (&calls[1], "ran"));
-  /* The agent restarts and forgets; then the paused entry wakes with the first
-   * submission in its hands. */
+  /* The agent restarts and has no record of the key; then the paused entry resumes and reads the
+   * first request, whose deadline has passed. */
   fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
   fleet_start_endpoint (&fleet, FLEET_STOCK);
   CU_ASSERT (fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS));
@@ -201,7 +203,7 @@
   fleet_stop (&fleet);
 }
 
-/* Streams over links that are cut in the middle and healed. */
+/* One link is cut and restored, the other closed and reopened, while streams run over both. */
 static void
 test_streams_over_link_cut (void)
 {
@@ -276,8 +278,8 @@
   fleet_stop (&fleet);
 }
 
-/* The engine takes the request and drops the connection without an answer. A
- * kept connection must not make libcurl send it again by itself. */
+/* The engine reads the request, then closes the connection without an answer. libcurl must not
+ * send the request again by itself, as it may on a reused connection. */
 static void
 test_dropped_by_engine (void)
 {
@@ -318,8 +320,8 @@
   fleet_stop (&fleet);
 }
 
-/* Work that nobody waits for any more ends at the engine, well before its
- * deadline: the caller's connection closes, or its entry dies. */
+/* A run is cancelled at the engine, well before its deadline, once its caller has disconnected or
+ * its entry has been killed. */
 static void
 test_cancel (bool kill_the_entry)
 {
@@ -335,8 +337,8 @@
     }
   else
     {
-      /* The tool gives up five seconds after the deadline; the stand-in of a
-       * caller that leaves is its whole process, so a child makes the call. */
+      /* ash_cli_fetch() closes its connection only five seconds after the deadline. To disconnect
+       * earlier, a child process makes the call and is killed. */
       pid_t caller = fork ();
 
       if (caller == 0)
@@ -374,14 +376,14 @@
   test_cancel (true);
 }
 
-/* ---- leaving and planned stop ---- */
+/* ---- boxes that are leaving, and planned stops ---- */
 
 static void *
 keep_calling (void *data)
 {
   struct fleet *fleet = ((void **) data)[0];
   volatile bool *stop = ((void **) data)[1];
-  int *bad = ((void **) data)[2];
+  int *failures = ((void **) data)[2];
   int entry = *(int *) ((void **) data)[3];
   struct fleet_call calls[LOAD];
 
@@ -394,10 +396,10 @@
           fleet_wait_call (&calls[i]);
           if (calls[i].answer.status != 200 || !calls[i].answer.whole)
             {
-              fprintf (stderr, "under load: status %ld outcome %s: %s\n", calls[i].answer.status,
-                       calls[i].answer.outcome,
+              fprintf (stderr, "call under load failed: status %ld outcome %s: %s\n",
+                       calls[i].answer.status, calls[i].answer.outcome,
                        calls[i].answer.body ? calls[i].answer.body : calls[i].answer.error);
-              (*bad)++;
+              (*failures)++;
             }
           ash_cli_answer_finish (&calls[i].answer);
         }
@@ -405,15 +407,15 @@
   return NULL;
 }
 
-/* Stops and restarts the agents one after the other under load. */
+/* Agents are stopped as planned and restarted, one after the other, under load: no call fails. */
 static void
 test_planned_stop_of_agents (void)
 {
   struct fleet fleet;
   volatile bool stop = false;
-  int bad = 0;
+  int failures = 0;
   int entry = -1;
-  void *data[] = { &fleet, (void *) (uintptr_t) &stop, &bad, &entry };
+  void *data[] = { &fleet, (void *) (uintptr_t) &stop, &failures, &entry };
   pthread_t thread;
 
   fleet_start (&fleet, NO_GUARD);
@@ -428,11 +430,11 @@
     }
   stop = true;
   pthread_join (thread, NULL);
-  CU_ASSERT_EQUAL (bad, 0);
+  CU_ASSERT_EQUAL (failures, 0);
   fleet_stop (&fleet);
 }
 
-/* Stops an entry while its callers still use the address that they keep. */
+/* An entry is stopped as planned while callers still connect to its cached address. */
 static void
 test_planned_stop_of_entry (void)
 {
@@ -448,7 +450,7 @@
   pid = fleet.entries[0].pid;
   kill (pid, SIGTERM);
   fleet_sleep_ms (100);
-  /* Within the time to keep an address it still serves who comes. */
+  /* For address_keep_ms after the signal the entry still accepts and serves new callers. */
   fleet_begin_chat (&fleet, &late, 0, true, 5);
   fleet_wait_call (&late);
   CU_ASSERT (fleet_stream_ok (&late.answer, 5));
@@ -460,8 +462,8 @@
   fleet_stop (&fleet);
 }
 
-/* A caller that has connected in time is served, though its request comes only
- * when the entry takes no new connections any more. */
+/* A caller that connected before the entry closed its listener is served, although it sends its
+ * request only afterwards. */
 static void
 test_planned_stop_before_request (void)
 {
@@ -490,17 +492,18 @@
   fleet_stop (&fleet);
 }
 
-/* ---- planned stop with an end ---- */
+/* ---- planned stop: grace period ---- */
 
-/* Short, so that the tests wait little; what is in hand would take 20 s. */
+/* A short grace period keeps the tests short; the requests in flight would take 20 s. */
 #define SHORT_GRACE NO_GUARD "grace_ms = 1500\n"
 #define LONG_TOKENS 4000
 #define LONG_WORK_MS 20000
 #define ALL_DAY_MS 600000
 
-/* A planned stop had no bound: an entry ended when nothing was in flight any more, and calls may
- * take 600 s. Operators wait for some seconds, then kill; callers saw answers cut without a word,
- * and could not know of their orders. Now each gets a final answer, and the process ends itself. */
+/* Guards against a planned stop of an entry that waits for all requests in flight, which may take
+ * 600 s: operators kill the process after a few seconds, so that callers get truncated answers and
+ * no outcome for their orders. At the end of the grace period each caller must get a final answer
+ * and the process must exit. */
 static void
 test_entry_stop_grace (void)
 {
@@ -526,7 +529,8 @@
   fleet_stop (&fleet);
 }
 
-/* The same of agents. What may be repeated goes on at another endpoint, and comes whole. */
+/* The same for a planned stop of agents. Requests that may be repeated are retried at another
+ * endpoint and get whole answers. */
 static void
 test_agent_stop_grace (void)
 {
@@ -557,7 +561,7 @@
   fleet_stop (&fleet);
 }
 
-/* @return whether the process ends by itself, properly, within 10 s. */
+/* @return whether the process exits with status 0 within 10 s, without another signal. */
 static bool
 exits_cleanly (pid_t *pid)
 {
@@ -575,8 +579,8 @@
   return false;
 }
 
-/* A caller that has connected and sends nothing has upload_ms for it; in a planned stop it kept the
- * entry for as long, until the operator killed it with whatever else was in hand. */
+/* Guards against a connected caller that sends nothing, and may do so for upload_ms, keeping a
+ * stopping entry running for as long. */
 static void
 test_stop_with_silent_caller (void)
 {
@@ -592,8 +596,7 @@
   fleet_stop (&fleet);
 }
 
-/* From one source alone, the platform's list, and heard by one entry alone:
- * the other learns it from that one. */
+/* Only the platform's list says that the box is leaving. Every entry stops sending work to it. */
 static void
 test_leaving_by_platform_list (void)
 {
@@ -613,7 +616,8 @@
   fleet_stop (&fleet);
 }
 
-/* The agent's own signal, while the list lags and says it is live. */
+/* An agent that is stopped announces by itself that it is leaving, while the platform's list lags
+ * and still has it as live. */
 static void
 test_leaving_by_agent_signal (void)
 {
@@ -639,8 +643,8 @@
   fleet_stop (&fleet);
 }
 
-/* One entry alone hears of it; the other, which can't read the platform, learns
- * it from that one. */
+/* Only one entry can read the platform's list; the other learns from that entry that the box is
+ * leaving. */
 static void
 test_leaving_learned_from_peer (void)
 {
@@ -658,10 +662,9 @@
   fleet_stop (&fleet);
 }
 
-/* A caller that knows both entries: where one does not take its connection, it
- * goes to the other. */
+/* Calls entry e; if the connection fails, calls the other entry. */
 static void
-call_with_failover (struct fleet *fleet, int e, int *bad)
+call_with_failover (struct fleet *fleet, int e, int *failures)
 {
   int64_t started_ms = fleet_now_ms ();
   struct fleet_call call;
@@ -676,10 +679,10 @@
     }
   if (!fleet_stream_ok (&call.answer, 5))
     {
-      fprintf (stderr, "one by one: after %lld ms, status %ld: %s\n",
+      fprintf (stderr, "call during restarts failed after %lld ms, status %ld: %s\n",
                (long long) (fleet_now_ms () - started_ms), call.answer.status,
                call.answer.body ? call.answer.body : call.answer.error);
-      (*bad)++;
+      (*failures)++;
     }
   ash_cli_answer_finish (&call.answer);
 }
@@ -689,7 +692,7 @@
   struct fleet *fleet;
   pthread_t thread;
   int entry;
-  int bad;
+  int failures;
   volatile bool stop;
 };
 
@@ -699,17 +702,18 @@
   struct callers *callers = data;
 
   while (!callers->stop)
-    call_with_failover (callers->fleet, callers->entry, &callers->bad);
+    call_with_failover (callers->fleet, callers->entry, &callers->failures);
   return NULL;
 }
 
-/* Every daemon is stopped as planned and started again, one after the other. */
+/* Every daemon is stopped as planned and restarted, one after the other, under load: no call fails.
+ */
 static void
 test_restart_one_by_one (void)
 {
   struct fleet fleet;
   struct callers callers[4] = { 0 };
-  int bad = 0;
+  int failures = 0;
 
   fleet_start (&fleet, NO_GUARD);
   for (int i = 0; i < 4; i++)
@@ -735,14 +739,14 @@
     {
       callers[i].stop = true;
       pthread_join (callers[i].thread, NULL);
-      bad += callers[i].bad;
+      failures += callers[i].failures;
     }
-  CU_ASSERT_EQUAL (bad, 0);
+  CU_ASSERT_EQUAL (failures, 0);
   fleet_stop (&fleet);
 }
 
-/* An engine stops in the middle: what waits for it is answered by the other, and so
- * is what comes; what it had begun goes on with it. */
+/* An engine is paused during a stream: requests that are queued for it and new ones are answered by
+ * the other engine; the stream that it had begun continues when it resumes. */
 static void
 test_engine_stalled (void)
 {
@@ -773,16 +777,16 @@
   fleet_stop (&fleet);
 }
 
-/* A box dies and comes back again and again: each life is taken for what it is. Orders
- * run at most once, none that was has_outcome "not run" has run, and in the end it serves. */
+/* An agent is killed and restarted repeatedly while orders arrive. Each order runs at most once,
+ * none that was answered "not-run" has run, and at the end the agent serves again. */
 static void
 test_flapping_box (void)
 {
   static struct fleet_call orders[LOAD];
   static struct fleet_call calls[LOAD];
   struct fleet fleet;
-  int told_ran = 0;
-  int told_unknown = 0;
+  int ran = 0;
+  int unknown = 0;
 
   fleet_start (&fleet, NO_GUARD);
   for (int i = 0; i < LOAD; i++)
@@ -801,8 +805,8 @@
   for (int i = 0; i < LOAD; i++)
     {
       fleet_wait_call (&orders[i]);
-      told_ran += has_outcome (&orders[i], "ran");
-      told_unknown += has_outcome (&orders[i], "unknown");
+      ran += has_outcome (&orders[i], "ran");
+      unknown += has_outcome (&orders[i], "unknown");
       CU_ASSERT (has_outcome (&orders[i], "ran") || has_outcome (&orders[i], "unknown") ||
                  has_outcome (&orders[i], "not-run"));
       if (has_outcome (&orders[i], "not-run"))
@@ -811,7 +815,7 @@
       CU_ASSERT (fleet_count_runs (&fleet, FLEET_STOCK, orders[i].answer.request_id, "runs") <= 1);
       ash_cli_answer_finish (&orders[i].answer);
     }
-  CU_ASSERT (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs") <= told_ran + told_unknown);
+  CU_ASSERT (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs") <= ran + unknown);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS));
   for (int i = 0; i < LOAD; i++)
@@ -820,7 +824,7 @@
   fleet_stop (&fleet);
 }
 
-/* Every engine fails: retries come out of a budget, so there is no storm. */
+/* All engines drop every request: the retry budget bounds the number of retries. */
 static void
 test_no_retry_storm (void)
 {
@@ -851,7 +855,8 @@
   fleet_stop (&fleet);
 }
 
-/* Two at once: the link to the endpoint is cut, then the entry is killed. */
+/* The link to the endpoint is cut and then the entry is killed: the caller still gets the answer of
+ * the same run through the other entry. */
 static void
 test_link_cut_and_entry_killed (void)
 {
@@ -877,8 +882,8 @@
   fleet_stop (&fleet);
 }
 
-/* A plain service gets the path and query as the caller wrote them, escapes
- * included: decoded once on the way they would mean something else. */
+/* A plain service gets the path and query with the caller's percent-encoding. If an entry or agent
+ * decoded them, an encoded "?" in the path would begin the query. */
 static void
 test_escaped_path (void)
 {
@@ -933,7 +938,7 @@
   { NULL, NULL },
 };
 
-/* usage: test-faults [PART OF A NAME] */
+/* usage: test-faults [PART_OF_A_TEST_NAME] */
 int
 main (int argc, char **argv)
 {
--- a/test/fleet.c
+++ b/test/fleet.c
@@ -22,7 +22,7 @@
 #define DOCUMENT_BYTES 8192
 #define WAIT_LIVE_MS 10000
 
-/* Ports are given out in blocks, below those of outgoing connections. */
+/* Ports are allocated in blocks, below the system's ephemeral ports. */
 #define FIRST_PORT 10000
 #define BLOCK_PORTS 64
 #define EPHEMERAL_FIRST_PORT 32768
@@ -92,7 +92,7 @@
   if (*pid <= 0)
     return 0;
   kill (*pid, signal);
-  /* A paused process acts on nothing but SIGKILL. */
+  /* A paused process handles other signals than SIGKILL only after SIGCONT. */
   if (signal != SIGKILL)
     kill (*pid, SIGCONT);
   waitpid (*pid, &status, 0);
@@ -100,8 +100,9 @@
   return WIFEXITED (status) ? WEXITSTATUS (status) : -1;
 }
 
-/* The first port that the system does not give to outgoing connections, of which
- * callers have many: a daemon that is restarted must find its own port free. */
+/* @return the first ephemeral port of the system. Daemons listen on ports below it: callers have
+ * many outgoing connections, one of which could otherwise occupy the port of a daemon that
+ * restarts. */
 static uint16_t
 ephemeral_start (void)
 {
@@ -130,8 +131,9 @@
   return -1;
 }
 
-/* A block is this process's while it holds the UDP port of the block's first
- * number: tests that run side by side get different ports. */
+/* Reserves a block of ports, by binding the UDP port of its first number until this process ends,
+ * so that tests that run at the same time get different ports. @return false if the block is
+ * reserved or one of its ports is in use. */
 static bool
 reserve_port_block (uint16_t first, uint16_t *ports, int count)
 {
@@ -280,7 +282,7 @@
   ash_cli_answer_finish (&answer);
 }
 
-/* ---- the whole ---- */
+/* ---- start and stop ---- */
 
 static void
 init_boxes (struct fleet *fleet)
@@ -383,7 +385,7 @@
     fprintf (stderr, "can't remove %s\n", fleet->folder);
 }
 
-/* ---- what an entry knows ---- */
+/* ---- an entry's status and logs ---- */
 
 static json_t *
 fetch_status (struct fleet *fleet, int e)
@@ -412,7 +414,7 @@
       const char *role = json_string_value (json_object_get (box, "role"));
       const char *state = json_string_value (json_object_get (box, "state"));
 
-      /* A box counts once it has the configuration, too. */
+      /* A box counts only if it also has a configuration. */
       count += role && state && strcmp (role, "endpoint") == 0 && strcmp (state, "live") == 0 &&
                json_integer_value (json_object_get (box, "revision")) > 0;
     }
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A fleet of real processes on loopback for the fault tests: daemons and
- * stand-ins, started, stopped, killed and paused by their own process ids.
+ * A fleet of real processes on loopback for the fault tests: entries, agents and stand-ins, which
+ * are started, stopped, killed and paused by their process ids.
  */
 #ifndef ASH_TEST_FLEET_H
 #define ASH_TEST_FLEET_H
@@ -15,24 +15,24 @@
 
 #define FLEET_ENTRIES 2
 #define FLEET_MODELS 2
-#define FLEET_ENDPOINTS 3 /* the models, then one plain service */
-#define FLEET_STOCK 2     /* the plain service's index */
+#define FLEET_ENDPOINTS 3 /* the model endpoints, then one plain service */
+#define FLEET_STOCK 2     /* index of the plain service's endpoint */
 
-/** A box of the fleet. */
+/** A box of the fleet: an entry, or an endpoint with its engine and the link to its agent. */
 struct fleet_box
 {
   char name[32];
   pid_t pid;
   uint16_t peer_port;
-  uint16_t http_port;     /**< of an entry; of an endpoint: its engine's */
-  uint16_t link_port;     /**< of an endpoint: the link before its agent */
-  uint16_t control_port;  /**< of that link */
-  uint16_t platform_port; /**< of an entry: where it reads; 0: the fleet's platform */
+  uint16_t http_port;     /**< an entry's own port, or the port of an endpoint's engine */
+  uint16_t link_port;     /**< endpoints: port of the stand-in link to the agent */
+  uint16_t control_port;  /**< endpoints: control port of the stand-in link */
+  uint16_t platform_port; /**< entries: the platform that it reads; 0: the fleet's */
   pid_t engine;
   pid_t link;
 };
 
-/** The fleet. */
+/** The processes of the fleet, their ports and the folder of their settings and logs. */
 struct fleet
 {
   char folder[64];
@@ -40,10 +40,10 @@
   pid_t platform;
   struct fleet_box entries[FLEET_ENTRIES];
   struct fleet_box endpoints[FLEET_ENDPOINTS];
-  const char *extra; /**< settings added to each daemon's */
+  const char *extra; /**< TOML lines added to the settings of each daemon; borrowed */
 };
 
-/** A call in a thread of its own. */
+/** A call that runs in its own thread. Its answer is valid after fleet_wait_call(). */
 struct fleet_call
 {
   pthread_t thread;
@@ -55,27 +55,32 @@
   int64_t took_ms;
 };
 
-/** Starts everything and waits until each entry sees each endpoint. */
+/** Starts all processes and waits until each entry has each endpoint as live, for 10 s at most.
+ * @param extra settings that are added to each daemon's; must outlive the fleet */
 void fleet_start (struct fleet *fleet, const char *extra);
 
-/** Ends what is left of it. */
+/** Kills all processes that still run and removes the folder, unless FLEET_KEEP is set. */
 void fleet_stop (struct fleet *fleet);
 
-/** Starts one daemon (again). */
+/** Starts one daemon; also to restart it after it has ended. */
 void fleet_start_entry (struct fleet *fleet, int e);
 void fleet_start_endpoint (struct fleet *fleet, int a);
 
-/** Waits until an entry sees so many endpoints live. @return false after 10 s. */
+/** Waits until an entry has exactly that many live endpoints. @return false after 10 s. */
 bool fleet_wait_live (struct fleet *fleet, int e, int count);
 
-/** Ends a process by signal and waits for it. @return its exit status, or -1 if killed. */
+/** Sends a signal (0: none) to a process, waits until it ends and clears its id.
+ * @return its exit status, or -1 if a signal killed it */
 int fleet_end_process (pid_t *pid, int signal);
 
-/** Begins a chat completion; @p tokens as long. */
+/** Begins a chat completion with an answer of @p tokens tokens. */
 void
 fleet_begin_chat (struct fleet *fleet, struct fleet_call *call, int e, bool stream, int tokens);
 
-/** Begins an order: a plain call that may not be repeated. */
+/** Begins an order: a call of the plain service that must not be repeated.
+ * @param key the idempotency key, or NULL
+ * @param attempt the caller's attempt with this key, from 1; 0: not sent
+ * @param deadline_ms 0: the default */
 void fleet_begin_order (struct fleet *fleet,
                         struct fleet_call *call,
                         int e,
@@ -84,39 +89,39 @@
                         int work_ms,
                         unsigned deadline_ms);
 
-/** Mints a key for a service at an entry. @return false if that fails. */
+/** Requests a minted idempotency key for a service from an entry. @return false on failure. */
 bool fleet_mint_key (struct fleet *fleet, int e, const char *service, char key[256]);
 
-/** Waits for its answer. */
+/** Waits for the answer of a call. */
 void fleet_wait_call (struct fleet_call *call);
 
-/** Runs of a request at an endpoint's engine, of kind "runs", "ended" or "cancelled";
- * of all requests if @p id is NULL. */
+/** @return how many runs of a request an endpoint's engine has recorded as "runs" (begun), "ended"
+ * or "cancelled", as @p kind says; of all requests if @p id is NULL */
 int fleet_count_runs (struct fleet *fleet, int a, const char *id, const char *kind);
 
-/** Sets an engine's, a link's or the platform's behaviour: a query string. */
+/** Posts a control call, such as "/control?mode=1", to a stand-in. */
 void fleet_control (uint16_t port, const char *path_and_query);
 
-/** Publishes the fleet's document again, with more text. */
+/** Publishes the fleet's document with text appended, as the given revision. */
 void fleet_publish (struct fleet *fleet, const char *more, uint64_t revision);
 
-/** @return the configuration's revision at an entry, as its status says. */
+/** @return the revision of an entry's active configuration, from its /v1/status. */
 int64_t fleet_revision (struct fleet *fleet, int e);
 
-/** Whether a streamed answer is whole and all of it of its own request. */
+/** @return whether a streamed answer is whole, with exactly the tokens of its own request. */
 bool fleet_stream_ok (const struct ash_cli_answer *answer, int tokens);
 
 void fleet_sleep_ms (int64_t wait_ms);
 int64_t fleet_now_ms (void);
 
-/** Starts a program of the build with its output in FOLDER/LOG_NAME.log; the
- * arguments end with NULL. */
+/** Starts a program of the build folder with its output appended to FOLDER/LOG_NAME.log. Up to six
+ * arguments follow the name, then NULL. */
 pid_t fleet_spawn (const char *folder, const char *log_name, const char *name, ...);
 
-/** Finds ports of the loopback address that are free. */
+/** Reserves free consecutive loopback ports, at most 64; exits if there are none. */
 void fleet_free_ports (uint16_t *ports, int count);
 
-/** How many lines of a daemon's log hold the text. */
+/** @return how many lines of a daemon's log contain the text. */
 int fleet_count_log_lines (struct fleet *fleet, const char *box, const char *text);
 
 #endif
--- a/test/group_fleet.c
+++ b/test/group_fleet.c
@@ -176,9 +176,9 @@
             "platform_url = \"http://127.0.0.1:%u\"\nreader_key_hash = \"" READER_HASH "\"\n",
             group->ports[3], group->ports[2], group->ports[0]);
   group->entry = start_daemon (group, "entry", rest);
-  /* Orders to a stand-in that does not listen yet would be lost. */
+  /* A stand-in that does not listen yet would miss the control calls below and in the tests. */
   if (!group_fleet_wait (group, "steps", 1))
-    fprintf (stderr, "the stand-in of the group did not come up\n");
+    fprintf (stderr, "the stand-in of the group has begun no step within 10 s\n");
   if (unfenced)
     fleet_control (group->ports[1], "/control?unchecked=1");
 }
--- a/test/group_fleet.h
+++ b/test/group_fleet.h
@@ -1,8 +1,7 @@
 /**
  * @file
- * A group in lock-step with real agents, for tests and measurements: a stand-in
- * of the engines, an agent for each rank, and an entry that brings them the
- * configuration.
+ * A group of expert-parallel ranks in lock-step, for tests and benchmarks: a stand-in of its
+ * engines, a real agent for each rank, and an entry that sends the agents the configuration.
  */
 #ifndef ASH_TEST_GROUP_FLEET_H
 #define ASH_TEST_GROUP_FLEET_H
@@ -11,48 +10,50 @@
 
 #define GROUP_RANKS 4
 
-/** The key that may ask the entry. */
+/** Reader key of the entry's operator API. */
 #define GROUP_READER_KEY "reader"
 
-/** The group. */
+/** The processes of the group, their ports and the folder of their settings and logs. */
 struct group_fleet
 {
   char folder[64];
-  uint16_t ports[4 + GROUP_RANKS]; /**< platform, engines, entry's two, agents' */
-  bool unfenced;                   /**< the engines check no fence */
+  uint16_t
+      ports[4 + GROUP_RANKS]; /**< platform, engines, entry's HTTP and peer, then each agent's */
+  bool unfenced;              /**< the engines accept outdated orders */
   pid_t platform;
   pid_t engines;
   pid_t entry;
   pid_t agents[GROUP_RANKS];
 };
 
-/** Starts everything and waits for the first step; engines check the fence. */
+/** Starts all processes and waits for the first step. The engines reject outdated orders. */
 void group_fleet_start (struct group_fleet *group);
 
-/** The same with engines that check no fence. */
+/** The same with engines that accept outdated orders, so that the agents must reject them. */
 void group_fleet_start_unfenced (struct group_fleet *group);
 
 void group_fleet_stop (struct group_fleet *group);
 
-/** Starts a rank's agent (again). */
+/** Starts a rank's agent; also to restart it after it has ended. */
 void group_fleet_start_agent (struct group_fleet *group, int rank);
 
-/** Makes one expert get as many tokens as all others together. */
+/** Makes the engines report about as many tokens for one expert as for all others together. */
 void group_fleet_make_hot (const struct group_fleet *group, int expert);
 
-/** Declares an event that begins soon, in which one expert will be as hot as that. */
+/** Publishes an event that is in its lead time; its profile has such a load for one expert. */
 void group_fleet_declare_event (const struct group_fleet *group, int expert);
 
-/** Loses all orders of a kind (enum of RankOrder; 0: none) from now on. */
+/** Makes the engines drop all orders of a kind (RankOrder.Kind in proto/ash.proto; 0: none). */
 void group_fleet_drop_orders (const struct group_fleet *group, int kind);
 
-/** Waits until the group stands still, between arm and commit. @return false after 10 s. */
+/** Waits until the group begins no more steps, as between arm and commit.
+ * @return false after 10 s */
 bool group_fleet_wait_stalled (const struct group_fleet *group);
 
-/** @return a number of the stand-in's record: steps, differences, changes, longest_wait_ms. */
+/** @return a counter of the stand-in: steps, differences, changes or longest_wait_ms. */
 int64_t group_fleet_read_counter (const struct group_fleet *group, const char *what);
 
-/** Waits until that number is so large. @return false after 10 s. */
+/** Waits until a counter of the stand-in is at least that large. @return false after 10 s. */
 bool group_fleet_wait (const struct group_fleet *group, const char *what, int64_t least);
 
 #endif
--- a/test/groups.c
+++ b/test/groups.c
@@ -1,8 +1,7 @@
 /**
  * @file
- * The expert map of a group changes while agents are killed and paused and ranks
- * are replaced. The stand-in of the group compares the map of every rank at
- * every step.
+ * Tests changes of a group's expert map while agents are killed and paused and ranks are replaced.
+ * The stand-in of the group's engines compares the maps of all ranks at every step.
  */
 #include "proto/ash.pb-c.h"
 #include "test/group_fleet.h"
@@ -15,9 +14,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MORE_STEPS 60 /* a group that goes on has begun so many more within seconds */
+#define MORE_STEPS 60 /* a group that makes progress begins that many within seconds */
 
-/* The group goes on, and has never run a step with two maps. */
+/* Checks that the group makes progress and that no step was run with different maps. */
 static void
 assert_steps_consistent (const struct group_fleet *group)
 {
@@ -38,7 +37,8 @@
   group_fleet_stop (&group);
 }
 
-/* The coordinator is killed in the middle of changes, again and again. */
+/* Agents 0 and 1, each of which may be the coordinator then, are killed in turn during changes of
+ * the map. */
 static void
 kill_coordinator (void (*start) (struct group_fleet *group))
 {
@@ -71,9 +71,9 @@
   kill_coordinator (group_fleet_start_unfenced);
 }
 
-/* It is killed when all ranks are armed and none has heard the commit: they hold
- * the step until somebody takes over. Its rank is needed for that, so it has to
- * come back, without any memory, as the box's platform sees to. */
+/* The coordinator is killed when all ranks are armed and none has received the commit: the ranks
+ * hold the step until another coordinator takes over. The takeover needs the killed agent's rank,
+ * so that agent is restarted, without any state, as the platform of its box would do. */
 static void
 test_killed_before_commit (void)
 {
@@ -92,7 +92,7 @@
   group_fleet_stop (&group);
 }
 
-/* It is paused, others go on, and it wakes late with what it believed. */
+/* The coordinator is paused while the other agents continue, and resumes with outdated state. */
 static void
 pause_coordinator (void (*start) (struct group_fleet *group))
 {
@@ -125,7 +125,7 @@
   pause_coordinator (group_fleet_start_unfenced);
 }
 
-/* A rank is replaced and forgets all: the others give it their state. */
+/* A rank is replaced and has lost its state: it gets the state of the other ranks. */
 static void
 test_rank_replaced (void)
 {
@@ -147,7 +147,7 @@
   group_fleet_stop (&group);
 }
 
-/* Two at once: whoever is left gives both the state. */
+/* Two ranks are replaced at once: both get the state of the remaining ranks. */
 static void
 test_two_ranks_replaced (void)
 {
@@ -167,8 +167,8 @@
   group_fleet_stop (&group);
 }
 
-/* In an event's lead time experts are moved for what its profile expects, though the
- * loads are even yet. */
+/* In the lead time of a declared event, experts are moved for the loads in the event's profile,
+ * while the measured loads are still even. */
 static void
 test_declared_event (void)
 {
@@ -183,7 +183,7 @@
   group_fleet_stop (&group);
 }
 
-/* Whoever asks an entry is told what was decided, by whom, and on which numbers. */
+/* An entry explains a group: each agent's decisions and the loads that they are based on. */
 static void
 test_explain (void)
 {
@@ -217,7 +217,7 @@
                    json_number_value (json_object_get (row, "predicted")));
       }
   CU_ASSERT (moved);
-  /* What was not worth moving is said, too. */
+  /* Decisions to leave the map unchanged are listed, too. */
   row = json_array_get (decisions, 0);
   CU_ASSERT_STRING_EQUAL (json_string_value (json_object_get (row, "what")), "kept");
   json_decref (root);
--- a/test/operators.c
+++ b/test/operators.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * What operators do, against real processes: configurations that are bad, late or
- * older; plans, confirmations and their races; questions; draining a box.
+ * Operators' actions, tested with real processes: configurations that are invalid, late or
+ * outdated; plans and confirmations, also concurrent ones; queries that explain requests; draining
+ * a box.
  */
 #include "test/fault_tests.h"
 
@@ -11,7 +12,8 @@
 #include <string.h>
 #include <time.h>
 
-/* Watches have begun anew after a document, and lists have been read. */
+/* After a new document: time for entries to start their next watch and to read the list of boxes.
+ */
 #define SETTLE_MS 300
 
 static void
@@ -23,20 +25,20 @@
   fleet_publish (&fleet, "[[hall]]\nname = \"h2\"\n", 2);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (wait_revision (&fleet, e, 2));
-  /* A bad document is refused, the last accepted one stays. */
+  /* An invalid document is rejected; the last accepted one stays active. */
   fleet_publish (&fleet, "[[hall]]\nnome = \"h2\"\n", 3);
   for (int i = 0; i < 200 && !fleet_count_log_lines (&fleet, "entry-1", "place=\"hall[1].nome\"");
        i++)
     fleet_sleep_ms (20);
   CU_ASSERT (fleet_count_log_lines (&fleet, "entry-1", "place=\"hall[1].nome\"") > 0);
   CU_ASSERT_EQUAL (fleet_revision (&fleet, 0), 2);
-  /* The platform goes down; a replaced entry gets it from its peers. */
+  /* While the platform fails, an entry that is restarted gets the document from its peers. */
   fleet_control (fleet.platform_port, "/control/mode?config=1&list=1");
   fleet_end_process (&fleet.entries[0].pid, SIGKILL);
   fleet_start_entry (&fleet, 0);
   CU_ASSERT (wait_revision (&fleet, 0, 2));
   CU_ASSERT (fleet_wait_live (&fleet, 0, FLEET_ENDPOINTS));
-  /* It comes back with an older one, which is ignored. */
+  /* The platform answers again, but with an older document, which is ignored. */
   fleet_control (fleet.platform_port, "/control/mode?config=3&list=0");
   fleet_sleep_ms (500);
   for (int e = 0; e < FLEET_ENTRIES; e++)
@@ -48,8 +50,8 @@
   fleet_stop (&fleet);
 }
 
-/* A box that is replaced while the platform answers an older revision never serves
- * with that one: its peers know better. */
+/* An entry that restarts while the platform answers with an older revision never serves with that
+ * one, because its peers send it the newer revision. */
 static void
 test_replaced_with_older_config (void)
 {
@@ -76,19 +78,19 @@
   fleet_stop (&fleet);
 }
 
-/* Lines of the entries' logs together, where which of them writes one is a race. */
+/* Counts the matching lines in the logs of all entries, for events that any one of them may log. */
 static int
-count_entry_log_lines (struct fleet *fleet, const char *how)
+count_entry_log_lines (struct fleet *fleet, const char *text)
 {
   int count = 0;
 
   for (int e = 0; e < FLEET_ENTRIES; e++)
-    count += fleet_count_log_lines (fleet, fleet->entries[e].name, how);
+    count += fleet_count_log_lines (fleet, fleet->entries[e].name, text);
   return count;
 }
 
-/* A change of a row goes to peers as a delta, to endpoints too; a box that has
- * nothing gets the whole document. */
+/* A changed row is sent to entries and endpoints as a delta; a box without a configuration gets the
+ * whole document. */
 static void
 test_deltas (void)
 {
@@ -122,7 +124,7 @@
 #define OPERATOR_SETTINGS                                                                          \
   NO_GUARD "operator_key_hash = \"" OPERATOR_HASH "\"\nreader_key_hash = \"" READER_HASH "\"\n"
 
-/* Asks an operators' path of an entry. @return the answer as JSON. */
+/* Calls a path of an entry's operator API. @return the answer as JSON. */
 static json_t *
 call_operator_api (const char *method,
                    struct fleet *fleet,
@@ -169,7 +171,7 @@
   return status;
 }
 
-/* Publishes a confirmed plan. @return the platform's status. */
+/* Publishes a plan's document at the platform. @return the HTTP status of the platform's answer. */
 static long
 publish_plan (struct fleet *fleet, const json_t *plan)
 {
@@ -188,8 +190,9 @@
   return status;
 }
 
-/* Two operators plan on one base: one wins, the other is told so. Nothing takes
- * effect before it is confirmed and published. */
+/* Two operators make plans on the same base revision: only one plan can be published, and the other
+ * is then rejected with the changes that came first. No plan takes effect before it is published.
+ */
 static void
 test_operators_race (void)
 {
@@ -197,7 +200,7 @@
   json_t *first;
   json_t *second;
   json_t *refused;
-  char *told;
+  char *text;
   long status = 0;
 
   fleet_start (&fleet, OPERATOR_SETTINGS);
@@ -212,7 +215,7 @@
                               "[[account]]\nname = \"a\"\nburst = 7\n", &status);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (second, "not_met")), 0);
   CU_ASSERT_EQUAL (fleet_revision (&fleet, 0), 1);
-  /* Both may be confirmed while the base stands; the platform takes one. */
+  /* Both can be confirmed while the base is still active; the platform accepts only one. */
   CU_ASSERT_EQUAL (confirm (&fleet, 0, first, ""), 200);
   CU_ASSERT_EQUAL (confirm (&fleet, 1, second, ""), 200);
   CU_ASSERT_EQUAL (publish_plan (&fleet, first), 200);
@@ -220,19 +223,19 @@
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (wait_revision (&fleet, e, 2));
   CU_ASSERT_EQUAL (confirm (&fleet, 1, second, "base_moved"), 409);
-  told = json_dumps (second, 0);
-  refused = post_operator_api (&fleet, 1, "/v1/confirm", OPERATOR_KEY, told, &status);
+  text = json_dumps (second, 0);
+  refused = post_operator_api (&fleet, 1, "/v1/confirm", OPERATOR_KEY, text, &status);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (json_object_get (refused, "error"), "more")),
                    2);
   json_decref (refused);
-  free (told);
+  free (text);
   CU_ASSERT_EQUAL (confirm (&fleet, 0, first, "base_moved"), 409);
   json_decref (first);
   json_decref (second);
   fleet_stop (&fleet);
 }
 
-/* Tries to confirm until it is taken. @return whether it was, within a few seconds. */
+/* Retries the confirmation until it is accepted. @return false after 40 attempts. */
 static bool
 confirm_with_retry (struct fleet *fleet, int e, const json_t *plan)
 {
@@ -249,8 +252,9 @@
   return status == 200;
 }
 
-/* One entry reads the platform for both. Whichever is left takes over, and knows at once
- * that the platform answers it, not only when its first watch ends. */
+/* One entry reads the platform for both and one of the two is killed. The remaining entry reads the
+ * platform itself and counts it as reachable after the first answer, not only when its first watch
+ * ends. */
 static void
 test_reader_dies (void)
 {
@@ -261,7 +265,7 @@
       long status = 0;
 
       fleet_start (&fleet, OPERATOR_SETTINGS "platform_readers = 1\n");
-      /* The one that does not read has left it to the other by now. */
+      /* Within this time, one entry has stopped reading because the other one reads. */
       fleet_sleep_ms (11000);
       plan = post_operator_api (&fleet, 1 - dies, "/v1/plan", OPERATOR_KEY,
                                 "[[hall]]\nname = \"h2\"\n", &status);
@@ -273,11 +277,10 @@
     }
 }
 
-/* An entry's plan was refused once, by an entry that had just started beside a platform that was
- * starting too: its first read failed, it had the document from its peer before the second, which
- * then waited for something newer as if the platform were known to answer; until that wait was
- * over, 10 s, "this box does not hear the platform". Here the platform is not there yet for one
- * entry. */
+/* Guards against an entry that starts before the platform does and refuses confirmations for 10 s
+ * as cut off from the platform: its first read fails, a peer sends it the document, and its second
+ * read then is a watch that is answered only after 10 s. Here the platform of one entry starts
+ * late. */
 static void
 test_first_read_fails (void)
 {
@@ -308,11 +311,11 @@
   fleet_stop (&fleet);
 }
 
-/* A document that the watches miss is in force late, users saw: a router was cut off from the
- * platform while a version was published. Its watch, which was under way, stayed silent after the
- * cut; the read of the list failed once and was back at once, and told the watch nothing: the old
- * document denied routes that had come since, until the watch timed out after 13 s. Here both
- * entries' watches fall silent, and the list fails once. */
+/* Guards against a new document becoming active only when a stalled watch times out, after 13 s: a
+ * cut of the connection to the platform makes a watch silent and a read of the list of boxes fail
+ * once, and a router denies new routes meanwhile. The failed read of the list must restart the
+ * watch. Here the watches of both entries become silent and the list fails until each entry has
+ * logged it. */
 static void
 test_silent_watch_and_list (void)
 {
@@ -335,51 +338,54 @@
   fleet_control (fleet.platform_port, "/control/mode?config=0&list=0");
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (wait_revision (&fleet, e, 3));
-  /* Not only because the watches' time was over; the second may have been told by the first. */
+  /* At least one watch was restarted by the failed list, not by its timeout; the other entry may
+   * have received the document from its peer. */
   CU_ASSERT (count_entry_log_lines (&fleet, "why=\"the list failed\"") >= 1);
   fleet_stop (&fleet);
 }
 
-/* Whoever counts as a reader of the platform keeps the others of its hall from reading, and
- * confirms plans. An entry whose watch is silent counted as one for 13 s. It may learn what it
- * misses from its peers; that shows that its own watch is silent, and it asks anew. */
+/* Guards against an entry whose watch is silent counting as a reader of the platform until the
+ * watch times out after 13 s: a reader confirms plans, and other entries of its hall don't read the
+ * platform because of it. A newer document from a peer shows that the entry's own watch is silent,
+ * so it must start a new one. */
 static void
 test_silent_watch_and_peers (void)
 {
   struct fleet fleet;
-  uint16_t alone_port;
+  uint16_t second_port;
   char port[8];
   char path[128];
-  pid_t alone;
+  pid_t second;
 
   fleet_start (&fleet, NO_GUARD);
-  fleet_free_ports (&alone_port, 1);
-  sprintf (port, "%u", alone_port);
+  fleet_free_ports (&second_port, 1);
+  sprintf (port, "%u", second_port);
   snprintf (path, sizeof path, "%s/published.toml", fleet.folder);
-  alone = fleet_spawn (fleet.folder, "alone", "standin", "platform", port, path, (char *) NULL);
+  second =
+      fleet_spawn (fleet.folder, "platform-2", "standin", "platform", port, path, (char *) NULL);
   fleet_end_process (&fleet.entries[0].pid, SIGKILL);
-  fleet.entries[0].platform_port = alone_port;
+  fleet.entries[0].platform_port = second_port;
   fleet_start_entry (&fleet, 0);
   CU_ASSERT (fleet_wait_live (&fleet, 0, FLEET_ENDPOINTS));
   fleet_sleep_ms (SETTLE_MS);
-  fleet_control (alone_port, "/control/mode?config=4");
+  fleet_control (second_port, "/control/mode?config=4");
   fleet_publish (&fleet, "[[hall]]\nname = \"h2\"\n", 2);
   CU_ASSERT (wait_revision (&fleet, 0, 2));
   for (int i = 0; i < 100 && !fleet_count_log_lines (&fleet, "entry-1", "why=\"peers have a newer");
        i++)
     fleet_sleep_ms (20);
   CU_ASSERT_EQUAL (fleet_count_log_lines (&fleet, "entry-1", "why=\"peers have a newer"), 1);
-  /* Its own question is answered at once: it counts as a reader again. */
+  /* The entry's new read is answered at once, so that it counts as a reader again. */
   for (int i = 0; i < 100 && !fleet_count_log_lines (&fleet, "entry-1", " 204 platform_up "); i++)
     fleet_sleep_ms (20);
   CU_ASSERT_EQUAL (fleet_count_log_lines (&fleet, "entry-1", " 204 platform_up "), 1);
-  fleet_end_process (&alone, SIGKILL);
+  fleet_end_process (&second, SIGKILL);
   fleet_stop (&fleet);
 }
 
-/* A platform that hangs, instead of failing, was noticed when a watch timed out, after up to 13 s;
- * until then an entry behind it confirmed plans. Here it is stopped as a process: connections
- * are taken, nothing is answered. */
+/* Guards against a platform that hangs being noticed only when a watch times out, after up to 13 s,
+ * while entries still confirm plans. Here the platform's process is paused: the kernel accepts
+ * connections, but nothing answers. */
 static void
 test_platform_hangs (void)
 {
@@ -389,7 +395,7 @@
   long status = 0;
 
   fleet_start (&fleet, OPERATOR_SETTINGS);
-  /* The watches begin anew: they would be waited for longest. */
+  /* Makes the entries start new watches, so that their timeouts are as far away as possible. */
   fleet_publish (&fleet, "[[hall]]\nname = \"h2\"\n", 2);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (wait_revision (&fleet, e, 2));
@@ -410,8 +416,8 @@
   fleet_stop (&fleet);
 }
 
-/* An endpoint is taken out of the configuration while it works: what it has in
- * hand ends whole, and it gets nothing new. */
+/* An endpoint is removed from the configuration while it serves streams: these end whole, and it
+ * gets no new requests. */
 static void
 test_endpoint_removed (void)
 {
@@ -448,7 +454,7 @@
   long status = 0;
 
   fleet_start (&fleet, OPERATOR_SETTINGS);
-  /* What can't be met is said in the plan, and can't be confirmed. */
+  /* A plan lists what can't be met under not_met, and can't be confirmed then. */
   plan = post_operator_api (
       &fleet, 0, "/v1/plan", OPERATOR_KEY,
       "remove = [\"endpoint nobody\"]\n[[account]]\nname = \"a\"\nclass = \"x\"\n", &status);
@@ -461,12 +467,13 @@
   CU_ASSERT (json_number_value (json_object_get (
                  json_object_get (json_object_get (plan, "effects"), "keys_with_new_home"),
                  "model")) > 0.3);
-  /* Tampered with, and through an entry that does not hear the platform. */
+  /* A plan whose digest was changed is rejected. */
   json_object_set_new (plan, "digest", json_string ("0000000000000000"));
   CU_ASSERT_EQUAL (confirm (&fleet, 0, plan, "bad_plan"), 400);
   json_decref (plan);
   plan =
       post_operator_api (&fleet, 0, "/v1/plan", OPERATOR_KEY, "[[hall]]\nname = \"h2\"\n", &status);
+  /* An entry that can't read the platform rejects a confirmation. */
   fleet_control (fleet.platform_port, "/control/mode?config=1");
   for (int i = 0; i < 300 && !fleet_count_log_lines (&fleet, "entry-1", " 203 platform_down "); i++)
     fleet_sleep_ms (50);
@@ -475,7 +482,7 @@
   fleet_stop (&fleet);
 }
 
-/* An entry's answer to an operator's question. @return the answer as JSON. */
+/* Queries an entry's operator API. @return the answer as JSON. */
 static json_t *
 get_operator_api (struct fleet *fleet, int e, const char *path, const char *key, long *status)
 {
@@ -491,7 +498,7 @@
   return text ? text : "";
 }
 
-/* What became of a request, told by whoever had to do with it, through any entry. */
+/* Any entry can explain a request: it collects the records of all boxes that handled it. */
 static void
 test_explain_request (void)
 {
@@ -518,7 +525,8 @@
       json_decref (answer);
     }
   ash_cli_answer_finish (&call.answer);
-  /* A box that can't be asked is named, and the others' answer_field comes all the same. */
+  /* A box that can't be reached is listed as silent; the answers of the others are still returned.
+   */
   fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
   answer = get_operator_api (&fleet, 0, path, OPERATOR_KEY, &status);
   CU_ASSERT_STRING_EQUAL (answer_field (answer, "entry-1", "outcome"), "ran");
@@ -531,7 +539,7 @@
   fleet_stop (&fleet);
 }
 
-/* A refusal is explained by its reason. */
+/* The explanation of a rejected request has the reason for the rejection. */
 static void
 test_explain_refusal (void)
 {
@@ -557,7 +565,7 @@
   fleet_stop (&fleet);
 }
 
-/* A drained box gets nothing new and finishes what it has; readers can't drain. */
+/* A drained box gets no new requests and finishes those in flight; a reader key can't drain. */
 static void
 test_drain (void)
 {
@@ -588,7 +596,7 @@
   fleet_wait_call (&before);
   CU_ASSERT (fleet_stream_ok (&before.answer, 150));
   ash_cli_answer_finish (&before.answer);
-  /* Its next life takes work again. */
+  /* After a restart it accepts requests again. */
   CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[0].pid, SIGTERM), 0);
   fleet_start_endpoint (&fleet, 0);
   for (int e = 0; e < FLEET_ENTRIES; e++)
@@ -596,7 +604,7 @@
   fleet_stop (&fleet);
 }
 
-/* A key that may only read: plans and differences, no confirmation. */
+/* A reader key can make plans and compare documents, but can't confirm a plan. */
 static void
 test_reader_key (void)
 {
@@ -627,7 +635,8 @@
   fleet_stop (&fleet);
 }
 
-/* An event is planned, published, and then stands where its time says. */
+/* An event is planned, confirmed and published; entries then list it in the state that its times
+ * give: "lead", as it starts in 30 s and has a lead time of 60 s. */
 static void
 test_event (void)
 {
@@ -659,7 +668,7 @@
       json_decref (answer);
     }
   json_decref (plan);
-  /* One that reserves for nobody can't be met, and says so. */
+  /* A reservation for an unknown account can't be met, and the plan lists it under not_met. */
   plan = post_operator_api (
       &fleet, 0, "/v1/plan", OPERATOR_KEY,
       "[[reservation]]\nname = \"b\"\nevent = \"opening\"\naccount = \"nobody\"\n"
@@ -691,7 +700,7 @@
   { NULL, NULL },
 };
 
-/* usage: test-operators [PART OF A NAME] */
+/* usage: test-operators [PART_OF_A_TEST_NAME] */
 int
 main (int argc, char **argv)
 {
--- a/test/standin.c
+++ b/test/standin.c
@@ -136,12 +136,12 @@
       return EXIT_FAILURE;
     }
   sigwait (&signals, &number);
-  /* Threads may sleep in the middle of an answer; the process just ends. */
+  /* Exits without waiting for connection threads, which may sleep in the middle of an answer. */
   _exit (EXIT_SUCCESS);
 }
 
-/* Prints free ports of the loopback address. They are all held until the last
- * is found, so that they differ. */
+/* Prints free loopback ports. All sockets stay open until the last port is found, so that the ports
+ * differ. */
 static int
 print_ports (int count)
 {
--- a/test/standin_engine.c
+++ b/test/standin_engine.c
@@ -1,20 +1,22 @@
 /**
  * @file
- * The stand-in of a model engine and of a plain service. It works on a batch
- * of up to SLOTS requests, each gets a token a step, and it records each run
- * of each request id, which tests compare with what callers were told.
+ * Stand-in of a model engine and of a plain service. It runs a batch of up to SLOTS requests, each
+ * of which gets one token per step. It records each run of each request id; tests compare these
+ * records with the outcomes that callers got.
  *
- * POST /v1/chat/completions, /v1/completions   `max_tokens` tokens
- * any  other path                              a plain call; ?work_ms=W
- * GET  /runs                                   {"ID": {"runs": n, "ended": n, "cancelled": n}}
- * GET  /load                                   running, waiting; lags
- * GET  /resume?id=ID&offset=N&max_tokens=T  the rest of a streamed answer
- * GET  /cache?after=N       cache events above N: late, and every seventh is missing
- * POST /control?break_after=N                  breaks answers after N tokens
- * POST /control?drop=1                         takes requests, then drops them unanswered
+ * POST /v1/chat/completions, /v1/completions  an answer of `max_tokens` tokens
+ * any method, other paths                     a plain call that takes ?work_ms=W
+ * GET  /runs                                  {"ID": {"runs": n, "ended": n, "cancelled": n}}
+ * GET  /load                                  running and waiting requests, up to 200 ms old
+ * GET  /resume?id=ID&offset=N&max_tokens=T    a streamed answer from byte N on
+ * GET  /cache?after=N                         cache events with numbers above N, 300 ms late and
+ *                                             without every seventh
+ * POST /control?break_after=N                 breaks streamed answers off after N tokens
+ * POST /control?drop=1                        closes connections of new requests without an answer
+ * POST /control?step_ms=T                     sets the duration of a step
  *
- * The text of an answer is made from the request's id alone, so that every
- * byte that a caller gets can be checked to be of its own request.
+ * The text of an answer depends only on the request's id, so that tests can check that each byte
+ * belongs to the caller's own request.
  */
 #include "test/standin.h"
 
@@ -36,20 +38,20 @@
   bool stream;
   int64_t tokens;
   int64_t sent;
-  bool done_sent; /* the end of the stream was sent */
+  bool done_sent; /* the whole answer was sent, including the end of a stream */
 };
 
 struct cache_event
 {
-  int64_t number; /* 0: none yet */
-  int64_t shown_ms;
+  int64_t number; /* from 1; 0: unused */
+  int64_t visible_from_ms;
   char id[64];
 };
 
-static struct cache_event cache_events[CACHE_EVENTS]; /* a ring */
+static struct cache_event cache_events[CACHE_EVENTS]; /* a ring buffer */
 static int64_t cache_count;
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static json_t *runs; /* id -> counts */
+static json_t *runs; /* request id -> {"runs", "ended", "cancelled"} */
 static int64_t slots = 8;
 static int64_t step_ms = 5;
 static int64_t running;
@@ -58,7 +60,7 @@
 static bool drop;
 static int64_t reported_running;
 static int64_t reported_waiting;
-static int64_t shown_ms;
+static int64_t load_sampled_ms;
 
 static void
 count_run (const char *id, const char *what)
@@ -101,7 +103,7 @@
   pthread_mutex_unlock (&lock);
 }
 
-/* All requests of the batch step together: to the next whole step. */
+/* Sleeps until the next multiple of step_ms: all requests of the batch step at the same time. */
 static void
 wait_step (void)
 {
@@ -187,7 +189,7 @@
   return result;
 }
 
-/* A prefix was put into the cache. Events are shown CACHE_LAG_MS later. */
+/* Records that a request's prefix was cached; /cache reports the event after CACHE_LAG_MS. */
 static void
 add_cache_event (const char *id)
 {
@@ -196,7 +198,7 @@
   pthread_mutex_lock (&lock);
   event = &cache_events[cache_count++ % CACHE_EVENTS];
   event->number = cache_count;
-  event->shown_ms = standin_now_ms () + CACHE_LAG_MS;
+  event->visible_from_ms = standin_now_ms () + CACHE_LAG_MS;
   snprintf (event->id, sizeof event->id, "%s", id);
   pthread_mutex_unlock (&lock);
 }
@@ -236,8 +238,8 @@
   return standin_reply (request, MHD_HTTP_OK, "application/json", text, (size_t) length);
 }
 
-/* The text of an answer comes from its id alone, so it can be made again from
- * any offset, as an engine that resumes streams does from its cache. */
+/* Generates the answer again from the request's id and sends it from the offset on, as an engine
+ * that can resume streams would from its cache. */
 static enum MHD_Result
 handle_resume (struct standin_request *request)
 {
@@ -275,7 +277,7 @@
       const struct cache_event *event = &cache_events[i];
 
       if (event->number > after && event->number % CACHE_LOST_EVERY &&
-          event->shown_ms <= standin_now_ms ())
+          event->visible_from_ms <= standin_now_ms ())
         json_array_append_new (list, json_pack ("{s:I, s:s}", "number", (json_int_t) event->number,
                                                 "prefix", event->id));
     }
@@ -308,11 +310,11 @@
   int length;
 
   pthread_mutex_lock (&lock);
-  if (standin_now_ms () - shown_ms > LOAD_LAG_MS)
+  if (standin_now_ms () - load_sampled_ms > LOAD_LAG_MS)
     {
       reported_running = running;
       reported_waiting = waiting;
-      shown_ms = standin_now_ms ();
+      load_sampled_ms = standin_now_ms ();
     }
   length = sprintf (text, "{\"running\":%lld,\"waiting\":%lld,\"step_us\":%lld}\n",
                     (long long) reported_running, (long long) reported_waiting,
--- a/test/standin_group.c
+++ b/test/standin_group.c
@@ -1,17 +1,18 @@
 /**
  * @file
- * The stand-in of a group of engines in lock-step: all its ranks in one process,
- * each with its own fence. It records the map of every rank at every step and
- * counts differences, which must stay none.
+ * Stand-in of a group of expert-parallel engines in lock-step. One process has all ranks, each with
+ * its own fence, which rejects outdated orders. It records the expert map of every rank at every
+ * step and counts steps that ranks run with different maps; there must be none.
  *
- * GET  /rank/N/state        the rank's state
- * POST /rank/N/order        an order; answers the state
- * GET  /rank/N/loads        tokens of each expert in the last interval
- * POST /replace?rank=N      the rank is replaced and forgets all; with &other=M that one too
- * POST /control?lose=K       orders of that kind are lost (0: none)
- * POST /control?unchecked=1    the ranks check no fence from now on
- * POST /control?hot=E       expert E gets as many tokens as all others together
- * GET  /check               steps begun by all, differences, changes in use, longest wait
+ * GET  /rank/N/state           the rank's state
+ * POST /rank/N/order           applies an order; answers with the rank's state
+ * GET  /rank/N/loads           tokens of each expert in the last interval
+ * POST /replace?rank=N         replaces rank N by one without state; with &other=M rank M, too
+ * POST /control?lose=K         drops orders of kind K from now on (0: drops none)
+ * POST /control?unchecked=1    accepts outdated orders from now on
+ * POST /control?hot=E          expert E gets about as many tokens as all others together
+ * GET  /check                  steps begun, steps with different maps, changes of the map in use,
+ *                              longest time between two steps in ms
  */
 #include "controllers/expert_policy.h"
 #include "controllers/expert_rank.h"
@@ -38,7 +39,7 @@
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static struct ash_expert_rank ranks[RANKS_MAX];
 static uint64_t step_maps[RANKS_MAX][STEP_HISTORY];
-static struct known_map maps[MAPS_MAX]; /* a ring; what was staged last */
+static struct known_map maps[MAPS_MAX]; /* a ring buffer of the newest maps */
 static unsigned map_count;
 static uint32_t rank_count;
 static uint32_t expert_count;
@@ -76,7 +77,7 @@
 /* ---- lock-step ---- */
 
 static bool
-is_no_rank_behind (uint32_t r)
+no_rank_is_behind (uint32_t r)
 {
   for (uint32_t q = 0; q < rank_count; q++)
     if (ranks[q].blank || ranks[q].begun < ranks[r].begun)
@@ -98,7 +99,7 @@
     if (ranks[q].begun == step && step_maps[q][step % STEP_HISTORY] != map)
       {
         differences++;
-        fprintf (stderr, "stand-in group: step %llu: rank %u and rank %u have two maps\n",
+        fprintf (stderr, "stand-in group: step %llu: ranks %u and %u have different maps\n",
                  (unsigned long long) step, r, q);
       }
   if (last_step_ms && standin_now_ms () - last_step_ms > longest_wait_ms)
@@ -116,7 +117,7 @@
       standin_sleep_ms (step_ms);
       pthread_mutex_lock (&lock);
       for (uint32_t r = 0; r < rank_count; r++)
-        if (ash_expert_rank_may_begin (&ranks[r]) && is_no_rank_behind (r))
+        if (ash_expert_rank_may_begin (&ranks[r]) && no_rank_is_behind (r))
           begin_step (r);
       pthread_mutex_unlock (&lock);
     }
@@ -152,8 +153,8 @@
   *object = ash_proto_to_json (&state.base);
 }
 
-/* Gives the rank an order and takes its answer. The state alone is the answer to
- * a prepare that promises nothing. */
+/* Applies an order to a rank. @return the rank's state as JSON. An order of kind NONE with the
+ * rank's present ballot and sequence only reads the state. */
 static json_t *
 apply_order (uint32_t r, struct Ash__RankOrder *order)
 {
@@ -179,11 +180,11 @@
 static enum MHD_Result
 handle_rank (struct standin_request *request, uint32_t r, const char *what)
 {
-  struct Ash__RankOrder ask = ASH__RANK_ORDER__INIT;
+  struct Ash__RankOrder query = ASH__RANK_ORDER__INIT;
   struct Ash__RankOrder *order = NULL;
   json_t *body;
   json_t *answer;
-  bool lost;
+  bool dropped;
 
   if (strcmp (what, "loads") == 0)
     return reply_json (request, loads_json ());
@@ -195,21 +196,21 @@
                                                                       body);
       json_decref (body);
     }
-  ask.ballot = ranks[r].fence.promised;
-  ask.sequence = ranks[r].fence.sequence;
-  ask.life = ranks[r].life;
-  lost = order && dropped_kind && order->kind == dropped_kind;
+  query.ballot = ranks[r].fence.promised;
+  query.sequence = ranks[r].fence.sequence;
+  query.life = ranks[r].life;
+  dropped = order && dropped_kind && order->kind == dropped_kind;
   if (order && unfenced)
     {
       ranks[r].fence.promised = 0;
       ranks[r].fence.sequence = 0;
       order->life = ranks[r].life;
     }
-  answer = lost ? NULL : apply_order (r, order ? order : &ask);
+  answer = dropped ? NULL : apply_order (r, order ? order : &query);
   pthread_mutex_unlock (&lock);
   if (order)
     ash__rank_order__free_unpacked (order, NULL);
-  if (lost)
+  if (dropped)
     return standin_reply (request, MHD_HTTP_SERVICE_UNAVAILABLE, "text/plain", "lost\n", 5);
   return reply_json (request, answer);
 }
--- a/test/standin_link.c
+++ b/test/standin_link.c
@@ -1,16 +1,16 @@
 /**
  * @file
- * The stand-in of a network link: passes TCP bytes on to a port and can be cut.
+ * Stand-in of a network link: a TCP relay to a target port that can be cut.
  *
- * POST /control?mode=0  passes bytes
- * POST /control?mode=1  cut: keeps connections, passes nothing, loses nothing
- * POST /control?mode=2  one way: only towards the target
- * POST /control?mode=3  closes connections and takes no new ones
- * POST /control?silence=1  the connections that are open now are silent for good, both ways and
- *                          without an end; new ones forward_bytes
- * POST /control?silence=2  the same, only towards the caller: what it sends still arrives
- * POST /control?silence=3  the same, only towards the target
- * GET /control          how many connections it has accepted_count
+ * POST /control?mode=0     forwards bytes
+ * POST /control?mode=1     cut: keeps connections open, forwards nothing, loses nothing
+ * POST /control?mode=2     forwards only from the caller to the target
+ * POST /control?mode=3     closes connections and accepts no new ones
+ * POST /control?silence=1  forwards nothing more of connections that are open now, in either
+ *                          direction, nor their end; new connections are not affected
+ * POST /control?silence=2  the same only towards the caller: what the caller sends still arrives
+ * POST /control?silence=3  the same only towards the target
+ * GET  /control            the number of connections accepted so far
  */
 #include "test/standin.h"
 
@@ -36,16 +36,17 @@
 
 #define POLL_MS 5
 
-/* What a connection holds unread: more than this stays unacknowledged while it is silent. */
+/* Receive buffer of a connection. The bytes beyond it stay unacknowledged while the connection is
+ * silent. */
 #define RECEIVE_BUFFER_BYTES 8192
 
-/* Ways of a connection, as bits. */
+/* Directions of a connection, as bits. */
 #define TO_CALLER 1
 #define TO_TARGET 2
 
 static atomic_int mode;
-static atomic_int accepted_count; /* connections so far */
-static atomic_int silent_up_to;   /* those up to this one are silent */
+static atomic_int accepted_count; /* number of connections accepted so far */
+static atomic_int silent_up_to;   /* connections with numbers up to this one are silent */
 static atomic_int silent_directions;
 static uint16_t target_port;
 
@@ -53,8 +54,8 @@
 {
   int caller;
   int target;
-  int number; /* from 1 */
-  int silent; /* ways */
+  int number; /* counted from 1 */
+  int silent; /* directions that are silent for good */
 };
 
 static int
@@ -70,7 +71,7 @@
   return -1;
 }
 
-/* Passes on what there is. @return false at the end of the connection. */
+/* Forwards the bytes that can be read now. @return false at the end of the connection. */
 static bool
 forward_bytes (int from, int to)
 {
@@ -90,7 +91,7 @@
   return true;
 }
 
-/* @return the ways that are silent, once they are for good. */
+/* Adds newly silent directions to those of the relay, which stay silent. @return its directions. */
 static int
 update_silent_directions (struct relay *relay)
 {
@@ -109,7 +110,7 @@
     {
       enum mode now = (enum mode) mode;
       int silent = update_silent_directions (relay);
-      /* poll() leaves out what is negative: bytes and ends on a silent way stay where they are. */
+      /* poll() ignores negative descriptors, so data and ends of a silent direction stay unread. */
       struct pollfd fds[] = { { silent & TO_TARGET ? -1 : relay->caller, POLLIN, 0 },
                               { silent & TO_CALLER ? -1 : relay->target, POLLIN, 0 } };
 
@@ -198,7 +199,7 @@
   if (bind (listener, (struct sockaddr *) &address, sizeof address) < 0 ||
       listen (listener, SOMAXCONN) < 0)
     {
-      perror ("stand-in link");
+      perror ("stand-in link: can't listen");
       return EXIT_FAILURE;
     }
   pthread_create (&thread, NULL, accept_connections, &listener);
--- a/test/standin_platform.c
+++ b/test/standin_platform.c
@@ -1,17 +1,21 @@
 /**
  * @file
- * The platform's stand-in: a configuration that is read and watched, and a
- * list of boxes that lags. Tests publish and break it through /control.
+ * Stand-in of the platform: a configuration that can be read and watched, and a list of boxes with
+ * a lag. Tests publish documents and make it fail through /control.
  *
- * GET  /v1/config?after=R&wait_ms=W   the document above R, or 304 after W
- * GET  /v1/boxes                      the list
- * PUT  /control/config?revision=R     publishes (without R: the next one)
- * PUT  /control/box?box=B&state=S     as the list will say after its lag
+ * GET  /v1/config?after=R&wait_ms=W   the document if its revision is above R, else 304 after W ms
+ * GET  /v1/boxes                      the list of boxes
+ * PUT  /control/config?revision=R     publishes the body as revision R (without R: the next one)
+ * PUT  /control/box?box=B&state=S     sets a box's state in the list, after the list's lag
  * POST /control/mode?config=M&list=M&lag_ms=L
- *      M: 0 answers, 1 fails, 2 stale (nothing new is seen), 3 an previous one, 4 silent: what
- *      waits for a change is never answered, also when the mode has changed again; who asks
- *      for an answer at once gets it
- * GET  /control/calls                 how many calls there were, by kind
+ *      Sets the modes of /v1/config and /v1/boxes, and the list's lag. Modes:
+ *      0  answers
+ *      1  fails with status 503
+ *      2  stale: /v1/config shows no newer document than the current one
+ *      3  /v1/config answers with the previous document
+ *      4  silent: reads of /v1/config with wait_ms get no answer, not even after another change of
+ *         the mode; reads without wait_ms are answered
+ * GET  /control/calls                 the number of calls of /v1/config and /v1/boxes
  */
 #include "test/standin.h"
 
@@ -23,7 +27,7 @@
 #define BOXES_MAX 64
 #define NAME_BYTES 40
 
-/* A question that gets no answer is held for longer than anybody waits for one. */
+/* A read that gets no answer is held for longer than any client's timeout. */
 #define UNANSWERED_HOLD_MS 60000
 
 enum mode
@@ -46,13 +50,13 @@
   char name[NAME_BYTES];
   char state[16];
   char pending_state[16];
-  int64_t pending_from_ms; /* when pending_state shows */
+  int64_t pending_from_ms; /* when pending_state becomes the state; 0: none pending */
 };
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static struct document_version current;
 static struct document_version previous;
-static uint64_t stale_revision; /* in MODE_STALE nothing above it is shown */
+static uint64_t stale_revision; /* newest revision that is shown in MODE_STALE */
 static enum mode config_mode;
 static enum mode list_mode;
 static int64_t list_lag_ms;
@@ -85,7 +89,7 @@
   return result;
 }
 
-/* What a read sees now, or NULL. */
+/* @return the document for a read with that `after` argument, or NULL. */
 static const struct document_version *
 find_visible (uint64_t after)
 {
@@ -98,7 +102,7 @@
   return &current;
 }
 
-/* Whether a question is one that the platform never answers. */
+/* @return whether a read with that wait_ms gets no answer in the present mode. */
 static bool
 is_never_answered (int64_t wait_ms)
 {
@@ -112,7 +116,7 @@
   int64_t wait_ms = standin_query_number (request, "wait_ms", 0);
   int64_t until_ms = standin_now_ms () + wait_ms;
   enum MHD_Result result;
-  bool is_older;
+  bool is_previous;
 
   pthread_mutex_lock (&lock);
   config_calls++;
@@ -135,10 +139,11 @@
     result = reply_document (request, find_visible (after));
   else
     result = standin_reply (request, MHD_HTTP_NOT_MODIFIED, "text/plain", "", 0);
-  is_older = config_mode == MODE_OLDER;
+  is_previous = config_mode == MODE_OLDER;
   pthread_mutex_unlock (&lock);
-  /* An previous answer comes at once whatever is asked for: keep that bearable. */
-  if (is_older)
+  /* The previous document is sent at once, whatever `after` says: limits the rate of clients'
+   * retries. */
+  if (is_previous)
     standin_sleep_ms (50);
   return result;
 }
@@ -208,7 +213,7 @@
     {
       uint64_t revision = (uint64_t) standin_query_number (request, "revision", 0);
 
-      /* A platform numbers what it holds: nothing is document_version twice under one. */
+      /* Like a real platform, publishes each revision number only once and in ascending order. */
       if (revision && revision <= current.revision)
         status = MHD_HTTP_CONFLICT;
       else
