--- a/test/faults.c
+++ b/test/faults.c
@@ -143,9 +143,8 @@
   fleet_stop (&fleet);
 }
 
-/* A minted key names its home endpoint and the incarnation of that endpoint's agent. An agent that
- * has just started therefore runs it, once, whatever the attempt; a later incarnation refuses it.
- */
+/* A minted key names its home endpoint and the incarnation of that endpoint's agent. Therefore an
+ * agent that has just started runs it, once, at any attempt; a later incarnation refuses it. */
 static void
 test_minted_key (void)
 {
@@ -596,7 +595,8 @@
   fleet_stop (&fleet);
 }
 
-/* Only the platform's list says that the box is leaving. Every entry stops sending work to it. */
+/* Only the platform's list shows that the box is leaving. Every entry stops sending requests to it.
+ */
 static void
 test_leaving_by_platform_list (void)
 {
@@ -910,27 +910,27 @@
   { "one key through two entries runs once", test_one_key_two_entries },
   { "an entry is killed", test_entry_killed },
   { "an agent is killed", test_agent_killed },
-  { "a young life runs no caller's key", test_new_incarnation_runs_no_key },
+  { "a new incarnation runs no caller's key", test_new_incarnation_runs_no_key },
   { "a minted key", test_minted_key },
   { "an entry is paused past the deadline", test_entry_paused },
   { "200 streams over a cut", test_streams_over_link_cut },
   { "a cut one way", test_one_way_cut },
-  { "a broken stream says so", test_broken_stream },
+  { "a broken stream ends with an error event", test_broken_stream },
   { "an engine drops a request", test_dropped_by_engine },
   { "an engine is down", test_engine_down },
   { "cancel: the caller goes away", test_cancel_caller_disconnected },
   { "cancel: the entry is killed", test_cancel_entry_killed },
   { "planned stop of agents under load", test_planned_stop_of_agents },
   { "planned stop of an entry", test_planned_stop_of_entry },
-  { "planned stop: connected, and asks late", test_planned_stop_before_request },
+  { "planned stop: connected early, request sent late", test_planned_stop_before_request },
   { "planned stop of an entry has an end", test_entry_stop_grace },
   { "planned stop of agents has an end", test_agent_stop_grace },
   { "planned stop: a silent caller does not hold it", test_stop_with_silent_caller },
   { "leaving by the platform's list", test_leaving_by_platform_list },
-  { "leaving by its own word", test_leaving_by_agent_signal },
-  { "leaving by hearsay", test_leaving_learned_from_peer },
+  { "leaving announced by the agent", test_leaving_by_agent_signal },
+  { "leaving learned from a peer", test_leaving_learned_from_peer },
   { "restart one by one under load", test_restart_one_by_one },
-  { "an engine stands still", test_engine_stalled },
+  { "an engine stalls", test_engine_stalled },
   { "a box that flaps", test_flapping_box },
   { "a failing service gets no storm of retries", test_no_retry_storm },
   { "a cut and a kill", test_link_cut_and_entry_killed },
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -96,7 +96,7 @@
 void fleet_wait_call (struct fleet_call *call);
 
 /** @return how many runs of a request an endpoint's engine has recorded as "runs" (begun), "ended"
- * or "cancelled", as @p kind says; of all requests if @p id is NULL */
+ * or "cancelled", selected by @p kind; of all requests if @p id is NULL */
 int fleet_count_runs (struct fleet *fleet, int a, const char *id, const char *kind);
 
 /** Posts a control call, such as "/control?mode=1", to a stand-in. */
--- a/test/operators.c
+++ b/test/operators.c
@@ -190,9 +190,9 @@
   return status;
 }
 
-/* Two operators make plans on the same base revision: only one plan can be published, and the other
- * is then rejected with the changes that came first. No plan takes effect before it is published.
- */
+/* Two operators make plans on the same base revision: only one plan can be published; the other is
+ * then rejected with a list of the changes that came first. No plan is active before it is
+ * published. */
 static void
 test_operators_race (void)
 {
@@ -258,7 +258,7 @@
 static void
 test_reader_dies (void)
 {
-  for (int dies = 0; dies < 2; dies++)
+  for (int killed = 0; killed < 2; killed++)
     {
       struct fleet fleet;
       json_t *plan;
@@ -267,11 +267,11 @@
       fleet_start (&fleet, OPERATOR_SETTINGS "platform_readers = 1\n");
       /* Within this time, one entry has stopped reading because the other one reads. */
       fleet_sleep_ms (11000);
-      plan = post_operator_api (&fleet, 1 - dies, "/v1/plan", OPERATOR_KEY,
+      plan = post_operator_api (&fleet, 1 - killed, "/v1/plan", OPERATOR_KEY,
                                 "[[hall]]\nname = \"h2\"\n", &status);
       CU_ASSERT_EQUAL (status, 200);
-      CU_ASSERT_EQUAL (fleet_end_process (&fleet.entries[dies].pid, SIGKILL), -1);
-      CU_ASSERT (confirm_with_retry (&fleet, 1 - dies, plan));
+      CU_ASSERT_EQUAL (fleet_end_process (&fleet.entries[killed].pid, SIGKILL), -1);
+      CU_ASSERT (confirm_with_retry (&fleet, 1 - killed, plan));
       json_decref (plan);
       fleet_stop (&fleet);
     }
--- a/test/standin_group.c
+++ b/test/standin_group.c
@@ -156,7 +156,7 @@
 /* Applies an order to a rank. @return the rank's state as JSON. An order of kind NONE with the
  * rank's present ballot and sequence only reads the state. */
 static json_t *
-apply_order (uint32_t r, struct Ash__RankOrder *order)
+submit_order (uint32_t r, struct Ash__RankOrder *order)
 {
   json_t *object = NULL;
   struct ash_sink sink = { on_state, &object };
@@ -206,7 +206,7 @@
       ranks[r].fence.sequence = 0;
       order->life = ranks[r].life;
     }
-  answer = dropped ? NULL : apply_order (r, order ? order : &query);
+  answer = dropped ? NULL : submit_order (r, order ? order : &query);
   pthread_mutex_unlock (&lock);
   if (order)
     ash__rank_order__free_unpacked (order, NULL);
--- a/test/standin_link.c
+++ b/test/standin_link.c
@@ -45,8 +45,8 @@
 #define TO_TARGET 2
 
 static atomic_int mode;
-static atomic_int accepted_count; /* number of connections accepted so far */
-static atomic_int silent_up_to;   /* connections with numbers up to this one are silent */
+static atomic_int connection_count; /* number of connections accepted so far */
+static atomic_int silent_up_to;     /* connections with numbers up to this one are silent */
 static atomic_int silent_directions;
 static uint16_t target_port;
 
@@ -154,7 +154,7 @@
           free (relay);
           continue;
         }
-      relay->number = ++accepted_count;
+      relay->number = ++connection_count;
       setsockopt (relay->caller, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
       setsockopt (relay->target, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
       pthread_create (&thread, NULL, serve_relay, relay);
@@ -175,9 +175,9 @@
       silent_directions = silence == 1   ? TO_CALLER | TO_TARGET
                           : silence == 2 ? TO_CALLER
                                          : TO_TARGET;
-      silent_up_to = accepted_count;
+      silent_up_to = connection_count;
     }
-  snprintf (text, sizeof text, "%d\n", accepted_count);
+  snprintf (text, sizeof text, "%d\n", connection_count);
   return standin_reply (request, MHD_HTTP_OK, "text/plain", text, strlen (text));
 }
 
--- a/test/standin_platform.c
+++ b/test/standin_platform.c
@@ -141,7 +141,7 @@
     result = standin_reply (request, MHD_HTTP_NOT_MODIFIED, "text/plain", "", 0);
   is_previous = config_mode == MODE_OLDER;
   pthread_mutex_unlock (&lock);
-  /* The previous document is sent at once, whatever `after` says: limits the rate of clients'
+  /* The previous document is sent at once for any `after`: this pause limits the rate of clients'
    * retries. */
   if (is_previous)
     standin_sleep_ms (50);
