--- a/test/faults.c
+++ b/test/faults.c
@@ -433,7 +433,7 @@
   fleet_stop (&fleet);
 }
 
-/* An entry is stopped as planned while callers still connect to its cached address. */
+/* An entry is stopped as planned while callers still connect to it, as its address is cached. */
 static void
 test_planned_stop_of_entry (void)
 {
@@ -578,8 +578,8 @@
   return false;
 }
 
-/* Guards against a connected caller that sends nothing, and may do so for upload_ms, keeping a
- * stopping entry running for as long. */
+/* Guards against a connected caller that sends nothing, as it may for upload_ms, and so delays a
+ * planned stop until the operator kills the entry with other requests in flight. */
 static void
 test_stop_with_silent_caller (void)
 {
@@ -595,7 +595,7 @@
   fleet_stop (&fleet);
 }
 
-/* Only the platform's list shows that the box is leaving. Every entry stops sending requests to it.
+/* Only the platform's list shows that the box is leaving: all entries stop sending requests to it.
  */
 static void
 test_leaving_by_platform_list (void)
--- a/test/group_fleet.h
+++ b/test/group_fleet.h
@@ -29,7 +29,8 @@
 /** Starts all processes and waits for the first step. The engines reject outdated orders. */
 void group_fleet_start (struct group_fleet *group);
 
-/** The same with engines that accept outdated orders, so that the agents must reject them. */
+/** Like group_fleet_start(), but the engines accept outdated orders, so that the agents must reject
+ * them. */
 void group_fleet_start_unfenced (struct group_fleet *group);
 
 void group_fleet_stop (struct group_fleet *group);
@@ -40,7 +41,8 @@
 /** Makes the engines report about as many tokens for one expert as for all others together. */
 void group_fleet_make_hot (const struct group_fleet *group, int expert);
 
-/** Publishes an event that is in its lead time; its profile has such a load for one expert. */
+/** Publishes an event that is in its lead time, whose profile has eight times the load of the
+ * others for one expert. */
 void group_fleet_declare_event (const struct group_fleet *group, int expert);
 
 /** Makes the engines drop all orders of a kind (RankOrder.Kind in proto/ash.proto; 0: none). */
--- a/test/operators.c
+++ b/test/operators.c
@@ -525,8 +525,7 @@
       json_decref (answer);
     }
   ash_cli_answer_finish (&call.answer);
-  /* A box that can't be reached is listed as silent; the answers of the others are still returned.
-   */
+  /* A box that can't be reached is listed as silent; the others' answers are still returned. */
   fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
   answer = get_operator_api (&fleet, 0, path, OPERATOR_KEY, &status);
   CU_ASSERT_STRING_EQUAL (answer_field (answer, "entry-1", "outcome"), "ran");
--- a/test/standin.h
+++ b/test/standin.h
@@ -25,7 +25,7 @@
 typedef enum MHD_Result standin_handler (struct standin_request *request);
 
 /** Serves HTTP on a port of 127.0.0.1 until SIGTERM or SIGINT, then exits the process.
- * @return an exit code, if the port can't be opened */
+ * @return EXIT_FAILURE if the port can't be opened */
 int standin_serve (uint16_t port, standin_handler *handle);
 
 /** Queues an answer with a copy of the text. */
