--- a/test/faults.c
+++ b/test/faults.c
@@ -595,8 +595,7 @@
   fleet_stop (&fleet);
 }
 
-/* Only the platform's list shows that the box is leaving: all entries stop sending requests to it.
- */
+/* Only the platform's list shows that the box is leaving: entries stop sending requests to it. */
 static void
 test_leaving_by_platform_list (void)
 {
--- a/test/group_fleet.h
+++ b/test/group_fleet.h
@@ -38,7 +38,7 @@
 /** Starts a rank's agent; also to restart it after it has ended. */
 void group_fleet_start_agent (struct group_fleet *group, int rank);
 
-/** Makes the engines report about as many tokens for one expert as for all others together. */
+/** Makes the engines report eight times as many tokens for one expert as for each other expert. */
 void group_fleet_make_hot (const struct group_fleet *group, int expert);
 
 /** Publishes an event that is in its lead time, whose profile has eight times the load of the
--- a/test/standin_group.c
+++ b/test/standin_group.c
@@ -10,7 +10,7 @@
  * POST /replace?rank=N         replaces rank N by one without state; with &other=M rank M, too
  * POST /control?lose=K         drops orders of kind K from now on (0: drops none)
  * POST /control?unchecked=1    accepts outdated orders from now on
- * POST /control?hot=E          expert E gets about as many tokens as all others together
+ * POST /control?hot=E          expert E gets EXPERTS / 2 times as many tokens as each other expert
  * GET  /check                  steps begun, steps with different maps, changes of the map in use,
  *                              longest time between two steps in ms
  */
