--- a/spec/map_switch.pml
+++ b/spec/map_switch.pml
@@ -283,7 +283,7 @@
 {
   bool ok;
   bool whole;           /* a rank has copied all of the version */
-  bool finishing;
+  bool taking_over;
   byte changes;
   byte finishes;
   byte level;          /* of the last version that it drew */
@@ -300,7 +300,7 @@
 
 idle:
   atomic {
-    v = 0; s = 0; fence = 0; foreign = 0; finishing = false; disarm_first = 0; enter;
+    v = 0; s = 0; fence = 0; foreign = 0; taking_over = false; disarm_first = 0; enter;
     found_armed = 0; found_prepared = 0;
     if
     :: calm != 0 -> tries++; assert (tries <= TRIES)
@@ -327,9 +327,9 @@
 #endif
        :: else -> s = 0
        fi;
-       finishing = (s != 0) }
+       taking_over = (s != 0) }
      if
-     :: finishing -> goto read
+     :: taking_over -> goto read
      :: else -> goto idle
      fi
   fi;
@@ -377,9 +377,9 @@
     take_hold (own (l), s);
     if
     :: ok -> enter
-    :: !ok && finishing -> goto idle
-    :: !ok && !finishing -> goto choose
-    :: !ok && !finishing -> goto idle
+    :: !ok && taking_over -> goto idle
+    :: !ok && !taking_over -> goto choose
+    :: !ok && !taking_over -> goto idle
     fi
   }
 #ifdef FINISHER_ARMS_ON
@@ -389,7 +389,7 @@
   fi;
 #else
   if
-  :: finishing -> goto back
+  :: taking_over -> goto back
   :: else
   fi;
 #endif
@@ -471,7 +471,7 @@
   atomic {
     gos = gos | place (own (l), s);
     if
-    :: finishing -> gos = gos | place (foreign, s)
+    :: taking_over -> gos = gos | place (foreign, s)
     :: else
     fi
   }
@@ -480,7 +480,7 @@
 #endif
 go_foreign:
   if
-  :: atomic { finishing -> gos = gos | place (foreign, s); take_go (foreign, s); ok = false }
+  :: atomic { taking_over -> gos = gos | place (foreign, s); take_go (foreign, s); ok = false }
   :: else
   fi;
   goto idle;
@@ -488,8 +488,8 @@
 read_anew:
   atomic {
     if
-    :: finishing
-    :: else -> finishing = true; foreign = own (l)
+    :: taking_over
+    :: else -> taking_over = true; foreign = own (l)
     fi;
     enter; disarm_first = 0; fence = 0 }
 read:
