--- a/bench/policy_world.c
+++ b/bench/policy_world.c
@@ -84,7 +84,7 @@
 static void
 give_later (struct world *world, uint32_t box, Ash__Event__KindCase kind, const void *message)
 {
-  struct Ash__Event event = ash_event_of ("", kind, message);
+  struct Ash__Event event = ash_event_wrap ("", kind, message);
 
   if (world->pending_count == world->pending_room)
     {
@@ -280,7 +280,7 @@
   const struct ash_account *account =
       ash_document_account (document, world->accounts[call->account].name);
   struct Ash__Call message = ASH__CALL__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_CALL, &message);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_CALL, &message);
   char body[BODY_BYTES + 16];
   int32_t e = choose_entry (world, account);
 
@@ -293,9 +293,9 @@
   call->entry = e;
   call->first_us = 0;
   message.call = index;
-  message.service = ash_text ("model");
-  message.method = ash_text ("POST");
-  message.path = ash_text ("/v1/completions");
+  message.service = ash_proto_text ("model");
+  message.method = ash_proto_text ("POST");
+  message.path = ash_proto_text ("/v1/completions");
   message.body.data = (uint8_t *) body;
   /* A prefix that is the same for many, and then what is one's own. */
   memset (body, ' ', BODY_BYTES);
@@ -425,7 +425,7 @@
 {
   struct box *box = &world->boxes[index];
   struct Ash__Heartbeat heartbeat = ASH__HEARTBEAT__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_HEARTBEAT, &heartbeat);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_HEARTBEAT, &heartbeat);
 
   event_queue_push (&world->queue,
                     (struct item){ world->now_us + BEAT_US, 0, KIND_BEAT, index, 0, NULL });
