--- a/bench/policy_world.c
+++ b/bench/policy_world.c
@@ -94,13 +94,13 @@
         abort ();
     }
   world->pending[world->pending_count++] =
-      (struct item){ .box = box, .event = session_copy (&event) };
+      (struct item){ .box = box, .event = session_copy_event (&event) };
 }
 
 static void
 give (struct world *world, uint32_t box, const struct Ash__Event *event)
 {
-  session_give (&world->boxes[box].session, now_of (world), event);
+  session_deliver (&world->boxes[box].session, now_of (world), event);
 }
 
 static void
@@ -124,8 +124,8 @@
               Ash__Event__KindCase kind,
               const void *message)
 {
-  session_give_message (&world->boxes[box].session, now_of (world),
-                        world->boxes[peer].session.settings.box, kind, message);
+  session_deliver_message (&world->boxes[box].session, now_of (world),
+                           world->boxes[peer].session.settings.box, kind, message);
 }
 
 /* ---- engines ---- */
@@ -310,7 +310,7 @@
   message.unix_s = world->setup->event ? UNIX_S : 1;
   event_queue_push (&world->queue,
                     (struct item){ world->now_us + world->setup->client_us, 0, KIND_FRAME,
-                                   (uint32_t) e, (uint32_t) e, session_copy (&event) });
+                                   (uint32_t) e, (uint32_t) e, session_copy_event (&event) });
 }
 
 /* ---- what cores give out ---- */
@@ -322,7 +322,7 @@
 
   if (is_cut (world, from, to) || world->boxes[to].down)
     return;
-  copy = session_copy (event);
+  copy = session_copy_event (event);
   /* What arrives names its sender. */
   if (copy->peer != protobuf_c_empty_string)
     free (copy->peer);
@@ -414,8 +414,8 @@
   struct Ash__Tick message = ASH__TICK__INIT;
 
   if (!world->boxes[index].down && !world->boxes[index].paused)
-    session_give_message (&world->boxes[index].session, now_of (world), "", ASH__EVENT__KIND_TICK,
-                          &message);
+    session_deliver_message (&world->boxes[index].session, now_of (world), "",
+                             ASH__EVENT__KIND_TICK, &message);
   event_queue_push (&world->queue,
                     (struct item){ world->now_us + TICK_US, 0, KIND_TICK, index, 0, NULL });
 }
@@ -711,8 +711,8 @@
     box->session.settings.prefix_bytes = 0;
   session_init (&box->session, index + 1000 * box->incarnation, now_of (world));
   box->incarnation = is_entry ? box->incarnation : index + 1000 * box->incarnation;
-  if (session_offer (&box->session, now_of (world), 1, world->document, strlen (world->document)) !=
-      ASH_CONFIG_ACCEPTED)
+  if (session_offer_config (&box->session, now_of (world), 1, world->document,
+                            strlen (world->document)) != ASH_CONFIG_ACCEPTED)
     abort ();
 }
 
