--- a/test/faults.c
+++ b/test/faults.c
@@ -54,8 +54,8 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, SHORT_LIFE);
-  fleet_sleep_ms (OLD_MS);
+  fleet_start (&fleet, SHORT_TTL_SETTINGS);
+  fleet_sleep_ms (ID_TTL_PASSED_MS);
   fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 300, 0);
   fleet_begin_order (&fleet, &calls[1], 1, "order-1", 2, 300, 0);
   for (int i = 0; i < 2; i++)
@@ -77,7 +77,7 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   wait_guard_period ();
   fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 600, 0);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
@@ -101,7 +101,7 @@
   struct fleet fleet;
   struct fleet_call calls[3];
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   wait_guard_period ();
   fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 5000, 8000);
   fleet_begin_order (&fleet, &calls[1], 1, NULL, 0, 5000, 8000);
@@ -132,7 +132,7 @@
   struct fleet fleet;
   struct fleet_call call;
 
-  fleet_start (&fleet, LINKS "id_life_ms = 20000\nguard_ms = 60000\n");
+  fleet_start (&fleet, LINK_SETTINGS "id_life_ms = 20000\nguard_ms = 60000\n");
   fleet_begin_order (&fleet, &call, 0, "order-1", 1, 1, 0);
   fleet_wait_call (&call);
   CU_ASSERT (has_outcome (&call, "not-run"));
@@ -152,7 +152,7 @@
   struct fleet_call calls[3];
   char key[256];
 
-  fleet_start (&fleet, LINKS "id_life_ms = 20000\nguard_ms = 60000\n");
+  fleet_start (&fleet, LINK_SETTINGS "id_life_ms = 20000\nguard_ms = 60000\n");
   CU_ASSERT (fleet_mint_key (&fleet, 0, "stock", key));
   for (int i = 0; i < 2; i++)
     {
@@ -178,8 +178,8 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, SHORT_LIFE);
-  fleet_sleep_ms (OLD_MS);
+  fleet_start (&fleet, SHORT_TTL_SETTINGS);
+  fleet_sleep_ms (ID_TTL_PASSED_MS);
   kill (fleet.entries[0].pid, SIGSTOP);
   /* This request waits in the paused entry's socket for longer than its deadline. */
   fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 1, 1000);
@@ -210,7 +210,7 @@
   struct fleet fleet;
   int whole = 0;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int i = 0; i < STREAMS; i++)
     fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 150);
   CU_ASSERT (wait_model_run (&fleet));
@@ -238,7 +238,7 @@
   struct fleet fleet;
   struct fleet_call call;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   wait_guard_period ();
   fleet_begin_order (&fleet, &call, 0, "order-1", 1, 300, 8000);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
@@ -260,7 +260,7 @@
   struct fleet_call calls[2];
   const char *text;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int a = 0; a < FLEET_MODELS; a++)
     fleet_control (fleet.endpoints[a].http_port, "/control?break_after=3");
   fleet_begin_chat (&fleet, &calls[0], 0, true, 10);
@@ -285,7 +285,7 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_begin_order (&fleet, &calls[0], 0, NULL, 0, 1, 0);
   fleet_wait_call (&calls[0]);
   CU_ASSERT (has_outcome (&calls[0], "ran"));
@@ -305,7 +305,7 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_end_process (&fleet.endpoints[FLEET_STOCK].engine, SIGKILL);
   fleet_end_process (&fleet.endpoints[0].engine, SIGKILL);
   fleet_begin_order (&fleet, &calls[0], 0, NULL, 0, 1, 0);
@@ -327,7 +327,7 @@
   struct fleet fleet;
   struct fleet_call call;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   if (kill_the_entry)
     {
       fleet_begin_chat (&fleet, &call, 0, true, 2000);
@@ -384,13 +384,13 @@
   volatile bool *stop = ((void **) data)[1];
   int *failures = ((void **) data)[2];
   int entry = *(int *) ((void **) data)[3];
-  struct fleet_call calls[LOAD];
+  struct fleet_call calls[LOAD_STREAMS];
 
   while (!*stop)
     {
-      for (int i = 0; i < LOAD; i++)
+      for (int i = 0; i < LOAD_STREAMS; i++)
         fleet_begin_chat (fleet, &calls[i], entry < 0 ? i % FLEET_ENTRIES : entry, i % 2, 5);
-      for (int i = 0; i < LOAD; i++)
+      for (int i = 0; i < LOAD_STREAMS; i++)
         {
           fleet_wait_call (&calls[i]);
           if (calls[i].answer.status != 200 || !calls[i].answer.whole)
@@ -417,7 +417,7 @@
   void *data[] = { &fleet, (void *) (uintptr_t) &stop, &failures, &entry };
   pthread_t thread;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   pthread_create (&thread, NULL, keep_calling, data);
   for (int a = 0; a < FLEET_MODELS; a++)
     {
@@ -438,12 +438,12 @@
 test_planned_stop_of_entry (void)
 {
   struct fleet fleet;
-  struct fleet_call calls[LOAD];
+  struct fleet_call calls[LOAD_STREAMS];
   struct fleet_call late;
   pid_t pid;
 
-  fleet_start (&fleet, NO_GUARD);
-  for (int i = 0; i < LOAD; i++)
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_begin_chat (&fleet, &calls[i], 0, true, 200);
   CU_ASSERT (wait_model_run (&fleet));
   pid = fleet.entries[0].pid;
@@ -473,7 +473,7 @@
   int late;
   int fd;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   port = fleet.entries[0].http_port;
   fd = raw_connect (port);
   kill (fleet.entries[0].pid, SIGTERM);
@@ -494,7 +494,7 @@
 /* ---- planned stop: grace period ---- */
 
 /* A short grace period keeps the tests short; the requests in flight would take 20 s. */
-#define SHORT_GRACE NO_GUARD "grace_ms = 1500\n"
+#define SHORT_GRACE NO_GUARD_SETTINGS "grace_ms = 1500\n"
 #define LONG_TOKENS 4000
 #define LONG_WORK_MS 20000
 #define ALL_DAY_MS 600000
@@ -534,18 +534,18 @@
 test_agent_stop_grace (void)
 {
   struct fleet fleet;
-  struct fleet_call calls[LOAD];
+  struct fleet_call calls[LOAD_STREAMS];
   struct fleet_call order;
 
   fleet_start (&fleet, SHORT_GRACE);
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, false, LONG_TOKENS / 8);
   fleet_begin_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, ALL_DAY_MS);
   CU_ASSERT (wait_runs (&fleet, 0, "runs", 1));
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
   CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[0].pid, SIGTERM), 0);
   CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGTERM), 0);
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     {
       fleet_wait_call (&calls[i]);
       CU_ASSERT_EQUAL (calls[i].answer.status, 200);
@@ -600,15 +600,15 @@
 test_leaving_by_platform_list (void)
 {
   struct fleet fleet;
-  struct fleet_call calls[LOAD];
+  struct fleet_call calls[LOAD_STREAMS];
   int before;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_control (fleet.platform_port, "/control/box?box=model-1&state=leaving");
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS - 1));
   before = fleet_count_runs (&fleet, 0, NULL, "runs");
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
   expect_streams (calls, 3);
   CU_ASSERT_EQUAL (fleet_count_runs (&fleet, 0, NULL, "runs"), before);
@@ -624,7 +624,7 @@
   struct fleet_call slow;
   struct fleet_call order;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_control (fleet.platform_port, "/control/mode?lag_ms=30000");
   fleet_begin_order (&fleet, &slow, 0, NULL, 0, 1000, 0);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
@@ -649,7 +649,7 @@
 {
   struct fleet fleet;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_end_process (&fleet.entries[1].pid, SIGKILL);
   fleet.entries[1].platform_port = fleet.endpoints[0].peer_port;
   fleet_start_entry (&fleet, 1);
@@ -714,7 +714,7 @@
   struct callers callers[4] = { 0 };
   int failures = 0;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int i = 0; i < 4; i++)
     {
       callers[i].fleet = &fleet;
@@ -749,11 +749,11 @@
 static void
 test_engine_stalled (void)
 {
-  static struct fleet_call calls[LOAD];
+  static struct fleet_call calls[LOAD_STREAMS];
   struct fleet fleet;
   struct fleet_call begun;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   do
     {
       fleet_begin_chat (&fleet, &begun, 0, true, 400);
@@ -765,7 +765,7 @@
     }
   while (true);
   kill (fleet.endpoints[0].engine, SIGSTOP);
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 5);
   expect_streams (calls, 5);
   CU_ASSERT (fleet_count_log_lines (&fleet, "model-1", " 505 stalled ") > 0);
@@ -781,14 +781,14 @@
 static void
 test_flapping_box (void)
 {
-  static struct fleet_call orders[LOAD];
-  static struct fleet_call calls[LOAD];
+  static struct fleet_call orders[LOAD_STREAMS];
+  static struct fleet_call calls[LOAD_STREAMS];
   struct fleet fleet;
   int ran = 0;
   int unknown = 0;
 
-  fleet_start (&fleet, NO_GUARD);
-  for (int i = 0; i < LOAD; i++)
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  for (int i = 0; i < LOAD_STREAMS; i++)
     {
       char key[16];
 
@@ -801,7 +801,7 @@
       fleet_begin_order (&fleet, &orders[i], i % FLEET_ENTRIES, key, 1, 20, 3000);
       fleet_sleep_ms (40);
     }
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     {
       fleet_wait_call (&orders[i]);
       ran += has_outcome (&orders[i], "ran");
@@ -817,7 +817,7 @@
   CU_ASSERT (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs") <= ran + unknown);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS));
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
   expect_streams (calls, 3);
   fleet_stop (&fleet);
@@ -836,7 +836,7 @@
   struct fleet fleet;
   int runs;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int a = 0; a < FLEET_MODELS; a++)
     fleet_control (fleet.endpoints[a].http_port, "/control?drop=1");
   for (int i = 0; i < CALLS; i++)
@@ -862,7 +862,7 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   wait_guard_period ();
   fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 800, 0);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
@@ -890,7 +890,7 @@
   struct fleet_call call;
   const char *body;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_begin_order (&fleet, &call, 0, NULL, 0, 0, 0);
   fleet_wait_call (&call);
   ash_cli_answer_finish (&call.answer);
