--- a/bench/engine_model.c
+++ b/bench/engine_model.c
@@ -4,7 +4,7 @@
 
 /* Puts a prefix first. @return whether it was cached. */
 static bool
-touch_prefix (struct engine_model *engine, uint32_t prefix)
+use_prefix (struct engine_model *engine, uint32_t prefix)
 {
   uint32_t at = 0;
   bool hit;
@@ -29,7 +29,7 @@
     {
       if (engine->runs[i].run)
         continue;
-      if (touch_prefix (engine, prefix))
+      if (use_prefix (engine, prefix))
         engine->hits++;
       else
         {
@@ -37,7 +37,7 @@
           prompt_tokens += prefix_tokens;
         }
       engine->runs[i] = (struct engine_run){ run, prompt_tokens, tokens, 0 };
-      engine->busy++;
+      engine->active_runs++;
       return true;
     }
   return false;
@@ -50,8 +50,8 @@
     if (run && engine->runs[i].run == run)
       {
         engine->runs[i].run = 0;
-        engine->busy--;
-        return engine->runs[i].made;
+        engine->active_runs--;
+        return engine->runs[i].generated;
       }
   return 0;
 }
@@ -59,8 +59,8 @@
 int64_t
 engine_begin_step (struct engine_model *engine, int64_t now_us)
 {
-  int64_t took_us = ENGINE_STEP_US + (int64_t) engine->busy * ENGINE_STEP_REQUEST_US;
-  uint32_t room = ENGINE_CHUNK_TOKENS;
+  int64_t took_us = ENGINE_STEP_US + (int64_t) engine->active_runs * ENGINE_STEP_REQUEST_US;
+  uint32_t room = ENGINE_STEP_PROMPT_TOKENS;
 
   for (uint32_t i = 0; i < ENGINE_BATCH && room; i++)
     {
--- a/bench/engine_model.h
+++ b/bench/engine_model.h
@@ -20,7 +20,7 @@
 #define ENGINE_PROMPT_TOKEN_US 20
 
 /** Prompt that a step reads at most. */
-#define ENGINE_CHUNK_TOKENS 512
+#define ENGINE_STEP_PROMPT_TOKENS 512
 
 /** A request in the batch. */
 struct engine_run
@@ -28,18 +28,18 @@
   uint64_t run; /**< 0: a free place */
   uint32_t prompt_left;
   uint32_t tokens_left;
-  uint32_t made;
+  uint32_t generated;
 };
 
 /** An engine. */
 struct engine_model
 {
   struct engine_run runs[ENGINE_BATCH];
-  uint32_t busy;                      /**< requests in the batch */
+  uint32_t active_runs;               /**< requests in the batch */
   uint32_t prefixes[ENGINE_PREFIXES]; /**< most recently used first; 0: none */
   int64_t stalled_until_us;
   bool stepping;   /**< a step is under way */
-  uint64_t tokens; /**< made in all */
+  uint64_t tokens; /**< generated in all */
   uint64_t hits;
   uint64_t misses;
 };
@@ -52,7 +52,7 @@
                    uint32_t prompt_tokens,
                    uint32_t tokens);
 
-/** Ends a request. @return tokens that were made for it. */
+/** Ends a request. @return tokens that were generated for it. */
 uint32_t engine_cancel (struct engine_model *engine, uint64_t run);
 
 /** @return how long the step takes that begins now; its prompt counts as read. */
--- a/bench/event_queue.c
+++ b/bench/event_queue.c
@@ -2,38 +2,38 @@
 
 #include <stdlib.h>
 
-#define FIRST_ROOM 4096
+#define INITIAL_CAPACITY 4096
 
 static bool
-is_before (const struct item *a, const struct item *b)
+is_before (const struct sim_event *a, const struct sim_event *b)
 {
-  return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
+  return a->at_us != b->at_us ? a->at_us < b->at_us : a->sequence < b->sequence;
 }
 
 void
-event_queue_push (struct event_queue *queue, struct item item)
+event_queue_push (struct event_queue *queue, struct sim_event sim_event)
 {
   size_t at;
 
-  item.order = queue->order++;
-  if (queue->count == queue->room)
+  sim_event.sequence = queue->sequence++;
+  if (queue->count == queue->capacity)
     {
-      queue->room = queue->room ? 2 * queue->room : FIRST_ROOM;
-      queue->items = realloc (queue->items, queue->room * sizeof *queue->items);
-      if (!queue->items)
+      queue->capacity = queue->capacity ? 2 * queue->capacity : INITIAL_CAPACITY;
+      queue->events = realloc (queue->events, queue->capacity * sizeof *queue->events);
+      if (!queue->events)
         abort ();
     }
-  for (at = queue->count++; at > 0 && is_before (&item, &queue->items[(at - 1) / 2]);
+  for (at = queue->count++; at > 0 && is_before (&sim_event, &queue->events[(at - 1) / 2]);
        at = (at - 1) / 2)
-    queue->items[at] = queue->items[(at - 1) / 2];
-  queue->items[at] = item;
+    queue->events[at] = queue->events[(at - 1) / 2];
+  queue->events[at] = sim_event;
 }
 
-struct item
+struct sim_event
 event_queue_pop (struct event_queue *queue)
 {
-  struct item first = queue->items[0];
-  struct item last = queue->items[--queue->count];
+  struct sim_event first = queue->events[0];
+  struct sim_event last = queue->events[--queue->count];
   size_t at = 0;
 
   for (;;)
@@ -42,20 +42,20 @@
 
       if (child >= queue->count)
         break;
-      if (child + 1 < queue->count && is_before (&queue->items[child + 1], &queue->items[child]))
+      if (child + 1 < queue->count && is_before (&queue->events[child + 1], &queue->events[child]))
         child++;
-      if (!is_before (&queue->items[child], &last))
+      if (!is_before (&queue->events[child], &last))
         break;
-      queue->items[at] = queue->items[child];
+      queue->events[at] = queue->events[child];
       at = child;
     }
-  queue->items[at] = last;
+  queue->events[at] = last;
   return first;
 }
 
 void
 event_queue_finish (struct event_queue *queue)
 {
-  free (queue->items);
+  free (queue->events);
   *queue = (struct event_queue){ 0 };
 }
--- a/bench/event_queue.h
+++ b/bench/event_queue.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What happens next in the policy bench: items by time, those of one time in the
- * order in which they were put.
+ * What happens next in the policy bench: events by time, those of one time in the
+ * sequence in which they were put.
  */
 #ifndef ASH_BENCH_EVENT_QUEUE_H
 #define ASH_BENCH_EVENT_QUEUE_H
@@ -11,25 +11,25 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** What an item is about. */
-enum item_kind
+/** What an sim_event is about. */
+enum sim_event_kind
 {
   KIND_CALL,
   KIND_FRAME,
   KIND_STEP,
   KIND_TICK,
-  KIND_BEAT,
+  KIND_HEARTBEAT,
   KIND_FAULT,
-  KIND_HEAL,
-  KIND_SILENCE,
+  KIND_FAULT_END,
+  KIND_LINK_TIMEOUT,
 };
 
 /** Something that happens at a time. */
-struct item
+struct sim_event
 {
   int64_t at_us;
-  uint64_t order;
-  enum item_kind kind;
+  uint64_t sequence;
+  enum sim_event_kind kind;
   uint32_t box;
   uint32_t index;
   struct Ash__Event *event;
@@ -38,18 +38,18 @@
 /** The queue, a heap. Zeroed is empty. */
 struct event_queue
 {
-  struct item *items;
+  struct sim_event *events;
   size_t count;
-  size_t room;
-  uint64_t order;
+  size_t capacity;
+  uint64_t sequence;
 };
 
-void event_queue_push (struct event_queue *queue, struct item item);
+void event_queue_push (struct event_queue *queue, struct sim_event sim_event);
 
 /** Takes the first out; there must be one. */
-struct item event_queue_pop (struct event_queue *queue);
+struct sim_event event_queue_pop (struct event_queue *queue);
 
-/** Frees the queue, not what its items point to. */
+/** Frees the queue, not what its events point to. */
 void event_queue_finish (struct event_queue *queue);
 
 #endif
--- a/bench/experts.c
+++ b/bench/experts.c
@@ -14,15 +14,15 @@
 #include <string.h>
 
 #define INTERVALS 600
-#define LAG 3
-#define TOKENS 20000
-#define SWING 4
+#define REPORT_LAG_INTERVALS 3
+#define TOKENS_PER_INTERVAL 20000
+#define SWING_INTERVALS 4
 
 /* Before a declared start the profile counts for so many intervals. */
-#define LEAD 30
+#define FORECAST_LEAD_INTERVALS 30
 
 /* Intervals that count as an event's start. */
-#define START 20
+#define EVENT_START_INTERVALS 20
 
 enum trace
 {
@@ -52,8 +52,8 @@
 {
   FORECAST_NONE,
   FORECAST_RIGHT,
-  FORECAST_OLD,   /* popularity of another day: half way to the real one */
-  FORECAST_WRONG, /* of experts in another order */
+  FORECAST_HALF_RIGHT, /* popularity of another day: half way to the real one */
+  FORECAST_WRONG,      /* of experts in another order */
 };
 
 struct method
@@ -77,11 +77,11 @@
   { .name = "no change", .none = true },
   { .name = "radar, no forecast", .weights = { 1, 0.1, 10, 8 } },
   { .name = "radar, forecast", .weights = { 1, 0.1, 10, 8 }, .forecast = FORECAST_RIGHT },
-  { .name = "radar, half right", .weights = { 1, 0.1, 10, 8 }, .forecast = FORECAST_OLD },
+  { .name = "radar, half right", .weights = { 1, 0.1, 10, 8 }, .forecast = FORECAST_HALF_RIGHT },
   { .name = "radar, wrong", .weights = { 1, 0.1, 10, 8 }, .forecast = FORECAST_WRONG },
   { .name = "Wadi, no forecast", .weights = { 1, 0.15, 10, 2 } },
   { .name = "Wadi, forecast", .weights = { 1, 0.15, 10, 2 }, .forecast = FORECAST_RIGHT },
-  { .name = "Wadi, half right", .weights = { 1, 0.15, 10, 2 }, .forecast = FORECAST_OLD },
+  { .name = "Wadi, half right", .weights = { 1, 0.15, 10, 2 }, .forecast = FORECAST_HALF_RIGHT },
   { .name = "Wadi, wrong", .weights = { 1, 0.15, 10, 2 }, .forecast = FORECAST_WRONG },
 };
 
@@ -129,7 +129,7 @@
     case TRACE_FLIP:
       return interval >= INTERVALS / 2;
     case TRACE_SWING:
-      return interval / SWING % 2;
+      return interval / SWING_INTERVALS % 2;
     default:
       return 0;
     }
@@ -144,7 +144,8 @@
 {
   for (uint32_t e = 0; e < experts; e++)
     {
-      double mean = TOKENS * (popularity->first[e] * (1 - part) + popularity->second[e] * part);
+      double mean =
+          TOKENS_PER_INTERVAL * (popularity->first[e] * (1 - part) + popularity->second[e] * part);
       double noise = 0;
 
       /* Twelve uniform numbers less six: nearly a standard normal one. */
@@ -207,21 +208,21 @@
 }
 
 static void
-look_ahead (const struct method *method,
-            const struct popularity *popularity,
-            uint32_t interval,
-            struct ash_expert_policy *policy)
+apply_forecast (const struct method *method,
+                const struct popularity *popularity,
+                uint32_t interval,
+                struct ash_expert_policy *policy)
 {
   double expected[ASH_EXPERTS_MAX] = { 0 };
 
-  if (interval == INTERVALS / 2 - LEAD)
+  if (interval == INTERVALS / 2 - FORECAST_LEAD_INTERVALS)
     {
       for (uint32_t e = 0; e < policy->expert_count; e++)
         {
           double other = popularity->second[policy->expert_count - 1 - e];
 
           expected[e] = 1e6 * popularity->second[e];
-          if (method->forecast == FORECAST_OLD)
+          if (method->forecast == FORECAST_HALF_RIGHT)
             expected[e] = 5e5 * (popularity->first[e] + popularity->second[e]);
           if (method->forecast == FORECAST_WRONG)
             expected[e] = 1e6 * other;
@@ -253,7 +254,7 @@
   for (uint32_t i = 0; i < INTERVALS; i++)
     {
       bool stalled = trace == TRACE_STALL && i >= INTERVALS / 3 && i < 2 * INTERVALS / 3;
-      uint32_t lag = trace == TRACE_LOSSY ? LAG : 1;
+      uint32_t lag = trace == TRACE_LOSSY ? REPORT_LAG_INTERVALS : 1;
       const double *report = i >= lag ? history[i - lag] : NULL;
       bool lost = trace == TRACE_LOSSY && ash_random_below (&random, 10) < 3;
 
@@ -261,7 +262,7 @@
         speeds[r] = stalled && r == 0 ? 0.7 : 1;
       draw_tokens (&random, &popularity, progress (trace, i), size->experts, history[i]);
       if (method->forecast)
-        look_ahead (method, &popularity, i, &policy);
+        apply_forecast (method, &popularity, i, &policy);
       if (report && !lost)
         {
           ash_expert_policy_report (&policy, report);
@@ -295,8 +296,10 @@
 
   run (size, TRACE_FLIP, method, &result);
   printf ("| %u x %u | %s | %.3f | %.3f | %.3f | %.3f | %u |\n", size->ranks, size->experts,
-          method->name, stats_mean (start - LEAD, LEAD), *start, stats_mean (start, START),
-          stats_mean (start + START, INTERVALS / 2 - START), result.moves);
+          method->name, stats_mean (start - FORECAST_LEAD_INTERVALS, FORECAST_LEAD_INTERVALS),
+          *start, stats_mean (start, EVENT_START_INTERVALS),
+          stats_mean (start + EVENT_START_INTERVALS, INTERVALS / 2 - EVENT_START_INTERVALS),
+          result.moves);
 }
 
 int
@@ -313,7 +316,7 @@
       "\nA declared event at the flip, with a profile of its loads %d intervals before:\n\n"
       "| ranks x experts | method | skew before it | its first interval | its first %d | after | "
       "experts moved |\n|---|---|---|---|---|---|---|\n",
-      LEAD, START);
+      FORECAST_LEAD_INTERVALS, EVENT_START_INTERVALS);
   for (size_t s = 0; s < sizeof sizes / sizeof sizes[0]; s++)
     for (size_t m = 0; m < sizeof forecasts / sizeof forecasts[0]; m++)
       print_forecast (&sizes[s], &forecasts[m]);
--- a/bench/faults.c
+++ b/bench/faults.c
@@ -15,8 +15,8 @@
 
 #define CALLERS 16
 #define WATCH_MS 4000
-#define ORDERS 600
-#define ORDER_PERIOD_MS 5
+#define REQUESTS 600
+#define REQUEST_PERIOD_MS 5
 #define STREAMS 20
 #define CANCEL_WATCH_MS 40000
 #define SETTINGS "log_level = \"warn\"\nguard_ms = 0\n"
@@ -72,7 +72,7 @@
 {
   SOURCE_OWN,
   SOURCE_LIST,
-  SOURCE_HEARSAY,
+  SOURCE_PEER,
 };
 
 static void
@@ -83,7 +83,7 @@
   int64_t last_ms;
 
   fleet_start (&fleet, SETTINGS);
-  if (source == SOURCE_HEARSAY)
+  if (source == SOURCE_PEER)
     {
       fleet_end (&fleet.entries[1].pid, SIGKILL);
       fleet.entries[1].platform_port = fleet.endpoints[0].peer_port;
@@ -93,7 +93,7 @@
   for (int i = 0; i < CALLERS; i++)
     {
       callers[i].fleet = &fleet;
-      callers[i].entry = source == SOURCE_HEARSAY ? 1 : -1;
+      callers[i].entry = source == SOURCE_PEER ? 1 : -1;
       pthread_create (&callers[i].thread, NULL, keep_calling, &callers[i]);
     }
   fleet_sleep (1000);
@@ -116,26 +116,26 @@
 static void
 measure_unknown (void)
 {
-  static struct fleet_call calls[ORDERS];
+  static struct fleet_call calls[REQUESTS];
   struct fleet fleet;
   int counts[4] = { 0 }; /* ran, not run, unknown, false "not run" */
-  int in_hands = 0;
+  int in_flight = 0;
 
   fleet_start (&fleet, SETTINGS);
-  for (int i = 0; i < ORDERS; i++)
+  for (int i = 0; i < REQUESTS; i++)
     {
       fleet_order (&fleet, &calls[i], i % FLEET_ENTRIES, NULL, 0, 50, 3000);
-      fleet_sleep (ORDER_PERIOD_MS);
-      if (i != ORDERS / 3)
+      fleet_sleep (REQUEST_PERIOD_MS);
+      if (i != REQUESTS / 3)
         continue;
-      in_hands = fleet_runs (&fleet, FLEET_STOCK, NULL, "runs") -
-                 fleet_runs (&fleet, FLEET_STOCK, NULL, "ended");
+      in_flight = fleet_runs (&fleet, FLEET_STOCK, NULL, "runs") -
+                  fleet_runs (&fleet, FLEET_STOCK, NULL, "ended");
       fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
       fleet_start_endpoint (&fleet, FLEET_STOCK);
     }
-  for (int i = 0; i < ORDERS; i++)
+  for (int i = 0; i < REQUESTS; i++)
     fleet_wait (&calls[i]);
-  for (int i = 0; i < ORDERS; i++)
+  for (int i = 0; i < REQUESTS; i++)
     {
       const struct ash_cli_answer *answer = &calls[i].answer;
       bool not_run = strcmp (answer->outcome, "not-run") == 0;
@@ -146,7 +146,7 @@
       counts[3] += not_run && fleet_runs (&fleet, FLEET_STOCK, answer->request_id, "runs") > 0;
       ash_cli_answer_finish (&calls[i].answer);
     }
-  printf ("| %d | %d | %d | %d | %d | %d |\n", ORDERS, counts[0], counts[1], counts[2], in_hands,
+  printf ("| %d | %d | %d | %d | %d | %d |\n", REQUESTS, counts[0], counts[1], counts[2], in_flight,
           counts[3]);
   fleet_stop (&fleet);
 }
@@ -193,7 +193,7 @@
   printf ("| an endpoint is leaving, known from | last new start there after, ms |\n|---|---|\n");
   measure_leaving ("its own signal alone", SOURCE_OWN);
   measure_leaving ("the platform's list alone, from when the list shows it", SOURCE_LIST);
-  measure_leaving ("another entry's word alone", SOURCE_HEARSAY);
+  measure_leaving ("another entry's word alone", SOURCE_PEER);
   printf (
       "\n| orders, the agent is killed among them | ran | not run | unknown | in its hands when "
       "killed | told not run, and ran |\n|---|---|---|---|---|---|\n");
--- a/bench/groups.c
+++ b/bench/groups.c
@@ -13,8 +13,8 @@
 #include <stdlib.h>
 
 #define CHANGES 12
-#define KILLS 12
-#define ABANDONED 5
+#define COORDINATOR_KILLS 12
+#define TAKEOVERS 5
 
 static void
 print_row (const struct group_fleet *group, const char *what)
@@ -50,7 +50,7 @@
   struct group_fleet group;
 
   group_fleet_start (&group);
-  for (int i = 0; i < KILLS; i++)
+  for (int i = 0; i < COORDINATOR_KILLS; i++)
     {
       group_fleet_make_hot (&group, i);
       fleet_sleep (300 + 31 * i);
@@ -66,11 +66,11 @@
 /* The worst moment: all ranks are armed, and the coordinator dies before any
  * commit. It is started again at once; any agent has to find out and take over. */
 static void
-measure_abandoned (void)
+measure_takeover (void)
 {
   struct group_fleet group;
 
-  for (int i = 0; i < ABANDONED; i++)
+  for (int i = 0; i < TAKEOVERS; i++)
     {
       group_fleet_start (&group);
       group_fleet_lose (&group, ASH__RANK_ORDER__KIND__COMMIT);
@@ -95,6 +95,6 @@
           "maps |\n|---|---|---|---|---|\n");
   measure_normal ();
   measure_killed ();
-  measure_abandoned ();
+  measure_takeover ();
   return EXIT_SUCCESS;
 }
--- a/bench/load.c
+++ b/bench/load.c
@@ -22,7 +22,7 @@
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 
 static size_t
-ignore (char *bytes, size_t size, size_t count, void *data)
+discard_body (char *bytes, size_t size, size_t count, void *data)
 {
   (void) bytes;
   (void) data;
@@ -51,7 +51,7 @@
   curl_easy_setopt (easy, CURLOPT_URL, load->url);
   curl_easy_setopt (easy, CURLOPT_PROXY, "");
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, *headers);
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, ignore);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, discard_body);
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, 20000L);
   if (load->body)
     curl_easy_setopt (easy, CURLOPT_POSTFIELDS, load->body);
@@ -59,7 +59,7 @@
 }
 
 static void *
-work (void *data)
+run_worker (void *data)
 {
   struct worker *worker = data;
   struct load *load = worker->load;
@@ -91,7 +91,7 @@
 }
 
 static int
-by_size (const void *a, const void *b)
+compare_durations (const void *a, const void *b)
 {
   int64_t left = *(const int64_t *) a;
   int64_t right = *(const int64_t *) b;
@@ -111,11 +111,11 @@
   for (uint32_t i = 0; i < THREADS; i++)
     {
       workers[i] = (struct worker){ .load = load, .index = i, .start_us = start_us };
-      pthread_create (&workers[i].thread, NULL, work, &workers[i]);
+      pthread_create (&workers[i].thread, NULL, run_worker, &workers[i]);
     }
   for (uint32_t i = 0; i < THREADS; i++)
     pthread_join (workers[i].thread, NULL);
-  qsort (load->took_us, load->ok, sizeof *load->took_us, by_size);
+  qsort (load->took_us, load->ok, sizeof *load->took_us, compare_durations);
 }
 
 void
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -6,7 +6,7 @@
  *
  * usage: bench-policy [--csv] [--radar] [faults|events|routes|router]
  */
-#include "bench/policy_world.h"
+#include "bench/policy_sim.h"
 #include "bench/router_policy.h"
 #include "bench/stats.h"
 
@@ -21,12 +21,12 @@
 #define CAPACITY_PER_S 560
 
 #define SECONDS 60
-#define FAULT_S 30
-#define BURST_S 20
+#define FAULT_START_S 30
+#define BURST_START_S 20
 #define TEMPLATES 40
 
-static const int64_t deadline_us[WORLD_CLASSES] = { 4 * US_PER_S, 4 * US_PER_S, 10 * US_PER_S };
-static const char *const class_names[WORLD_CLASSES] = { "counter", "shop", "batch" };
+static const int64_t deadline_us[SIM_CLASSES] = { 4 * US_PER_S, 4 * US_PER_S, 10 * US_PER_S };
+static const char *const class_names[SIM_CLASSES] = { "counter", "shop", "batch" };
 
 /* ---- arrivals ---- */
 
@@ -53,7 +53,7 @@
   double part; /* of the usual demand */
 };
 
-static const struct share shares[WORLD_ACCOUNTS] = {
+static const struct share shares[SIM_ACCOUNTS] = {
   { "counter-1", 0, 0.10 }, { "counter-2", 0, 0.05 }, { "shop-1", 1, 0.20 }, { "shop-2", 1, 0.15 },
   { "shop-3", 1, 0.10 },    { "shop-4", 1, 0.05 },    { "shop-5", 1, 0.05 }, { "batch-1", 2, 0.20 },
   { "batch-2", 2, 0.05 },   { "batch-3", 2, 0.05 },
@@ -68,7 +68,7 @@
 demand (enum trace trace, uint32_t account, double at_s)
 {
   double usual = shares[account].part * CAPACITY_PER_S;
-  double since_s = at_s - BURST_S;
+  double since_s = at_s - BURST_START_S;
   double ramp = since_s < 0 ? 0 : since_s < 2 ? since_s / 2 : 1;
 
   switch (trace)
@@ -98,21 +98,21 @@
 static int
 by_time (const void *a, const void *b)
 {
-  const struct world_call *left = a;
-  const struct world_call *right = b;
+  const struct sim_call *left = a;
+  const struct sim_call *right = b;
 
   return (left->at_us > right->at_us) - (left->at_us < right->at_us);
 }
 
 /* Poisson arrivals by thinning: each account's clock ticks at its highest demand. */
 static uint32_t
-make_calls (enum trace trace, struct world_call *calls)
+make_calls (enum trace trace, struct sim_call *calls)
 {
   struct ash_random random;
   uint32_t count = 0;
 
   ash_random_init (&random, 11 + (uint64_t) trace);
-  for (uint32_t a = 0; a < WORLD_ACCOUNTS; a++)
+  for (uint32_t a = 0; a < SIM_ACCOUNTS; a++)
     {
       double most = 1;
       double at_s = 0;
@@ -128,12 +128,12 @@
             break;
           if (ash_random_below (&random, 1000000) / 1e6 * most > demand (trace, a, at_s))
             continue;
-          calls[count++] = (struct world_call){
+          calls[count++] = (struct sim_call){
             .at_us = (int64_t) (at_s * 1e6),
             .deadline_us = (int64_t) (at_s * 1e6) + deadline_us[shares[a].class_index],
             .account = a,
-            .prefix = 1 + a * TEMPLATES / WORLD_ACCOUNTS +
-                      ash_random_below (&random, TEMPLATES / WORLD_ACCOUNTS),
+            .prefix = 1 + a * TEMPLATES / SIM_ACCOUNTS +
+                      ash_random_below (&random, TEMPLATES / SIM_ACCOUNTS),
             .tokens = 40 + ash_random_below (&random, 121),
             .entry = -1,
           };
@@ -152,47 +152,47 @@
 
 struct figures
 {
-  double in_time[WORLD_CLASSES]; /* of the calls, in hundred */
-  double goodput;                /* answers in time a second, 3 to 5 s after the burst began */
-  double first_ms[3];            /* until the first token: median, 95, 99 in 100 */
-  double top_first_ms;           /* 95 in 100 of the highest class */
-  double refused;                /* of the calls, at least once, in hundred */
-  double refused_ms;             /* until the first refusal: 95 in 100 */
-  double wasted;                 /* engine work, in hundred */
-  double balance;                /* the busiest engine's tokens over the mean */
-  double fairness;               /* Jain's index of the shares in time, worst class */
-  double overshoot;              /* of the heavy account's limit, in hundred */
-  double recovery_s;             /* until a second with 99 in 100 in time, after the fault */
-  double hits;                   /* of cached prefixes, in hundred */
+  double in_time[SIM_CLASSES]; /* of the calls, in hundred */
+  double goodput;              /* answers in time a second, 3 to 5 s after the burst began */
+  double first_ms[3];          /* until the first token: median, 95, 99 in 100 */
+  double top_first_ms;         /* 95 in 100 of the highest class */
+  double refused;              /* of the calls, at least once, in hundred */
+  double refused_ms;           /* until the first refusal: 95 in 100 */
+  double wasted;               /* engine work, in hundred */
+  double balance;              /* the busiest engine's tokens over the mean */
+  double fairness;             /* Jain's index of the shares in time, worst class */
+  double overshoot;            /* of the heavy account's limit, in hundred */
+  double recovery_s;           /* until a second with 99 in 100 in time, after the fault */
+  double hits;                 /* of cached prefixes, in hundred */
 };
 
 static bool
-is_in_time (const struct world_call *call)
+is_in_time (const struct sim_call *call)
 {
   return call->done_us && call->done_us <= call->deadline_us;
 }
 
 /* Calls that can still be answered when the run ends. */
 static bool
-counts (const struct world_call *call)
+is_counted (const struct sim_call *call)
 {
   return call->at_us >= 5 * US_PER_S && call->at_us < (SECONDS - 11) * US_PER_S;
 }
 
 static void
-count_classes (const struct world_call *calls, uint32_t count, struct figures *figures)
+count_classes (const struct sim_call *calls, uint32_t count, struct figures *figures)
 {
-  uint32_t asked[WORLD_ACCOUNTS] = { 0 };
-  uint32_t in_time[WORLD_ACCOUNTS] = { 0 };
+  uint32_t offered[SIM_ACCOUNTS] = { 0 };
+  uint32_t in_time[SIM_ACCOUNTS] = { 0 };
 
   for (uint32_t i = 0; i < count; i++)
-    if (counts (&calls[i]))
+    if (is_counted (&calls[i]))
       {
-        asked[calls[i].account]++;
+        offered[calls[i].account]++;
         in_time[calls[i].account] += is_in_time (&calls[i]);
       }
   figures->fairness = 1;
-  for (uint32_t c = 0; c < WORLD_CLASSES; c++)
+  for (uint32_t c = 0; c < SIM_CLASSES; c++)
     {
       double all = 0;
       double good = 0;
@@ -200,12 +200,12 @@
       double squares = 0;
       uint32_t members = 0;
 
-      for (uint32_t a = 0; a < WORLD_ACCOUNTS; a++)
-        if (shares[a].class_index == c && asked[a])
+      for (uint32_t a = 0; a < SIM_ACCOUNTS; a++)
+        if (shares[a].class_index == c && offered[a])
           {
-            double ratio = (double) in_time[a] / asked[a];
+            double ratio = (double) in_time[a] / offered[a];
 
-            all += asked[a];
+            all += offered[a];
             good += in_time[a];
             sum += ratio;
             squares += ratio * ratio;
@@ -218,7 +218,7 @@
 }
 
 static void
-count_times (const struct world_call *calls, uint32_t count, struct figures *figures)
+count_times (const struct sim_call *calls, uint32_t count, struct figures *figures)
 {
   static double first[CALLS_MAX];
   static double refused[CALLS_MAX];
@@ -231,21 +231,21 @@
 
   for (uint32_t i = 0; i < count; i++)
     {
-      const struct world_call *call = &calls[i];
+      const struct sim_call *call = &calls[i];
 
-      if (!counts (call))
+      if (!is_counted (call))
         continue;
       all++;
       if (is_in_time (call))
-        first[first_count++] = (double) (call->first_us - call->at_us) / 1000;
+        first[first_count++] = (double) (call->first_token_us - call->at_us) / 1000;
       if (is_in_time (call) && shares[call->account].class_index == 0)
-        top[top_count++] = (double) (call->first_us - call->at_us) / 1000;
-      if (call->refused_us)
-        refused[refused_count++] = (double) (call->refused_us - call->at_us) / 1000;
+        top[top_count++] = (double) (call->first_token_us - call->at_us) / 1000;
+      if (call->first_refusal_us)
+        refused[refused_count++] = (double) (call->first_refusal_us - call->at_us) / 1000;
     }
   for (uint32_t i = 0; i < count; i++)
-    good += is_in_time (&calls[i]) && calls[i].done_us >= (BURST_S + 3) * US_PER_S &&
-            calls[i].done_us < (BURST_S + 5) * US_PER_S;
+    good += is_in_time (&calls[i]) && calls[i].done_us >= (BURST_START_S + 3) * US_PER_S &&
+            calls[i].done_us < (BURST_START_S + 5) * US_PER_S;
   figures->goodput = good / 2.0;
   figures->first_ms[0] = stats_percentile (first, first_count, 0.5);
   figures->first_ms[1] = stats_percentile (first, first_count, 0.95);
@@ -258,7 +258,7 @@
 /* Seconds after the fault until one in which 99 in 100 of the calls made then are
  * answered in time, and so in all that follow. */
 static double
-recovery_of (const struct world_call *calls, uint32_t count)
+recovery_seconds (const struct sim_call *calls, uint32_t count)
 {
   uint32_t all[SECONDS] = { 0 };
   uint32_t good[SECONDS] = { 0 };
@@ -269,15 +269,15 @@
       all[calls[i].at_us / US_PER_S]++;
       good[calls[i].at_us / US_PER_S] += is_in_time (&calls[i]);
     }
-  for (second = SECONDS - 12; second >= FAULT_S; second--)
+  for (second = SECONDS - 12; second >= FAULT_START_S; second--)
     if (good[second] < 0.99 * all[second])
       break;
-  return second < FAULT_S ? 0 : second + 1 - FAULT_S;
+  return second < FAULT_START_S ? 0 : second + 1 - FAULT_START_S;
 }
 
 /* What the heavy account got above its limit, in the worst ten seconds. */
 static double
-overshoot_of (const struct world_call *calls, uint32_t count)
+overshoot_percent (const struct sim_call *calls, uint32_t count)
 {
   uint32_t got[SECONDS] = { 0 };
   double worst = 0;
@@ -285,7 +285,7 @@
   for (uint32_t i = 0; i < count; i++)
     if (calls[i].account == HEAVY && calls[i].done_us)
       got[calls[i].done_us / US_PER_S % SECONDS]++;
-  for (int second = BURST_S + 1; second + 10 < SECONDS; second++)
+  for (int second = BURST_START_S + 1; second + 10 < SECONDS; second++)
     {
       double sum = 0;
 
@@ -298,39 +298,39 @@
 }
 
 static void
-measure (enum trace trace, const struct world_setup *setup, struct figures *figures)
+measure (enum trace trace, const struct sim_setup *setup, struct figures *figures)
 {
-  static struct world_call calls[CALLS_MAX];
-  struct world_account accounts[WORLD_ACCOUNTS];
+  static struct sim_call calls[CALLS_MAX];
+  struct sim_account accounts[SIM_ACCOUNTS];
   uint32_t count = make_calls (trace, calls);
-  struct world *world;
-  struct world_work work;
+  struct sim *sim;
+  struct sim_work work;
   uint64_t most = 0;
 
-  for (uint32_t a = 0; a < WORLD_ACCOUNTS; a++)
-    accounts[a] = (struct world_account){
+  for (uint32_t a = 0; a < SIM_ACCOUNTS; a++)
+    accounts[a] = (struct sim_account){
       .name = shares[a].name,
       .class_index = shares[a].class_index,
       .rate_per_s = trace == TRACE_HEAVY && a == HEAVY ? HEAVY_LIMIT : 100000,
-      .reserved_per_s =
-          setup->event && shares[a].class_index == 0
-              ? (uint32_t) fmax (demand (trace, a, BURST_S - 1), demand (trace, a, BURST_S + 3))
-              : 0,
+      .reserved_per_s = setup->event && shares[a].class_index == 0
+                            ? (uint32_t) fmax (demand (trace, a, BURST_START_S - 1),
+                                               demand (trace, a, BURST_START_S + 3))
+                            : 0,
     };
-  world = world_new (setup, accounts, calls, count, 3);
-  world_run (world);
-  world_work (world, &work);
-  world_free (world);
+  sim = sim_new (setup, accounts, calls, count, 3);
+  sim_run (sim);
+  sim_work (sim, &work);
+  sim_free (sim);
   *figures = (struct figures){ 0 };
   count_classes (calls, count, figures);
   count_times (calls, count, figures);
   figures->wasted = 100.0 * (double) work.wasted / (double) (work.tokens ? work.tokens : 1);
-  for (uint32_t a = 0; a < WORLD_AGENTS; a++)
+  for (uint32_t a = 0; a < SIM_AGENTS; a++)
     most = work.by_engine[a] > most ? work.by_engine[a] : most;
-  figures->balance = (double) most * WORLD_AGENTS / (double) (work.tokens ? work.tokens : 1);
+  figures->balance = (double) most * SIM_AGENTS / (double) (work.tokens ? work.tokens : 1);
   figures->hits = 100.0 * (double) work.hits / (double) (work.hits + work.misses + 1);
-  figures->recovery_s = setup->fault ? recovery_of (calls, count) : 0;
-  figures->overshoot = trace == TRACE_HEAVY ? overshoot_of (calls, count) : 0;
+  figures->recovery_s = setup->fault ? recovery_seconds (calls, count) : 0;
+  figures->overshoot = trace == TRACE_HEAVY ? overshoot_percent (calls, count) : 0;
 }
 
 /* ---- tables ---- */
@@ -339,7 +339,7 @@
 struct site
 {
   int64_t latency_us;
-  int64_t client_us;
+  int64_t client_latency_us;
 };
 
 static const struct site wadi = { 1500, 1000 };
@@ -384,15 +384,15 @@
   fflush (stdout);
 }
 
-static struct world_setup
+static struct sim_setup
 setup_of (const char *route)
 {
-  return (struct world_setup){
+  return (struct sim_setup){
     .route = route,
-    .fault_us = FAULT_S * US_PER_S,
+    .fault_us = FAULT_START_S * US_PER_S,
     .end_us = SECONDS * US_PER_S,
     .latency_us = site->latency_us,
-    .client_us = site->client_us,
+    .client_latency_us = site->client_latency_us,
   };
 }
 
@@ -411,7 +411,7 @@
   for (size_t t = 0; t < sizeof traces / sizeof traces[0]; t++)
     for (size_t r = 0; r < ROUTES; r++)
       {
-        struct world_setup setup = setup_of (routes[r]);
+        struct sim_setup setup = setup_of (routes[r]);
 
         measure (traces[t], &setup, &figures);
         print_row ("routes", trace_names[traces[t]], routes[r], &figures);
@@ -425,27 +425,27 @@
   {
     const char *name;
     enum trace trace;
-    enum world_callers callers;
+    enum sim_callers callers;
     bool event;
   } cases[] = {
-    { "full", TRACE_FULL, CALLERS_WAIT, false },
-    { "opening", TRACE_OPENING, CALLERS_WAIT, false },
-    { "opening declared", TRACE_OPENING, CALLERS_WAIT, true },
-    { "opening (all ask again at once)", TRACE_OPENING, CALLERS_STORM, false },
-    { "flood", TRACE_FLOOD, CALLERS_WAIT, false },
-    { "flood declared", TRACE_FLOOD, CALLERS_WAIT, true },
-    { "flood (all ask again at once)", TRACE_FLOOD, CALLERS_STORM, false },
-    { "storm", TRACE_STORM, CALLERS_WAIT, false },
-    { "long answers", TRACE_LONG, CALLERS_WAIT, false },
-    { "long answers declared", TRACE_LONG, CALLERS_WAIT, true },
-    { "heavy account", TRACE_HEAVY, CALLERS_WAIT, false },
+    { "full", TRACE_FULL, CALLERS_AS_ADVISED, false },
+    { "opening", TRACE_OPENING, CALLERS_AS_ADVISED, false },
+    { "opening declared", TRACE_OPENING, CALLERS_AS_ADVISED, true },
+    { "opening (all ask again at once)", TRACE_OPENING, CALLERS_AT_ONCE, false },
+    { "flood", TRACE_FLOOD, CALLERS_AS_ADVISED, false },
+    { "flood declared", TRACE_FLOOD, CALLERS_AS_ADVISED, true },
+    { "flood (all ask again at once)", TRACE_FLOOD, CALLERS_AT_ONCE, false },
+    { "storm", TRACE_STORM, CALLERS_AS_ADVISED, false },
+    { "long answers", TRACE_LONG, CALLERS_AS_ADVISED, false },
+    { "long answers declared", TRACE_LONG, CALLERS_AS_ADVISED, true },
+    { "heavy account", TRACE_HEAVY, CALLERS_AS_ADVISED, false },
   };
   struct figures figures;
 
   print_head ("Events");
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      struct world_setup setup = setup_of (DEFAULT_ROUTE);
+      struct sim_setup setup = setup_of (DEFAULT_ROUTE);
 
       setup.callers = cases[i].callers;
       setup.event = cases[i].event;
@@ -466,12 +466,12 @@
   struct figures figures;
 
   print_head ("Faults, steady");
-  for (int f = FAULT_NONE; f <= FAULT_REPORTS; f++)
+  for (int f = FAULT_NONE; f <= FAULT_REPORTS_LOST; f++)
     for (size_t r = 0; r < ROUTES; r++)
       {
-        struct world_setup setup = setup_of (routes[r]);
+        struct sim_setup setup = setup_of (routes[r]);
 
-        setup.fault = (enum world_fault) f;
+        setup.fault = (enum sim_fault) f;
         measure (TRACE_STEADY, &setup, &figures);
         print_row ("faults", names[f], routes[r], &figures);
       }
--- a/bench/router_policy.c
+++ b/bench/router_policy.c
@@ -1,6 +1,6 @@
 #include "bench/router_policy.h"
 
-#include "bench/router_world.h"
+#include "bench/router_sim.h"
 #include "controllers/pass_model.h"
 
 #include <stdio.h>
@@ -11,121 +11,125 @@
  * them. */
 #define CAP 9
 #define WAIT_MS 80
-#define TELL_MS 100
-#define CALLS_S 63
+#define REPORT_PERIOD_MS 100
+#define CALLS_PER_S 63
 
-struct day
+struct scenario
 {
   const char *name;
-  struct router_world_setup setup;
+  struct router_sim_setup setup;
 };
 
-#define USUAL .length_ms = 40000, .calls_s = CALLS_S
-#define BURST .burst_at_ms = 12000, .burst_for_ms = 5000, .burst_times = 2
-#define SLOW .slow_at_ms = 8000, .slow_for_ms = 12000, .slow_times = 4
-#define ROLLS .rolls = 2, .roll_at_ms = { 9000, 25000 }, .roll_gap_ms = 700
+#define USUAL .duration_ms = 40000, .calls_per_s = CALLS_PER_S
+#define BURST .burst_start_ms = 12000, .burst_duration_ms = 5000, .burst_factor = 2
+#define SLOW .slow_start_ms = 8000, .slow_duration_ms = 12000, .slow_factor = 4
+#define RESTARTS .rolling_restarts = 2, .restart_start_ms = { 9000, 25000 }, .restart_gap_ms = 700
 
-static const struct day days[] = {
+static const struct scenario scenarios[] = {
   { "calm", { USUAL } },
   { "double burst", { USUAL, BURST } },
   { "half slow", { USUAL, SLOW, .slow_groups = 1 } },
-  { "half slow, burst, rolls", { USUAL, SLOW, BURST, ROLLS, .slow_groups = 1 } },
-  { "all slow, burst, rolls", { USUAL, SLOW, BURST, ROLLS, .slow_groups = 2 } },
+  { "half slow, burst, rolls", { USUAL, SLOW, BURST, RESTARTS, .slow_groups = 1 } },
+  { "all slow, burst, rolls", { USUAL, SLOW, BURST, RESTARTS, .slow_groups = 2 } },
 };
 
 struct policy
 {
   const char *name;
-  struct router_world_setup way;
+  struct router_sim_setup base;
 };
 
-#define SOONER .returning = RETURN_SPREAD, .return_least_ms = 300, .return_spread_ms = 700
-#define LATER .returning = RETURN_SPREAD, .return_least_ms = 1000, .return_spread_ms = 1600
-#define BY_RATE .returning = RETURN_BY_RATE, .return_least_ms = 300
+#define RETRY_SOON .retry_policy = RETRY_RANDOM, .retry_min_ms = 300, .retry_spread_ms = 700
+#define RETRY_LATE .retry_policy = RETRY_RANDOM, .retry_min_ms = 1000, .retry_spread_ms = 1600
+#define RETRY_PACED .retry_policy = RETRY_BY_RATE, .retry_min_ms = 300
 
-#define EVERY(wait) .wait_ms = (wait), .returned_wait_ms = (wait)
+#define WAIT_ALL(wait) .wait_ms = (wait), .retry_queue_ms = (wait)
 
 static const struct policy policies[] = {
-  { "as it runs", { .cap = CAP, EVERY (WAIT_MS) } },
-  { "by class and deadline", { .cap = CAP, EVERY (WAIT_MS), .by_deadline = true } },
+  { "as it runs", { .cap = CAP, WAIT_ALL (WAIT_MS) } },
+  { "by class and deadline", { .cap = CAP, WAIT_ALL (WAIT_MS), .by_deadline = true } },
   { "refuse at once", { .cap = CAP } },
-  { "wait 240 ms", { .cap = CAP, EVERY (240) } },
-  { "wait 240 ms, by class and deadline", { .cap = CAP, EVERY (240), .by_deadline = true } },
-  { "wait 1 s, by class and deadline", { .cap = CAP, EVERY (1000), .by_deadline = true } },
-  { "back after 0.3 to 1 s", { .cap = CAP, EVERY (WAIT_MS), SOONER } },
-  { "back after 1 to 2.6 s", { .cap = CAP, EVERY (WAIT_MS), LATER } },
-  { "back after 1 to 2.6 s, refuse at once", { .cap = CAP, LATER } },
-  { "back by rate of completions", { .cap = CAP, EVERY (WAIT_MS), BY_RATE } },
-  { "1 to 2.6 s, 2 places kept for returned", { .cap = CAP, .kept = 2, LATER } },
-  { "1 to 2.6 s, returned wait 1.5 s", { .cap = CAP, .returned_wait_ms = 1500, LATER } },
-  { "1 to 2.6 s, new ones first by 2", { .cap = CAP, .kept = -2, LATER } },
+  { "wait 240 ms", { .cap = CAP, WAIT_ALL (240) } },
+  { "wait 240 ms, by class and deadline", { .cap = CAP, WAIT_ALL (240), .by_deadline = true } },
+  { "wait 1 s, by class and deadline", { .cap = CAP, WAIT_ALL (1000), .by_deadline = true } },
+  { "back after 0.3 to 1 s", { .cap = CAP, WAIT_ALL (WAIT_MS), RETRY_SOON } },
+  { "back after 1 to 2.6 s", { .cap = CAP, WAIT_ALL (WAIT_MS), RETRY_LATE } },
+  { "back after 1 to 2.6 s, refuse at once", { .cap = CAP, RETRY_LATE } },
+  { "back by rate of completions", { .cap = CAP, WAIT_ALL (WAIT_MS), RETRY_PACED } },
+  { "1 to 2.6 s, 2 places kept for returned", { .cap = CAP, .retry_cap_extra = 2, RETRY_LATE } },
+  { "1 to 2.6 s, returned wait 1.5 s", { .cap = CAP, .retry_queue_ms = 1500, RETRY_LATE } },
+  { "1 to 2.6 s, new ones first by 2", { .cap = CAP, .retry_cap_extra = -2, RETRY_LATE } },
   { "the same, returned wait 1.5 s",
-    { .cap = CAP, .kept = -2, .returned_wait_ms = 1500, .by_deadline = true, LATER } },
-  { "cap does not fall", { .cap = CAP, EVERY (WAIT_MS), .fixed_cap = true } },
-  { "loads told each 30 ms", { .cap = CAP, EVERY (WAIT_MS), .tell_ms = 30 } },
-  { "cap 7", { .cap = 7, EVERY (WAIT_MS) } },
-  { "cap 12", { .cap = 12, EVERY (WAIT_MS) } },
+    { .cap = CAP,
+      .retry_cap_extra = -2,
+      .retry_queue_ms = 1500,
+      .by_deadline = true,
+      RETRY_LATE } },
+  { "cap does not fall", { .cap = CAP, WAIT_ALL (WAIT_MS), .fixed_cap = true } },
+  { "loads told each 30 ms", { .cap = CAP, WAIT_ALL (WAIT_MS), .report_period_ms = 30 } },
+  { "cap 7", { .cap = 7, WAIT_ALL (WAIT_MS) } },
+  { "cap 12", { .cap = 12, WAIT_ALL (WAIT_MS) } },
 };
 
-/* A day, played in that way. */
-static struct router_world_setup
-setup_of (const struct day *day, const struct policy *policy, uint64_t seed)
+/* A scenario, played in that base. */
+static struct router_sim_setup
+setup_of (const struct scenario *scenario, const struct policy *policy, uint64_t seed)
 {
-  struct router_world_setup setup = policy->way;
-  const struct router_world_setup *what = &day->setup;
+  struct router_sim_setup setup = policy->base;
+  const struct router_sim_setup *what = &scenario->setup;
 
   setup.seed = seed;
-  setup.tell_ms = setup.tell_ms ? setup.tell_ms : TELL_MS;
-  setup.length_ms = what->length_ms;
-  setup.calls_s = what->calls_s;
-  setup.slow_at_ms = what->slow_at_ms;
-  setup.slow_for_ms = what->slow_for_ms;
-  setup.slow_times = what->slow_times;
+  setup.report_period_ms = setup.report_period_ms ? setup.report_period_ms : REPORT_PERIOD_MS;
+  setup.duration_ms = what->duration_ms;
+  setup.calls_per_s = what->calls_per_s;
+  setup.slow_start_ms = what->slow_start_ms;
+  setup.slow_duration_ms = what->slow_duration_ms;
+  setup.slow_factor = what->slow_factor;
   setup.slow_groups = what->slow_groups;
-  setup.burst_at_ms = what->burst_at_ms;
-  setup.burst_for_ms = what->burst_for_ms;
-  setup.burst_times = what->burst_times;
-  setup.rolls = what->rolls;
-  for (uint32_t i = 0; i < setup.rolls; i++)
-    setup.roll_at_ms[i] = what->roll_at_ms[i];
-  setup.roll_gap_ms = what->roll_gap_ms;
+  setup.burst_start_ms = what->burst_start_ms;
+  setup.burst_duration_ms = what->burst_duration_ms;
+  setup.burst_factor = what->burst_factor;
+  setup.rolling_restarts = what->rolling_restarts;
+  for (uint32_t i = 0; i < setup.rolling_restarts; i++)
+    setup.restart_start_ms[i] = what->restart_start_ms[i];
+  setup.restart_gap_ms = what->restart_gap_ms;
   return setup;
 }
 
 static void
-add (struct router_world_class *sum, const struct router_world_class *class)
+add (struct router_sim_class *sum, const struct router_sim_class *class)
 {
-  struct router_world_result both = { .classes = { *sum, *class } };
+  struct router_sim_result both = { .classes = { *sum, *class } };
 
-  *sum = router_world_all (&both);
+  *sum = router_sim_total (&both);
 }
 
 static void
-measure (const struct day *day, const struct policy *policy)
+measure (const struct scenario *scenario, const struct policy *policy)
 {
-  struct router_world_class all = { 0 };
-  struct router_world_class urgent = { 0 };
+  struct router_sim_class all = { 0 };
+  struct router_sim_class urgent = { 0 };
   double worst = 1;
 
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      struct router_world_setup setup = setup_of (day, policy, seed);
-      struct router_world_result result;
-      struct router_world_class class;
+      struct router_sim_setup setup = setup_of (scenario, policy, seed);
+      struct router_sim_result result;
+      struct router_sim_class class;
 
-      router_world_play (&setup, &result);
-      class = router_world_all (&result);
-      worst = router_world_worth (&class) < worst ? router_world_worth (&class) : worst;
+      router_sim_run (&setup, &result);
+      class = router_sim_total (&result);
+      worst = router_sim_score (&class) < worst ? router_sim_score (&class) : worst;
       add (&all, &class);
       add (&urgent, &result.classes[0]);
     }
   printf (
       "| %s | %s | %.3f | %.3f | %.3f | %.1f | %.1f | %.1f | %.2f | %.1f | %.1f | %.2f | %.1f |\n",
-      day->name, policy->name, router_world_worth (&all), worst, router_world_worth (&urgent),
-      100.0 * all.in_aim / all.asked, 100.0 * all.late / all.asked,
-      100.0 * all.refused_once / all.asked, 100.0 * all.refused_twice / all.asked,
-      100.0 * all.held / all.asked, 100.0 * all.cut / all.asked, 100.0 * all.overtaken / all.asked,
-      100.0 * all.big_served / (all.big ? all.big : 1));
+      scenario->name, policy->name, router_sim_score (&all), worst, router_sim_score (&urgent),
+      100.0 * all.on_target / all.offered, 100.0 * all.late / all.offered,
+      100.0 * all.refused_once / all.offered, 100.0 * all.refused_twice / all.offered,
+      100.0 * all.unserved_waits / all.offered, 100.0 * all.interrupted / all.offered,
+      100.0 * all.overtaken / all.offered, 100.0 * all.large_served / (all.large ? all.large : 1));
   fflush (stdout);
 }
 
@@ -147,12 +151,12 @@
         struct ash_engine_facts engine;
         uint32_t streams;
 
-        router_world_engine (&engine, sequence_ms[s], copy_ms[c]);
-        streams = ash_pass_model_streams (&engine, ROUTER_WORLD_PAUSE_MS, engine.slots);
+        router_sim_engine (&engine, sequence_ms[s], copy_ms[c]);
+        streams = ash_pass_model_streams (&engine, ROUTER_SIM_PAUSE_MAX_MS, engine.slots);
         printf ("| %.2f | %.0f | %u | %.3f |", sequence_ms[s], copy_ms[c], streams,
-                router_world_shifted_worth (&engine, streams));
+                router_sim_shift_score (&engine, streams));
         for (size_t f = 0; f < sizeof fixed / sizeof fixed[0]; f++)
-          printf (" %.3f |", router_world_shifted_worth (&engine, fixed[f]));
+          printf (" %.3f |", router_sim_shift_score (&engine, fixed[f]));
         printf ("\n");
       }
 }
@@ -166,7 +170,7 @@
           "not served | cut | overtaken | big served |\n"
           "|---|---|---|---|---|---|---|---|---|---|---|---|---|\n",
           SEEDS);
-  for (size_t d = 0; d < sizeof days / sizeof days[0]; d++)
+  for (size_t d = 0; d < sizeof scenarios / sizeof scenarios[0]; d++)
     for (size_t p = 0; p < sizeof policies / sizeof policies[0]; p++)
-      measure (&days[d], &policies[p]);
+      measure (&scenarios[d], &policies[p]);
 }
--- a/bench/router_policy.h
+++ b/bench/router_policy.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * The router's policy under overload, as a table: what is worth counted from each
- * caller's first try, and apart from it who is refused twice, held in vain or overtaken.
+ * caller's first try, and apart from it who is refused twice, unserved_waits in vain or overtaken.
  */
 #ifndef ASH_BENCH_ROUTER_POLICY_H
 #define ASH_BENCH_ROUTER_POLICY_H
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -151,7 +151,7 @@
 }
 
 static void
-answer (struct session *session, uint64_t number)
+disconnect_caller (struct session *session, uint64_t number)
 {
   struct Ash__CallerGone gone = ASH__CALLER_GONE__INIT;
 
@@ -167,8 +167,8 @@
   size_t before = used_bytes ();
   size_t entry_bytes;
   int64_t start_us;
-  double free_us;
-  double homed_us;
+  double unkeyed_us;
+  double keyed_us;
   const uint32_t rounds = 2000;
   char key[32];
 
@@ -178,19 +178,19 @@
   for (uint32_t i = 0; i < rounds; i++)
     {
       call (&session, i + 1, NULL);
-      answer (&session, i + 1);
+      disconnect_caller (&session, i + 1);
     }
-  free_us = (double) (ash_clock_now_us () - start_us) / rounds;
+  unkeyed_us = (double) (ash_clock_now_us () - start_us) / rounds;
   start_us = ash_clock_now_us ();
   for (uint32_t i = 0; i < rounds; i++)
     {
       snprintf (key, sizeof key, "k%u", i);
       call (&session, rounds + i + 1, key);
-      answer (&session, rounds + i + 1);
+      disconnect_caller (&session, rounds + i + 1);
     }
-  homed_us = (double) (ash_clock_now_us () - start_us) / rounds;
-  printf ("| %u | %.0f | %.2f | %.2f |\n", endpoints, (double) entry_bytes / endpoints, free_us,
-          homed_us);
+  keyed_us = (double) (ash_clock_now_us () - start_us) / rounds;
+  printf ("| %u | %.0f | %.2f | %.2f |\n", endpoints, (double) entry_bytes / endpoints, unkeyed_us,
+          keyed_us);
   session_finish (&session);
 }
 
--- a/bench/spread.c
+++ b/bench/spread.c
@@ -25,7 +25,7 @@
 #define CHANGES 40
 #define IDLE_MS 10000
 #define PAUSE_MS 4000
-#define PATIENCE_MS 30000
+#define PROPAGATION_TIMEOUT_MS 30000
 #define DOCUMENT_BYTES 16384
 
 struct box
@@ -37,7 +37,7 @@
   pid_t pid;
 };
 
-struct spread
+struct testbed
 {
   char folder[64];
   uint16_t platform_port;
@@ -49,7 +49,7 @@
 /* ---- the fleet ---- */
 
 static void
-write_document (const struct spread *spread, char *text)
+write_document (const struct testbed *testbed, char *text)
 {
   uint8_t hash[ASH_KEY_HASH_BYTES];
   char *p = text;
@@ -65,14 +65,14 @@
       ash_key_hash (key, (size_t) sprintf (key, "key-%d", a), hash);
       p += sprintf (p,
                     "[[account]]\nname = \"account-%d\"\nclass = \"c\"\nburst = %u\nkey_hash = \"",
-                    a, a == 3 ? 100 + spread->revision : 100);
+                    a, a == 3 ? 100 + testbed->revision : 100);
       for (size_t i = 0; i < sizeof hash; i++)
         p += sprintf (p, "%02x", hash[i]);
       p += sprintf (p, "\"\n");
     }
   for (int i = 0; i < BOXES; i++)
     {
-      const struct box *box = &spread->boxes[i];
+      const struct box *box = &testbed->boxes[i];
 
       p += sprintf (p, "[[%s]]\nbox = \"%s\"\nhall = \"hall-%d\"\npeer = \"127.0.0.1:%u\"\n",
                     i < ENTRIES ? "entry" : "endpoint", box->name, box->hall, box->peer_port);
@@ -84,13 +84,13 @@
 }
 
 static void
-start_box (struct spread *spread, int i)
+start_box (struct testbed *testbed, int i)
 {
-  struct box *box = &spread->boxes[i];
+  struct box *box = &testbed->boxes[i];
   char path[128];
   FILE *file;
 
-  snprintf (path, sizeof path, "%s/%s.toml", spread->folder, box->name);
+  snprintf (path, sizeof path, "%s/%s.toml", testbed->folder, box->name);
   file = fopen (path, "w");
   if (!file)
     return;
@@ -100,70 +100,70 @@
            box->name, i < ENTRIES ? "entry" : "endpoint", box->hall, 7, box->peer_port);
   if (i < ENTRIES)
     fprintf (file, "http_listen = \"127.0.0.1:%u\"\nplatform_url = \"http://127.0.0.1:%u\"\n",
-             box->http_port, spread->platform_port);
+             box->http_port, testbed->platform_port);
   else
     fprintf (file, "engine_url = \"http://127.0.0.1:9\"\n");
   fclose (file);
-  box->pid = fleet_spawn (spread->folder, box->name, "ashspindled", path, (char *) NULL);
+  box->pid = fleet_spawn (testbed->folder, box->name, "ashspindled", path, (char *) NULL);
 }
 
 static void
-publish (struct spread *spread)
+publish (struct testbed *testbed)
 {
   char text[DOCUMENT_BYTES];
   char url[128];
   struct ash_cli_request request = { .url = url, .method = "PUT", .body = text };
   struct ash_cli_answer answer = { 0 };
 
-  spread->revision++;
-  write_document (spread, text);
+  testbed->revision++;
+  write_document (testbed, text);
   snprintf (url, sizeof url, "http://127.0.0.1:%u/control/config?revision=%u",
-            spread->platform_port, spread->revision);
+            testbed->platform_port, testbed->revision);
   ash_cli_fetch (&request, &answer);
   ash_cli_answer_finish (&answer);
 }
 
 static void
-start_fleet (struct spread *spread)
+start_fleet (struct testbed *testbed)
 {
   uint16_t ports[2 * BOXES + 2];
   char port[8];
 
-  strcpy (spread->folder, "/tmp/ash-spread-XXXXXX");
-  if (!mkdtemp (spread->folder))
+  strcpy (testbed->folder, "/tmp/ash-spread-XXXXXX");
+  if (!mkdtemp (testbed->folder))
     exit (EXIT_FAILURE);
   fleet_free_ports (ports, 28);
   fleet_free_ports (ports + 28, 28);
-  spread->platform_port = ports[2 * BOXES];
+  testbed->platform_port = ports[2 * BOXES];
   for (int i = 0; i < BOXES; i++)
     {
-      struct box *box = &spread->boxes[i];
+      struct box *box = &testbed->boxes[i];
 
       snprintf (box->name, sizeof box->name, "%s-%d", i < ENTRIES ? "entry" : "box", i);
       box->hall = i % HALLS;
       box->peer_port = ports[2 * i];
       box->http_port = ports[2 * i + 1];
     }
-  snprintf (port, sizeof port, "%u", spread->platform_port);
-  spread->platform =
-      fleet_spawn (spread->folder, "platform", "standin", "platform", port, (char *) NULL);
+  snprintf (port, sizeof port, "%u", testbed->platform_port);
+  testbed->platform =
+      fleet_spawn (testbed->folder, "platform", "standin", "platform", port, (char *) NULL);
   fleet_sleep (300);
-  publish (spread);
+  publish (testbed);
   for (int i = 0; i < BOXES; i++)
-    start_box (spread, i);
+    start_box (testbed, i);
 }
 
 static void
-stop_fleet (struct spread *spread)
+stop_fleet (struct testbed *testbed)
 {
   char command[128];
 
   for (int i = 0; i < BOXES; i++)
-    fleet_end (&spread->boxes[i].pid, SIGKILL);
-  fleet_end (&spread->platform, SIGKILL);
-  snprintf (command, sizeof command, "rm -rf %s", spread->folder);
+    fleet_end (&testbed->boxes[i].pid, SIGKILL);
+  fleet_end (&testbed->platform, SIGKILL);
+  snprintf (command, sizeof command, "rm -rf %s", testbed->folder);
   if (system (command) != 0)
-    fprintf (stderr, "can't remove %s\n", spread->folder);
+    fprintf (stderr, "can't remove %s\n", testbed->folder);
 }
 
 /* ---- what the logs say ---- */
@@ -179,7 +179,7 @@
 
 /* @return when the box's log says that it accepted the revision; 0 if it does not. */
 static int64_t
-accepted_ms (const struct spread *spread, int i)
+accepted_ms (const struct testbed *testbed, int i)
 {
   char path[128];
   char wanted[32];
@@ -187,8 +187,8 @@
   int64_t at_ms = 0;
   FILE *file;
 
-  snprintf (path, sizeof path, "%s/%s.log", spread->folder, spread->boxes[i].name);
-  snprintf (wanted, sizeof wanted, " revision=%u ", spread->revision);
+  snprintf (path, sizeof path, "%s/%s.log", testbed->folder, testbed->boxes[i].name);
+  snprintf (wanted, sizeof wanted, " revision=%u ", testbed->revision);
   file = fopen (path, "r");
   while (file && fgets (line, sizeof line, file))
     {
@@ -211,16 +211,16 @@
 /* Waits until all boxes have the revision. @return milliseconds from @p since_ms to
  * the last of them, -1 if some box never has it. */
 static int64_t
-everywhere_ms (const struct spread *spread, int64_t since_ms, double *took_ms)
+propagation_ms (const struct testbed *testbed, int64_t since_ms, double *took_ms)
 {
-  int64_t until_ms = fleet_now () + PATIENCE_MS;
+  int64_t until_ms = fleet_now () + PROPAGATION_TIMEOUT_MS;
   int64_t last_ms = 0;
 
   for (int i = 0; i < BOXES; i++)
     {
       int64_t at_ms;
 
-      while (!(at_ms = accepted_ms (spread, i)))
+      while (!(at_ms = accepted_ms (testbed, i)))
         {
           if (fleet_now () > until_ms)
             return -1;
@@ -251,9 +251,9 @@
 }
 
 static int64_t
-platform_calls (const struct spread *spread)
+platform_calls (const struct testbed *testbed)
 {
-  json_t *root = get_json (spread->platform_port, "/control/calls");
+  json_t *root = get_json (testbed->platform_port, "/control/calls");
   int64_t calls = json_integer_value (json_object_get (root, "config")) +
                   json_integer_value (json_object_get (root, "list"));
 
@@ -262,7 +262,7 @@
 }
 
 static int64_t
-entry_bytes (const struct spread *spread, int e)
+entry_bytes (const struct testbed *testbed, int e)
 {
   char url[128];
   struct ash_cli_request request = { .url = url, .method = "GET" };
@@ -270,7 +270,7 @@
   const char *at;
   int64_t bytes = 0;
 
-  snprintf (url, sizeof url, "http://127.0.0.1:%u/metrics", spread->boxes[e].http_port);
+  snprintf (url, sizeof url, "http://127.0.0.1:%u/metrics", testbed->boxes[e].http_port);
   ash_cli_fetch (&request, &answer);
   at = answer.body ? strstr (answer.body, "\nash_peer_bytes_out{} ") : NULL;
   if (at)
@@ -280,129 +280,130 @@
 }
 
 static void
-measure_changes (struct spread *spread)
+measure_changes (struct testbed *testbed)
 {
   static double took_ms[CHANGES * BOXES];
-  static double whole_ms[CHANGES];
-  int64_t calls = platform_calls (spread);
-  int64_t bytes = entry_bytes (spread, 0);
+  static double all_boxes_ms[CHANGES];
+  int64_t calls = platform_calls (testbed);
+  int64_t bytes = entry_bytes (testbed, 0);
   int64_t start_ms = fleet_now ();
 
   for (int c = 0; c < CHANGES; c++)
     {
       int64_t since_ms = wall_now_ms ();
 
-      publish (spread);
-      whole_ms[c] = (double) everywhere_ms (spread, since_ms, &took_ms[c * BOXES]);
+      publish (testbed);
+      all_boxes_ms[c] = (double) propagation_ms (testbed, since_ms, &took_ms[c * BOXES]);
       fleet_sleep (200 + 37 * (c % 10));
     }
   printf ("%d changes of a row, in force at a box after: median %.0f ms, 95 in 100 %.0f ms, worst "
           "%.0f ms; at all 27: median %.0f ms, worst %.0f ms\n",
           CHANGES, stats_percentile (took_ms, CHANGES * BOXES, 0.5),
           stats_percentile (took_ms, CHANGES * BOXES, 0.95),
-          stats_percentile (took_ms, CHANGES * BOXES, 1), stats_percentile (whole_ms, CHANGES, 0.5),
-          stats_percentile (whole_ms, CHANGES, 1));
+          stats_percentile (took_ms, CHANGES * BOXES, 1),
+          stats_percentile (all_boxes_ms, CHANGES, 0.5),
+          stats_percentile (all_boxes_ms, CHANGES, 1));
   printf ("meanwhile the platform was asked %.1f times a second; an entry sent %.0f bytes/s\n",
-          (double) (platform_calls (spread) - calls) * 1000 / (double) (fleet_now () - start_ms),
-          (double) (entry_bytes (spread, 0) - bytes) * 1000 / (double) (fleet_now () - start_ms));
+          (double) (platform_calls (testbed) - calls) * 1000 / (double) (fleet_now () - start_ms),
+          (double) (entry_bytes (testbed, 0) - bytes) * 1000 / (double) (fleet_now () - start_ms));
 }
 
 static void
-measure_idle (struct spread *spread)
+measure_idle (struct testbed *testbed)
 {
-  int64_t calls = platform_calls (spread);
+  int64_t calls = platform_calls (testbed);
   int64_t bytes[ENTRIES];
   int64_t sum = 0;
 
   for (int e = 0; e < ENTRIES; e++)
-    bytes[e] = entry_bytes (spread, e);
+    bytes[e] = entry_bytes (testbed, e);
   fleet_sleep (IDLE_MS);
   for (int e = 0; e < ENTRIES; e++)
-    sum += entry_bytes (spread, e) - bytes[e];
+    sum += entry_bytes (testbed, e) - bytes[e];
   printf ("at rest the platform is asked %.1f times a second; an entry sends %.0f bytes/s\n",
-          (double) (platform_calls (spread) - calls) * 1000 / IDLE_MS,
+          (double) (platform_calls (testbed) - calls) * 1000 / IDLE_MS,
           (double) sum * 1000 / IDLE_MS / ENTRIES);
 }
 
 /* A change while one hall's boxes are paused: they are cut off, and then awake. */
 static void
-measure_paused_hall (struct spread *spread)
+measure_paused_hall (struct testbed *testbed)
 {
   double took_ms[BOXES];
   int64_t since_ms;
 
   for (int i = 0; i < BOXES; i++)
-    if (spread->boxes[i].hall == 1)
-      kill (spread->boxes[i].pid, SIGSTOP);
+    if (testbed->boxes[i].hall == 1)
+      kill (testbed->boxes[i].pid, SIGSTOP);
   fleet_sleep (500);
-  publish (spread);
+  publish (testbed);
   fleet_sleep (PAUSE_MS);
   since_ms = wall_now_ms ();
   for (int i = 0; i < BOXES; i++)
-    if (spread->boxes[i].hall == 1)
-      kill (spread->boxes[i].pid, SIGCONT);
+    if (testbed->boxes[i].hall == 1)
+      kill (testbed->boxes[i].pid, SIGCONT);
   printf ("a change while a hall of 9 boxes was paused for %d ms: everywhere %lld ms after it "
           "went on\n",
-          PAUSE_MS, (long long) everywhere_ms (spread, since_ms, took_ms));
+          PAUSE_MS, (long long) propagation_ms (testbed, since_ms, took_ms));
 }
 
 static void
-measure_platform_down (struct spread *spread)
+measure_platform_down (struct testbed *testbed)
 {
   double took_ms[BOXES];
   int64_t since_ms;
 
-  fleet_control (spread->platform_port, "/control/mode?config=1&list=1");
+  fleet_control (testbed->platform_port, "/control/mode?config=1&list=1");
   fleet_sleep (11000);
-  publish (spread);
+  publish (testbed);
   since_ms = wall_now_ms ();
-  fleet_control (spread->platform_port, "/control/mode?config=0&list=0");
+  fleet_control (testbed->platform_port, "/control/mode?config=0&list=0");
   printf ("a change while the platform was down for 11 s: everywhere %lld ms after it was back\n",
-          (long long) everywhere_ms (spread, since_ms, took_ms));
+          (long long) propagation_ms (testbed, since_ms, took_ms));
 }
 
 /* All boxes replaced but one, with the platform down: that one has what they need. */
 static void
-measure_replaced (struct spread *spread)
+measure_replaced (struct testbed *testbed)
 {
   double took_ms[BOXES];
   int64_t since_ms;
 
-  fleet_control (spread->platform_port, "/control/mode?config=1&list=1");
+  fleet_control (testbed->platform_port, "/control/mode?config=1&list=1");
   for (int i = 1; i < BOXES; i++)
     {
       char path[128];
 
-      fleet_end (&spread->boxes[i].pid, SIGKILL);
-      snprintf (path, sizeof path, "%s/%s.log", spread->folder, spread->boxes[i].name);
+      fleet_end (&testbed->boxes[i].pid, SIGKILL);
+      snprintf (path, sizeof path, "%s/%s.log", testbed->folder, testbed->boxes[i].name);
       remove (path);
     }
   since_ms = wall_now_ms ();
   for (int i = 1; i < BOXES; i++)
-    start_box (spread, i);
+    start_box (testbed, i);
   printf ("26 of 27 boxes replaced at once with the platform down: everywhere %lld ms after\n",
-          (long long) everywhere_ms (spread, since_ms, took_ms));
-  fleet_control (spread->platform_port, "/control/mode?config=0&list=0");
+          (long long) propagation_ms (testbed, since_ms, took_ms));
+  fleet_control (testbed->platform_port, "/control/mode?config=0&list=0");
 }
 
 int
 main (void)
 {
-  static struct spread spread;
+  static struct testbed testbed;
   double took_ms[BOXES];
   int64_t since_ms = wall_now_ms ();
 
   curl_global_init (CURL_GLOBAL_DEFAULT);
-  start_fleet (&spread);
+  start_fleet (&testbed);
   printf ("start of 27 boxes: all have the configuration after %lld ms\n",
-          (long long) everywhere_ms (&spread, since_ms, took_ms));
+          (long long) propagation_ms (&testbed, since_ms, took_ms));
   fleet_sleep (3000);
-  measure_idle (&spread);
-  measure_changes (&spread);
-  measure_paused_hall (&spread);
+  measure_idle (&testbed);
+  measure_changes (&testbed);
+  measure_paused_hall (&testbed);
   fleet_sleep (3000);
-  measure_platform_down (&spread);
-  measure_replaced (&spread);
-  stop_fleet (&spread);
+  measure_platform_down (&testbed);
+  measure_replaced (&testbed);
+  stop_fleet (&testbed);
   return EXIT_SUCCESS;
 }
--- a/bench/stats.c
+++ b/bench/stats.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 
 static int
-by_size (const void *a, const void *b)
+compare_values (const void *a, const void *b)
 {
   double left = *(const double *) a;
   double right = *(const double *) b;
@@ -16,7 +16,7 @@
 {
   if (!count)
     return 0;
-  qsort (values, count, sizeof *values, by_size);
+  qsort (values, count, sizeof *values, compare_values);
   return values[(uint32_t) ((count - 1) * share)];
 }
 
--- a/test/unit_experts.c
+++ b/test/unit_experts.c
@@ -3,7 +3,7 @@
  * Unit tests of what the router that leads knows and decides of groups of ranks: how long passes
  * take, whether a change of the expert map pays, and the maps.
  */
-#include "bench/router_world.h"
+#include "bench/router_sim.h"
 #include "common/random.h"
 #include "controllers/change_plan.h"
 #include "controllers/layer_policy.h"
@@ -283,7 +283,7 @@
 {
   struct ash_engine_facts engine;
 
-  router_world_engine (&engine, sequence_ms, expert_mb * 8 / 60);
+  router_sim_engine (&engine, sequence_ms, expert_mb * 8 / 60);
   return engine;
 }
 
--- a/test/unit_router_world.c
+++ b/test/unit_router_world.c
@@ -3,53 +3,53 @@
  * Unit tests of the model that the router's policy is weighed in: where it could
  * favour one policy by being wrong itself.
  */
-#include "bench/router_world.h"
+#include "bench/router_sim.h"
 #include "controllers/pass_model.h"
 #include "test/unit.h"
 
-static const struct router_world_setup usual = {
+static const struct router_sim_setup usual = {
   .seed = 3,
-  .length_ms = 10000,
-  .calls_s = 63,
+  .duration_ms = 10000,
+  .calls_per_s = 63,
   .cap = 9,
-  .tell_ms = 100,
+  .report_period_ms = 100,
   .wait_ms = 80,
-  .returned_wait_ms = 80,
+  .retry_queue_ms = 80,
 };
 
 static double
-pass_ms (uint32_t writers, uint32_t read_tokens, double slow_times)
+pass_ms (uint32_t writers, uint32_t read_tokens, double slow_factor)
 {
-  return router_world_pass_ms (NULL, ROUTER_WORLD_SKEW, writers, read_tokens, slow_times);
+  return router_sim_pass_ms (NULL, ROUTER_SIM_SKEW, writers, read_tokens, slow_factor);
 }
 
-static struct router_world_class
-play (const struct router_world_setup *setup)
+static struct router_sim_class
+play (const struct router_sim_setup *setup)
 {
-  struct router_world_result result;
+  struct router_sim_result result;
 
-  router_world_play (setup, &result);
-  return router_world_all (&result);
+  router_sim_run (setup, &result);
+  return router_sim_total (&result);
 }
 
 static bool
-is_same (const struct router_world_class *a, const struct router_world_class *b)
+is_same (const struct router_sim_class *a, const struct router_sim_class *b)
 {
-  return a->asked == b->asked && a->in_aim == b->in_aim && a->late == b->late &&
+  return a->offered == b->offered && a->on_target == b->on_target && a->late == b->late &&
          a->refused_once == b->refused_once && a->refused_twice == b->refused_twice &&
-         a->held == b->held && a->cut == b->cut && a->overtaken == b->overtaken &&
-         a->big_served == b->big_served;
+         a->unserved_waits == b->unserved_waits && a->interrupted == b->interrupted &&
+         a->overtaken == b->overtaken && a->large_served == b->large_served;
 }
 
 static void
 test_repeatable (void)
 {
-  struct router_world_setup setup = usual;
-  struct router_world_class first;
-  struct router_world_class again;
-  struct router_world_class other;
+  struct router_sim_setup setup = usual;
+  struct router_sim_class first;
+  struct router_sim_class again;
+  struct router_sim_class other;
 
-  setup.calls_s = 150;
+  setup.calls_per_s = 150;
   first = play (&setup);
   again = play (&setup);
   CU_ASSERT (is_same (&first, &again));
@@ -58,48 +58,48 @@
   CU_ASSERT_FALSE (is_same (&first, &other));
 }
 
-/* Every call has one end, in time or late or refused twice or held or cut. */
+/* Every call has one end, in time or late or refused twice or unserved_waits or interrupted. */
 static void
 test_ends (void)
 {
-  struct router_world_setup setup = usual;
-  struct router_world_class all;
+  struct router_sim_setup setup = usual;
+  struct router_sim_class all;
 
-  setup.calls_s = 200;
+  setup.calls_per_s = 200;
   setup.wait_ms = 0;
-  setup.returned_wait_ms = 0;
-  setup.rolls = 1;
-  setup.roll_at_ms[0] = 2000;
-  setup.roll_gap_ms = 500;
-  setup.slow_at_ms = 1000;
-  setup.slow_for_ms = 5000;
-  setup.slow_times = 4;
+  setup.retry_queue_ms = 0;
+  setup.rolling_restarts = 1;
+  setup.restart_start_ms[0] = 2000;
+  setup.restart_gap_ms = 500;
+  setup.slow_start_ms = 1000;
+  setup.slow_duration_ms = 5000;
+  setup.slow_factor = 4;
   setup.slow_groups = 2;
   all = play (&setup);
-  CU_ASSERT (all.asked > 1800 && all.asked < 2200);
+  CU_ASSERT (all.offered > 1800 && all.offered < 2200);
   CU_ASSERT (all.refused_twice > 0);
   CU_ASSERT (all.refused_twice <= all.refused_once);
-  /* Refused at once, nobody is held. */
-  CU_ASSERT_EQUAL (all.held, 0);
-  CU_ASSERT (all.in_aim + all.late + all.refused_twice + all.cut <= all.asked);
+  /* Refused at once, nobody is unserved_waits. */
+  CU_ASSERT_EQUAL (all.unserved_waits, 0);
+  CU_ASSERT (all.on_target + all.late + all.refused_twice + all.interrupted <= all.offered);
   /* The others left before their first event. */
-  CU_ASSERT (all.in_aim + all.late + all.refused_twice + all.cut > 0.97 * all.asked);
+  CU_ASSERT (all.on_target + all.late + all.refused_twice + all.interrupted > 0.97 * all.offered);
 }
 
 /* With room for all, no policy shows: all in aim, nobody refused or overtaken. */
 static void
 test_calm (void)
 {
-  struct router_world_setup setup = usual;
-  struct router_world_class all;
+  struct router_sim_setup setup = usual;
+  struct router_sim_class all;
 
-  setup.calls_s = 30;
+  setup.calls_per_s = 30;
   all = play (&setup);
-  CU_ASSERT_EQUAL (all.in_aim, all.asked);
-  CU_ASSERT_EQUAL (all.refused_once + all.held + all.cut + all.overtaken, 0);
-  CU_ASSERT_EQUAL (all.big_served, all.big);
-  CU_ASSERT (all.big > 0);
-  CU_ASSERT_DOUBLE_EQUAL (router_world_worth (&all), 1, 1e-9);
+  CU_ASSERT_EQUAL (all.on_target, all.offered);
+  CU_ASSERT_EQUAL (all.refused_once + all.unserved_waits + all.interrupted + all.overtaken, 0);
+  CU_ASSERT_EQUAL (all.large_served, all.large);
+  CU_ASSERT (all.large > 0);
+  CU_ASSERT_DOUBLE_EQUAL (router_sim_score (&all), 1, 1e-9);
 }
 
 /* A pass of 6 steps of 4.84 ms, 0.362 ms a writer, prompts at 74.8 tokens a ms. */
@@ -118,33 +118,33 @@
 static void
 test_cap (void)
 {
-  struct router_world_setup setup = usual;
-  struct router_world_result result;
-
-  setup.calls_s = 30;
-  router_world_play (&setup, &result);
-  CU_ASSERT (result.most_at_endpoint <= setup.cap);
-  setup.calls_s = 300;
-  router_world_play (&setup, &result);
-  CU_ASSERT (result.most_at_endpoint >= setup.cap);
-  CU_ASSERT (result.most_at_endpoint < 3 * setup.cap);
+  struct router_sim_setup setup = usual;
+  struct router_sim_result result;
+
+  setup.calls_per_s = 30;
+  router_sim_run (&setup, &result);
+  CU_ASSERT (result.max_at_endpoint <= setup.cap);
+  setup.calls_per_s = 300;
+  router_sim_run (&setup, &result);
+  CU_ASSERT (result.max_at_endpoint >= setup.cap);
+  CU_ASSERT (result.max_at_endpoint < 3 * setup.cap);
 }
 
 /* Callers leave after two seconds without an event: a long wait makes no refusal good. */
 static void
 test_held (void)
 {
-  struct router_world_setup setup = usual;
-  struct router_world_class all;
+  struct router_sim_setup setup = usual;
+  struct router_sim_class all;
 
-  setup.calls_s = 250;
+  setup.calls_per_s = 250;
   setup.wait_ms = 7000;
-  setup.returned_wait_ms = 7000;
+  setup.retry_queue_ms = 7000;
   all = play (&setup);
   CU_ASSERT_EQUAL (all.refused_once, 0);
-  CU_ASSERT (all.held > all.asked / 10);
-  CU_ASSERT (all.held_s / all.held < 2.1);
-  CU_ASSERT (all.held_s / all.held > 1.5);
+  CU_ASSERT (all.unserved_waits > all.offered / 10);
+  CU_ASSERT (all.unserved_wait_s / all.unserved_waits < 2.1);
+  CU_ASSERT (all.unserved_wait_s / all.unserved_waits > 1.5);
 }
 
 /* Less urgent ones overtake where waiting is in the order of coming, hardly where it is by class.
@@ -152,20 +152,20 @@
 static void
 test_overtaken (void)
 {
-  struct router_world_setup setup = usual;
-  struct router_world_result arrival;
-  struct router_world_result ordered;
+  struct router_sim_setup setup = usual;
+  struct router_sim_result arrival;
+  struct router_sim_result ordered;
 
-  setup.calls_s = 130;
+  setup.calls_per_s = 130;
   setup.wait_ms = 500;
-  setup.returned_wait_ms = 500;
-  router_world_play (&setup, &arrival);
+  setup.retry_queue_ms = 500;
+  router_sim_run (&setup, &arrival);
   setup.by_deadline = true;
-  router_world_play (&setup, &ordered);
+  router_sim_run (&setup, &ordered);
   CU_ASSERT (arrival.classes[0].overtaken > 0);
   CU_ASSERT_EQUAL (arrival.classes[1].overtaken, 0);
-  CU_ASSERT (router_world_worth (&ordered.classes[0]) > router_world_worth (&arrival.classes[0]));
-  CU_ASSERT (router_world_worth (&ordered.classes[0]) > router_world_worth (&ordered.classes[1]));
+  CU_ASSERT (router_sim_score (&ordered.classes[0]) > router_sim_score (&arrival.classes[0]));
+  CU_ASSERT (router_sim_score (&ordered.classes[0]) > router_sim_score (&ordered.classes[1]));
 }
 
 /* Fixed numbers of streams were right for one engine only: 3 of them leave callers of an engine
@@ -185,11 +185,11 @@
         struct ash_engine_facts engine;
         double worked_out;
 
-        router_world_engine (&engine, sequence_ms[s], copy_ms[c]);
-        worked_out = router_world_shifted_worth (
-            &engine, ash_pass_model_streams (&engine, ROUTER_WORLD_PAUSE_MS, engine.slots));
+        router_sim_engine (&engine, sequence_ms[s], copy_ms[c]);
+        worked_out = router_sim_shift_score (
+            &engine, ash_pass_model_streams (&engine, ROUTER_SIM_PAUSE_MAX_MS, engine.slots));
         for (size_t f = 0; f < sizeof fixed / sizeof fixed[0]; f++)
-          CU_ASSERT (worked_out > router_world_shifted_worth (&engine, fixed[f]) - 0.075);
+          CU_ASSERT (worked_out > router_sim_shift_score (&engine, fixed[f]) - 0.075);
       }
 }
 
