--- a/bench/engine_model.c
+++ b/bench/engine_model.c
@@ -2,17 +2,17 @@
 
 #include <string.h>
 
-/* Puts a prefix first. @return whether it was cached. */
+/* Moves a prefix to the front of the LRU cache. @return whether it was cached. */
 static bool
 use_prefix (struct engine_model *engine, uint32_t prefix)
 {
-  uint32_t at = 0;
+  uint32_t position = 0;
   bool hit;
 
-  while (at < ENGINE_PREFIXES - 1 && engine->prefixes[at] != prefix)
-    at++;
-  hit = engine->prefixes[at] == prefix;
-  memmove (&engine->prefixes[1], &engine->prefixes[0], at * sizeof engine->prefixes[0]);
+  while (position < ENGINE_PREFIXES - 1 && engine->prefixes[position] != prefix)
+    position++;
+  hit = engine->prefixes[position] == prefix;
+  memmove (&engine->prefixes[1], &engine->prefixes[0], position * sizeof engine->prefixes[0]);
   engine->prefixes[0] = prefix;
   return hit;
 }
@@ -60,17 +60,17 @@
 engine_begin_step (struct engine_model *engine, int64_t now_us)
 {
   int64_t took_us = ENGINE_STEP_US + (int64_t) engine->active_runs * ENGINE_STEP_REQUEST_US;
-  uint32_t room = ENGINE_STEP_PROMPT_TOKENS;
+  uint32_t budget = ENGINE_STEP_PROMPT_TOKENS;
 
-  for (uint32_t i = 0; i < ENGINE_BATCH && room; i++)
+  for (uint32_t i = 0; i < ENGINE_BATCH && budget; i++)
     {
       struct engine_run *run = &engine->runs[i];
-      uint32_t read = run->prompt_left < room ? run->prompt_left : room;
+      uint32_t read = run->prompt_left < budget ? run->prompt_left : budget;
 
       if (!run->run)
         continue;
       run->prompt_left -= read;
-      room -= read;
+      budget -= read;
       took_us += (int64_t) read * ENGINE_PROMPT_TOKEN_US;
     }
   if (engine->stalled_until_us > now_us)
--- a/bench/engine_model.h
+++ b/bench/engine_model.h
@@ -1,10 +1,10 @@
 /**
  * @file
- * The one model of the policy bench: the queue of an engine that batches
- * continuously. A step takes longer the more requests are in the batch and the more
- * prompt it reads; each request in it gets a token a step. Prompts' prefixes are
- * cached, the least recently used goes. Not calibrated against any engine: figures
- * are for comparing policies.
+ * Model of an inference engine with continuous batching, for the policy bench. The
+ * duration of a step grows with the number of requests in the batch and with the
+ * number of prompt tokens that the step reads. Each request whose prompt has been read
+ * gets one token per step. Prompt prefixes are kept in an LRU cache. The model is not
+ * calibrated against any engine: use the figures only to compare policies.
  */
 #ifndef ASH_BENCH_ENGINE_MODEL_H
 #define ASH_BENCH_ENGINE_MODEL_H
@@ -19,32 +19,31 @@
 #define ENGINE_STEP_REQUEST_US 100
 #define ENGINE_PROMPT_TOKEN_US 20
 
-/** Prompt that a step reads at most. */
+/** Maximum number of prompt tokens that one step reads. */
 #define ENGINE_STEP_PROMPT_TOKENS 512
 
 /** A request in the batch. */
 struct engine_run
 {
-  uint64_t run; /**< 0: a free place */
+  uint64_t run; /**< 0: unused slot */
   uint32_t prompt_left;
   uint32_t tokens_left;
   uint32_t generated;
 };
 
-/** An engine. */
 struct engine_model
 {
   struct engine_run runs[ENGINE_BATCH];
   uint32_t active_runs;               /**< requests in the batch */
   uint32_t prefixes[ENGINE_PREFIXES]; /**< most recently used first; 0: none */
   int64_t stalled_until_us;
-  bool stepping;   /**< a step is under way */
-  uint64_t tokens; /**< generated in all */
+  bool stepping;   /**< a step is in progress */
+  uint64_t tokens; /**< generated since the start */
   uint64_t hits;
   uint64_t misses;
 };
 
-/** Takes a request, if there is a place. */
+/** Adds a request to the batch. @return false if the batch is full. */
 bool engine_start (struct engine_model *engine,
                    uint64_t run,
                    uint32_t prefix,
@@ -52,10 +51,11 @@
                    uint32_t prompt_tokens,
                    uint32_t tokens);
 
-/** Ends a request. @return tokens that were generated for it. */
+/** Removes a request. @return number of tokens generated for it; 0 if @p run is not in the batch.
+ */
 uint32_t engine_cancel (struct engine_model *engine, uint64_t run);
 
-/** @return how long the step takes that begins now; its prompt counts as read. */
+/** Starts a step and counts its prompt tokens as read. @return duration of the step in us. */
 int64_t engine_begin_step (struct engine_model *engine, int64_t now_us);
 
 #endif
--- a/bench/event_queue.h
+++ b/bench/event_queue.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What happens next in the policy bench: events by time, those of one time in the
- * sequence in which they were put.
+ * Event queue of the policy simulation: a priority queue ordered by time. Events with
+ * the same time are returned in the order in which they were pushed.
  */
 #ifndef ASH_BENCH_EVENT_QUEUE_H
 #define ASH_BENCH_EVENT_QUEUE_H
@@ -11,7 +11,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** What an sim_event is about. */
+/** Kind of a simulated event. */
 enum sim_event_kind
 {
   KIND_CALL,
@@ -24,18 +24,18 @@
   KIND_LINK_TIMEOUT,
 };
 
-/** Something that happens at a time. */
+/** An event that happens at a given simulated time. */
 struct sim_event
 {
   int64_t at_us;
-  uint64_t sequence;
+  uint64_t sequence; /**< set by event_queue_push(); breaks ties of at_us */
   enum sim_event_kind kind;
   uint32_t box;
-  uint32_t index;
-  struct Ash__Event *event;
+  uint32_t index;           /**< KIND_CALL: index of the call; KIND_FRAME: sending box */
+  struct Ash__Event *event; /**< KIND_FRAME: the message; otherwise NULL */
 };
 
-/** The queue, a heap. Zeroed is empty. */
+/** A binary min-heap. All zero: an empty queue. */
 struct event_queue
 {
   struct sim_event *events;
@@ -46,10 +46,10 @@
 
 void event_queue_push (struct event_queue *queue, struct sim_event sim_event);
 
-/** Takes the first out; there must be one. */
+/** Removes and returns the earliest event. The queue must not be empty. */
 struct sim_event event_queue_pop (struct event_queue *queue);
 
-/** Frees the queue, not what its events point to. */
+/** Frees the queue, but not the messages that its events point to. */
 void event_queue_finish (struct event_queue *queue);
 
 #endif
--- a/bench/experts.c
+++ b/bench/experts.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * The expert policy on seeded traces, against no change and a full repack at
- * each interval. Markdown on standard output.
+ * Compares the expert placement policy on seeded traces with two baselines: a fixed
+ * placement and a full repack in each interval. Prints Markdown tables to standard output.
  */
 #include "bench/stats.h"
 #include "common/clock.h"
@@ -18,10 +18,10 @@
 #define TOKENS_PER_INTERVAL 20000
 #define SWING_INTERVALS 4
 
-/* Before a declared start the profile counts for so many intervals. */
+/* The forecast of a declared event is active for this many intervals before the event starts. */
 #define FORECAST_LEAD_INTERVALS 30
 
-/* Intervals that count as an event's start. */
+/* Number of intervals that are reported as the start of an event. */
 #define EVENT_START_INTERVALS 20
 
 enum trace
@@ -52,8 +52,8 @@
 {
   FORECAST_NONE,
   FORECAST_RIGHT,
-  FORECAST_HALF_RIGHT, /* popularity of another day: half way to the real one */
-  FORECAST_WRONG,      /* of experts in another order */
+  FORECAST_HALF_RIGHT, /* half way between the popularity before the event and the real one */
+  FORECAST_WRONG,      /* the real popularity, assigned to the wrong experts */
 };
 
 struct method
@@ -62,7 +62,7 @@
   bool repack;
   bool none;
   struct ash_expert_weights weights;
-  enum forecast forecast; /* of a declared event, at the flip */
+  enum forecast forecast; /* of the event declared at the popularity flip */
 };
 
 static const struct method methods[] = {
@@ -72,7 +72,7 @@
   { .name = "Wadi", .weights = { .skew = 1, .cost = 0.15, .horizon = 10, .moves = 2 } },
 };
 
-/* What a declared event's profile is worth, at its start. */
+/* Methods that are compared on the start of a declared event, with forecasts of varying quality. */
 static const struct method forecasts[] = {
   { .name = "no change", .none = true },
   { .name = "radar, no forecast", .weights = { 1, 0.1, 10, 8 } },
@@ -91,7 +91,7 @@
   double second[ASH_EXPERTS_MAX];
 };
 
-/* Zipf's law over a random order of the experts. */
+/* Draws the popularity of the experts: a Zipf-like distribution over a random order. */
 static void
 make_shares (struct ash_random *random, uint32_t experts, double *shares)
 {
@@ -103,10 +103,10 @@
   for (uint32_t e = experts - 1; e > 0; e--)
     {
       uint32_t other = ash_random_below (random, e + 1);
-      uint32_t kept = order[e];
+      uint32_t swapped = order[e];
 
       order[e] = order[other];
-      order[other] = kept;
+      order[other] = swapped;
     }
   for (uint32_t e = 0; e < experts; e++)
     {
@@ -117,7 +117,7 @@
     shares[e] /= sum;
 }
 
-/* How far popularity is from the first to the second, at that interval. */
+/* @return weight (0 to 1) of the second popularity in the mix of the two at this interval. */
 static double
 progress (enum trace trace, uint32_t interval)
 {
@@ -138,17 +138,17 @@
 static void
 draw_tokens (struct ash_random *random,
              const struct popularity *popularity,
-             double part,
+             double second_weight,
              uint32_t experts,
              double *tokens)
 {
   for (uint32_t e = 0; e < experts; e++)
     {
-      double mean =
-          TOKENS_PER_INTERVAL * (popularity->first[e] * (1 - part) + popularity->second[e] * part);
+      double mean = TOKENS_PER_INTERVAL * (popularity->first[e] * (1 - second_weight) +
+                                           popularity->second[e] * second_weight);
       double noise = 0;
 
-      /* Twelve uniform numbers less six: nearly a standard normal one. */
+      /* The sum of 12 uniform numbers minus 6 approximates a standard normal variable. */
       for (int i = 0; i < 12; i++)
         noise += ash_random_below (random, 1000000) / 1e6;
       tokens[e] = mean + (noise - 6) * sqrt (mean);
@@ -162,16 +162,16 @@
 {
   uint32_t moves = 0;
 
-  /* Slots of a rank are alike: an expert that it held already is not moved. */
+  /* Slots of a rank are interchangeable: an expert that stays on its rank is not a move. */
   for (uint32_t r = 0; r < a->rank_count; r++)
     for (uint32_t i = 0; i < a->rank_slots; i++)
       {
         uint32_t first = r * a->rank_slots;
-        bool had = false;
+        bool was_there = false;
 
         for (uint32_t j = 0; j < a->rank_slots; j++)
-          had |= a->slots[first + j] == b->slots[first + i];
-        moves += !had;
+          was_there |= a->slots[first + j] == b->slots[first + i];
+        moves += !was_there;
       }
   return moves;
 }
--- a/bench/faults.c
+++ b/bench/faults.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * Figures of faults with real processes: how soon a leaving endpoint gets nothing
- * new, what callers are told when an agent dies, and how soon work of a dead entry
- * is cancelled. Markdown on standard output.
+ * Measures faults with real processes: how soon a leaving endpoint receives no new
+ * requests, which outcomes callers get when an agent is killed, and how soon the work
+ * of a dead entry is cancelled. Prints Markdown tables to standard output.
  */
 #include "test/fleet.h"
 
@@ -21,12 +21,12 @@
 #define CANCEL_WATCH_MS 40000
 #define SETTINGS "log_level = \"warn\"\nguard_ms = 0\n"
 
-/* ---- leaving ---- */
+/* ---- a leaving endpoint ---- */
 
 struct caller
 {
   struct fleet *fleet;
-  int entry; /* -1: both in turn */
+  int entry; /* index of the entry to call; -1: alternate between both */
   volatile bool stop;
   pthread_t thread;
 };
@@ -48,7 +48,7 @@
   return NULL;
 }
 
-/* @return milliseconds from now to the last new start at the first model. */
+/* @return milliseconds from now until the last request started on the first model endpoint. */
 static int64_t
 watch_starts (struct fleet *fleet)
 {
@@ -68,11 +68,12 @@
   return last_ms;
 }
 
+/* How an entry learns that an endpoint is leaving. */
 enum source
 {
-  SOURCE_OWN,
-  SOURCE_LIST,
-  SOURCE_PEER,
+  SOURCE_OWN,  /* from the endpoint */
+  SOURCE_LIST, /* from the box list of the platform */
+  SOURCE_PEER, /* from another entry */
 };
 
 static void
@@ -111,14 +112,14 @@
   fleet_stop (&fleet);
 }
 
-/* ---- an agent dies ---- */
+/* ---- a killed agent ---- */
 
 static void
 measure_unknown (void)
 {
   static struct fleet_call calls[REQUESTS];
   struct fleet fleet;
-  int counts[4] = { 0 }; /* ran, not run, unknown, false "not run" */
+  int counts[4] = { 0 }; /* outcome ran, not-run, unknown, and not-run although it ran */
   int in_flight = 0;
 
   fleet_start (&fleet, SETTINGS);
@@ -151,9 +152,9 @@
   fleet_stop (&fleet);
 }
 
-/* ---- an entry dies ---- */
+/* ---- a killed entry ---- */
 
-/* @param orphans whether work that no entry asks for is cancelled before its deadline. */
+/* @param orphans whether agents cancel requests without a connected entry before their deadline. */
 static void
 measure_cancel (const char *what, int signal, bool orphans)
 {
--- a/bench/groups.c
+++ b/bench/groups.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * How long a group with real agents stands still: in the normal case of changes
- * of its expert map, and when the coordinator is killed in the middle of them.
- * Markdown on standard output.
+ * Measures how long changes of the expert map stall a group with real agents: without
+ * faults, and when the coordinator is killed during a change. Prints a Markdown table to
+ * standard output.
  */
 #include "proto/ash.pb-c.h"
 #include "test/group_fleet.h"
@@ -63,8 +63,9 @@
   group_fleet_stop (&group);
 }
 
-/* The worst moment: all ranks are armed, and the coordinator dies before any
- * commit. It is started again at once; any agent has to find out and take over. */
+/* The worst case: the coordinator is killed after all ranks are armed and before any
+ * commit, so that the group waits. The coordinator is restarted at once, and an agent
+ * has to detect the unfinished change and take it over. */
 static void
 measure_takeover (void)
 {
--- a/bench/load.c
+++ b/bench/load.c
@@ -19,7 +19,7 @@
   pthread_t thread;
 };
 
-static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
+static pthread_mutex_t results_lock = PTHREAD_MUTEX_INITIALIZER;
 
 static size_t
 discard_body (char *bytes, size_t size, size_t count, void *data)
@@ -69,21 +69,21 @@
   for (uint32_t i = worker->index; i < load->count; i += THREADS)
     {
       int64_t due_us = worker->start_us + (int64_t) i * US_PER_S / load->rate_per_s;
-      int64_t began_us;
+      int64_t sent_us;
       int64_t took_us;
       long status = 0;
 
       sleep_until_us (due_us);
-      began_us = ash_clock_now_us ();
+      sent_us = ash_clock_now_us ();
       if (curl_easy_perform (easy) == CURLE_OK)
         curl_easy_getinfo (easy, CURLINFO_RESPONSE_CODE, &status);
-      took_us = ash_clock_now_us () - began_us;
-      pthread_mutex_lock (&lock);
+      took_us = ash_clock_now_us () - sent_us;
+      pthread_mutex_lock (&results_lock);
       if (status == 200)
         load->took_us[load->ok++] = took_us;
       else
         load->failed++;
-      pthread_mutex_unlock (&lock);
+      pthread_mutex_unlock (&results_lock);
     }
   curl_easy_cleanup (easy);
   curl_slist_free_all (headers);
--- a/bench/load.h
+++ b/bench/load.h
@@ -1,32 +1,32 @@
 /**
  * @file
- * An open-loop load: requests leave at their times whatever came of those
- * before, so that a slow answer does not slow the load down.
+ * Open-loop load generator: requests are sent at a fixed rate, whether or not earlier
+ * requests have completed, so that slow answers do not reduce the load.
  */
 #ifndef ASH_BENCH_LOAD_H
 #define ASH_BENCH_LOAD_H
 
 #include <stdint.h>
 
-/** A load and what came of it. */
+/** Parameters and results of a load run. */
 struct load
 {
   const char *url;
   const char *key;  /**< bearer key; may be NULL */
-  const char *body; /**< POST; NULL: GET */
+  const char *body; /**< sent with POST; NULL: GET without a body */
   uint32_t rate_per_s;
   uint32_t count;
-  int64_t *took_us; /**< of each request that got status 200; sorted at the end */
+  int64_t *took_us; /**< durations of the requests with status 200; sorted by load_run() */
   uint32_t ok;
   uint32_t failed;
 };
 
-/** Runs it. */
+/** Sends all requests and waits for them. Release the results with load_finish(). */
 void load_run (struct load *load);
 
 void load_finish (struct load *load);
 
-/** @return the duration below which that share of the requests took. */
+/** @return the percentile of the durations at @p share (0 to 1); 0 if no request succeeded. */
 int64_t load_percentile_us (const struct load *load, double share);
 
 #endif
--- a/bench/path.c
+++ b/bench/path.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * What the path adds to a direct call of the stand-in, at three rates on one
- * entry, and what an idle entry and agent cost. Markdown on standard output.
+ * Measures the latency that entry and agent add to a direct call of the stand-in
+ * service, at three request rates through one entry, and the memory and CPU use of an
+ * idle entry and agent. Prints Markdown tables to standard output.
  */
 #include "bench/load.h"
 #include "test/fleet.h"
@@ -99,8 +100,9 @@
           (cpu_s (pid) - before_s) * 100 * 1000 / IDLE_MS);
 }
 
-/* What a heartbeat costs, sockets included: fifty times as many of them. An entry
- * here has four links, an agent two; each carries one a period each way. */
+/* Measures the CPU cost of heartbeats including sockets, at 50 times the default rate.
+ * Here an entry has 4 links and an agent 2; each link carries one heartbeat per period
+ * in each direction. */
 static void
 print_heartbeats (void)
 {
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -1,8 +1,9 @@
 /**
  * @file
- * The policy under load and faults, on today's sizes: the cores as they are, the
- * engines' queue as a model. Markdown on standard output, or CSV. The router's own
- * policy is a table of its own.
+ * Measures routing and admission policies under load and faults, for a fleet of 8
+ * entries and 16 agents. Runs the real entry and agent cores in a simulation; only the
+ * engines are modelled. Prints Markdown or CSV to standard output. The part "router"
+ * prints the table of the router's forwarding policy instead.
  *
  * usage: bench-policy [--csv] [--radar] [faults|events|routes|router]
  */
@@ -17,7 +18,7 @@
 #define US_PER_S 1000000LL
 #define CALLS_MAX 400000
 
-/* What the fleet can answer a second, about: see docs/POLICY.md. */
+/* Approximate capacity of the simulated fleet in answers per second; see docs/POLICY.md. */
 #define CAPACITY_PER_S 560
 
 #define SECONDS 60
@@ -30,15 +31,17 @@
 
 /* ---- arrivals ---- */
 
+/* Demand over time, relative to CAPACITY_PER_S; changes start at BURST_START_S. */
 enum trace
 {
-  TRACE_STEADY,  /* half of what can be answered */
-  TRACE_FULL,    /* exactly that */
-  TRACE_OPENING, /* a tenth; 20 times that within 2 s, for 15 s */
-  TRACE_FLOOD,   /* the same to 20 times what can be answered, for 5 s */
-  TRACE_STORM,   /* half; then two large accounts bring three times all of it */
-  TRACE_LONG,    /* a tenth but for batch, which brings answers ten times as long, and all of it */
-  TRACE_HEAVY,   /* half; and one account that asks three times what can be answered */
+  TRACE_STEADY,  /* half of the capacity */
+  TRACE_FULL,    /* the whole capacity */
+  TRACE_OPENING, /* a tenth; rises to 20 times as much within 2 s, for 15 s in all */
+  TRACE_FLOOD,   /* half; rises to 20 times the capacity within 2 s, for 5 s in all */
+  TRACE_STORM,   /* half; then two large accounts add 3 times the capacity for 20 s */
+  TRACE_LONG,    /* class batch: calls at a third of its usual rate, with answers 10 times as long;
+                    others: 0.3 of    their usual rate */
+  TRACE_HEAVY,   /* half; then one account adds 3 times the capacity for 20 s */
   TRACE_COUNT,
 };
 
@@ -50,7 +53,7 @@
 {
   const char *name;
   uint32_t class_index;
-  double part; /* of the usual demand */
+  double part; /* fraction of the usual total demand */
 };
 
 static const struct share shares[SIM_ACCOUNTS] = {
@@ -63,7 +66,7 @@
 #define HEAVY 7
 #define HEAVY_LIMIT 100
 
-/* Calls a second of an account at a time. */
+/* @return calls per second of an account at the given time. */
 static double
 demand (enum trace trace, uint32_t account, double at_s)
 {
@@ -104,7 +107,8 @@
   return (left->at_us > right->at_us) - (left->at_us < right->at_us);
 }
 
-/* Poisson arrivals by thinning: each account's clock ticks at its highest demand. */
+/* Draws Poisson arrivals by thinning: candidates are drawn at the peak demand of each account and
+ * kept with the probability of current demand over peak demand. */
 static uint32_t
 make_calls (enum trace trace, struct sim_call *calls)
 {
@@ -148,22 +152,22 @@
   return count;
 }
 
-/* ---- figures ---- */
+/* ---- results ---- */
 
 struct figures
 {
-  double in_time[SIM_CLASSES]; /* of the calls, in hundred */
-  double goodput;              /* answers in time a second, 3 to 5 s after the burst began */
-  double first_ms[3];          /* until the first token: median, 95, 99 in 100 */
-  double top_first_ms;         /* 95 in 100 of the highest class */
-  double refused;              /* of the calls, at least once, in hundred */
-  double refused_ms;           /* until the first refusal: 95 in 100 */
-  double wasted;               /* engine work, in hundred */
-  double balance;              /* the busiest engine's tokens over the mean */
-  double fairness;             /* Jain's index of the shares in time, worst class */
-  double overshoot;            /* of the heavy account's limit, in hundred */
-  double recovery_s;           /* until a second with 99 in 100 in time, after the fault */
-  double hits;                 /* of cached prefixes, in hundred */
+  double in_time[SIM_CLASSES]; /* percent of the calls */
+  double goodput;      /* answers in time per second, 3 to 5 s after the start of the burst */
+  double first_ms[3];  /* time to first token: 50th, 95th and 99th percentile */
+  double top_first_ms; /* time to first token of the highest class, 95th percentile */
+  double refused;      /* percent of the calls that were refused at least once */
+  double refused_ms;   /* time to the first refusal, 95th percentile */
+  double wasted;       /* percent of the generated tokens */
+  double balance;      /* tokens of the busiest engine divided by the mean of all engines */
+  double fairness;     /* Jain's index over the accounts' fractions in time; worst class */
+  double overshoot;    /* percent by which the heavy account exceeds its limit */
+  double recovery_s;   /* from the fault until 99% of the calls are answered in time again */
+  double hits;         /* percent of the prompts whose prefix was cached */
 };
 
 static bool
@@ -172,7 +176,7 @@
   return call->done_us && call->done_us <= call->deadline_us;
 }
 
-/* Calls that can still be answered when the run ends. */
+/* Only calls after the warm-up whose deadline passes before the end of the run are counted. */
 static bool
 is_counted (const struct sim_call *call)
 {
@@ -255,8 +259,8 @@
   figures->refused_ms = stats_percentile (refused, refused_count, 0.95);
 }
 
-/* Seconds after the fault until one in which 99 in 100 of the calls made then are
- * answered in time, and so in all that follow. */
+/* @return seconds from the fault until the first second from which on at least 99% of the calls
+ * that start in each second are answered in time. */
 static double
 recovery_seconds (const struct sim_call *calls, uint32_t count)
 {
@@ -275,7 +279,8 @@
   return second < FAULT_START_S ? 0 : second + 1 - FAULT_START_S;
 }
 
-/* What the heavy account got above its limit, in the worst ten seconds. */
+/* @return percent by which the heavy account's answers exceed its limit in the worst window of 10
+ * seconds. */
 static double
 overshoot_percent (const struct sim_call *calls, uint32_t count)
 {
@@ -291,7 +296,8 @@
 
       for (int i = 0; i < 10; i++)
         sum += got[second + i];
-      /* A second's worth may come at once, as its burst. */
+      /* The limit allows a burst of one second's worth of calls, so 10 s allow 11 times the rate.
+       */
       worst = fmax (worst, sum / (11.0 * HEAVY_LIMIT));
     }
   return worst > 1 ? 100 * (worst - 1) : 0;
@@ -335,7 +341,7 @@
 
 /* ---- tables ---- */
 
-/* One way, between boxes and to callers. */
+/* One-way network latencies of a deployment: between boxes and to callers. */
 struct site
 {
   int64_t latency_us;
--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -21,7 +21,7 @@
 #define EVENT_START_UNIX_S 1000000
 #define BODY_BYTES 256
 
-/* Bytes of an answer are counted by tokens; a message a few tokens. */
+/* One byte of an answer stands for one token; a message carries up to this many tokens. */
 #define TOKENS_A_MESSAGE 8
 
 struct box
@@ -33,7 +33,7 @@
   uint64_t incarnation;
   bool down;
   bool paused;
-  struct sim_event *held_frames; /* frames for a paused box */
+  struct sim_event *held_frames; /* frames received while the box is paused */
   uint32_t held_frame_count;
   struct engine_model engine;
 };
@@ -49,7 +49,7 @@
   int64_t now_us;
   struct event_queue queue;
   struct box boxes[SIM_BOXES];
-  struct sim_event *pending; /* local messages for cores, which must not be entered again */
+  struct sim_event *pending; /* local messages, deferred because cores are not reentrant */
   uint32_t pending_count;
   uint32_t pending_capacity;
   bool partitioned;
@@ -80,7 +80,7 @@
   return sim->partitioned && (sim->boxes[a].hall == 0) != (sim->boxes[b].hall == 0);
 }
 
-/* A local message is given when the core that caused it has returned. */
+/* Queues a local message until the core that caused it has returned; see deliver_pending(). */
 static void
 defer_message (struct sim *sim, uint32_t box, Ash__Event__KindCase kind, const void *message)
 {
@@ -245,8 +245,8 @@
     schedule_retry (sim, (uint32_t) end->call, 1);
 }
 
-/* Callers know their account's entries; one that is gone is named no more after a
- * while, and is gone round where a connection is refused. */
+/* Picks a random entry among those of the account. A paused entry is no longer listed after some
+ * time, which depends on how long the caller has cached the addresses. */
 static int32_t
 choose_entry (struct sim *sim, const struct ash_account *account)
 {
@@ -294,7 +294,7 @@
   message.method = ash_text ("POST");
   message.path = ash_text ("/v1/completions");
   message.body.data = (uint8_t *) body;
-  /* A prefix that is the same for many, and then what is one's own. */
+  /* The body starts with a prefix that is shared by many calls; the unique part follows. */
   memset (body, ' ', BODY_BYTES);
   sprintf (body, "%u", call->prefix);
   message.body.len = (size_t) sprintf (body + BODY_BYTES, "%u", index) + BODY_BYTES + 1;
@@ -310,7 +310,7 @@
                                         (uint32_t) e, (uint32_t) e, session_copy (&event) });
 }
 
-/* ---- what cores deliver out ---- */
+/* ---- output of the cores ---- */
 
 static void
 send_frame (struct sim *sim, uint32_t from, uint32_t to, const struct Ash__Event *event)
@@ -320,7 +320,7 @@
   if (is_partitioned (sim, from, to) || sim->boxes[to].down)
     return;
   copy = session_copy (event);
-  /* What arrives names its sender. */
+  /* In a received message, peer is the sender. */
   if (copy->peer != protobuf_c_empty_string)
     free (copy->peer);
   copy->peer = strdup (sim->boxes[from].session.settings.box);
@@ -382,7 +382,8 @@
     deliver_message (sim, box, peer, ASH__EVENT__KIND_LINK_DOWN, &down);
 }
 
-/* All links between entries and agents that a condition holds for. */
+/* Calls @p change in both directions for each link between an entry and an agent for which
+ * @p applies returns true; NULL: for all links. */
 static void
 for_each_link (struct sim *sim,
                bool (*applies) (const struct sim *sim, uint32_t entry, uint32_t agent),
@@ -403,7 +404,7 @@
   return (sim->boxes[entry].hall == 0) != (sim->boxes[agent].hall == 0);
 }
 
-/* ---- time ---- */
+/* ---- timers ---- */
 
 static void
 tick (struct sim *sim, uint32_t index)
@@ -440,7 +441,7 @@
 
 /* ---- faults ---- */
 
-#define KILLED_BOX SIM_ENTRIES /* the first agent; it is in hall 2 */
+#define KILLED_BOX SIM_ENTRIES /* the first agent, in hall 2 */
 #define PAUSED_BOX 1
 
 static void start_box (struct sim *sim, uint32_t index);
@@ -464,7 +465,7 @@
   struct box *box = &sim->boxes[PAUSED_BOX];
 
   box->paused = false;
-  /* It knows that it was away: all links are closed, and opened anew. */
+  /* The entry detects that its process was suspended, and closes and reopens all links. */
   for (uint32_t a = SIM_ENTRIES; a < SIM_BOXES; a++)
     link_down (sim, PAUSED_BOX, a);
   for (uint32_t i = 0; i < box->held_frame_count; i++)
@@ -555,7 +556,7 @@
     }
 }
 
-/* ---- running ---- */
+/* ---- event loop ---- */
 
 static void
 handle_frame (struct sim *sim, const struct sim_event *sim_event)
@@ -631,7 +632,7 @@
     }
 }
 
-/* ---- making ---- */
+/* ---- set-up ---- */
 
 static void
 write_document (struct sim *sim)
--- a/bench/router_policy.c
+++ b/bench/router_policy.c
@@ -7,8 +7,8 @@
 
 #define SEEDS 5
 
-/* What the ways below differ from by one thing each, and streams a second as the users' sheets have
- * them. */
+/* Defaults; most policies below change one of them. CALLS_PER_S is the rate in the users' data
+ * sheets. */
 #define CAP 9
 #define WAIT_MS 80
 #define REPORT_PERIOD_MS 100
@@ -71,28 +71,28 @@
   { "cap 12", { .cap = 12, WAIT_ALL (WAIT_MS) } },
 };
 
-/* A scenario, played in that base. */
+/* Combines the settings of a policy with the load and faults of a scenario. */
 static struct router_sim_setup
 setup_of (const struct scenario *scenario, const struct policy *policy, uint64_t seed)
 {
   struct router_sim_setup setup = policy->base;
-  const struct router_sim_setup *what = &scenario->setup;
+  const struct router_sim_setup *load = &scenario->setup;
 
   setup.seed = seed;
   setup.report_period_ms = setup.report_period_ms ? setup.report_period_ms : REPORT_PERIOD_MS;
-  setup.duration_ms = what->duration_ms;
-  setup.calls_per_s = what->calls_per_s;
-  setup.slow_start_ms = what->slow_start_ms;
-  setup.slow_duration_ms = what->slow_duration_ms;
-  setup.slow_factor = what->slow_factor;
-  setup.slow_groups = what->slow_groups;
-  setup.burst_start_ms = what->burst_start_ms;
-  setup.burst_duration_ms = what->burst_duration_ms;
-  setup.burst_factor = what->burst_factor;
-  setup.rolling_restarts = what->rolling_restarts;
+  setup.duration_ms = load->duration_ms;
+  setup.calls_per_s = load->calls_per_s;
+  setup.slow_start_ms = load->slow_start_ms;
+  setup.slow_duration_ms = load->slow_duration_ms;
+  setup.slow_factor = load->slow_factor;
+  setup.slow_groups = load->slow_groups;
+  setup.burst_start_ms = load->burst_start_ms;
+  setup.burst_duration_ms = load->burst_duration_ms;
+  setup.burst_factor = load->burst_factor;
+  setup.rolling_restarts = load->rolling_restarts;
   for (uint32_t i = 0; i < setup.rolling_restarts; i++)
-    setup.restart_start_ms[i] = what->restart_start_ms[i];
-  setup.restart_gap_ms = what->restart_gap_ms;
+    setup.restart_start_ms[i] = load->restart_start_ms[i];
+  setup.restart_gap_ms = load->restart_gap_ms;
   return setup;
 }
 
@@ -133,7 +133,8 @@
   fflush (stdout);
 }
 
-/* Streams a rank on engines of other figures: worked out, and fixed. */
+/* Compares the calculated number of streams per rank with fixed numbers, on engines with other step
+ * and copy times. */
 static void
 print_engines (void)
 {
--- a/bench/router_policy.h
+++ b/bench/router_policy.h
@@ -1,12 +1,13 @@
 /**
  * @file
- * The router's policy under overload, as a table: what is worth counted from each
- * caller's first try, and apart from it who is refused twice, unserved_waits in vain or overtaken.
+ * Table of the router's forwarding policy under overload: the score of the calls, measured
+ * from the first attempt of each caller, and the fractions of calls that were refused
+ * twice, waited without being served, or were overtaken.
  */
 #ifndef ASH_BENCH_ROUTER_POLICY_H
 #define ASH_BENCH_ROUTER_POLICY_H
 
-/** Plays all days with all policies and prints them as a Markdown table. */
+/** Simulates all scenarios with all policies and prints the results as Markdown tables. */
 void router_policy_print (void);
 
 #endif
--- a/bench/router_sim.c
+++ b/bench/router_sim.c
@@ -14,12 +14,12 @@
 #define ENDPOINTS 16
 #define CALLS_MAX 20000
 
-/* Tokens read in a step at most, and the wait before a prompt is read. */
-#define READ_TOKENS_STEP 512
-#define PROMPT_DELAY_MS 70
+#define READ_TOKENS_STEP 512 /* maximum number of prompt tokens read in a step */
+#define PROMPT_DELAY_MS 70   /* from sending a request until its prompt is read */
 #define ENDPOINT_SLOTS 12
 
-/* The engine of the first users' sheets; all of a token's work grows with skew. */
+/* The engine of the first users' data sheets. expert_share 1: the whole work per token grows with
+ * skew. */
 static const struct ash_engine_facts default_engine = {
   .slots = ENDPOINT_SLOTS,
   .stride = 6,
@@ -29,14 +29,14 @@
   .expert_share = 1,
 };
 
-/* The sheets' callers. */
+/* Callers, from the same data sheets. */
 #define FIRST_EVENT_TARGET_MS 400
 #define DEADLINE_MS 8000
-#define FIRST_EVENT_TIMEOUT_MS 2000 /* without a first event */
+#define FIRST_EVENT_TIMEOUT_MS 2000 /* callers disconnect if the first event takes longer */
 #define CALLER_LATENCY_MS 2
 #define TRIES 2
 #define ADDRESS_KEEP_MS 2000
-#define LONG_WAIT_MS 50 /* an eighth of the aim */
+#define LONG_WAIT_MS 50 /* an eighth of FIRST_EVENT_TARGET_MS */
 #define LATE_SCORE 0.5
 #define EVENTS_MEAN 26.5
 #define EVENTS_MAX 66
@@ -45,24 +45,24 @@
 #define URGENT_PERCENT 70
 #define LARGE_SIZE 1300
 
-/* A router's planned stop: what comes later than this is sent elsewhere; its end; its return. */
-#define STOP_ACCEPT_MS 3000
+/* Planned stop of a router. */
+#define STOP_ACCEPT_MS 3000 /* new calls are accepted for so long, then refused */
 #define STOP_GRACE_MS 8000
 #define RESTART_DELAY_MS 1000
 #define LEAVING_RETRY_MS 10
 
 enum call_state
 {
-  CALL_PENDING, /* not offered yet, or reported to come back */
-  CALL_WAITING, /* at a router, for check_waiting */
+  CALL_PENDING, /* not submitted yet, or waiting to retry */
+  CALL_WAITING, /* at a router, for a free slot */
   CALL_SENT,    /* at an endpoint */
   CALL_ENDED,
 };
 
 struct call
 {
-  int64_t first_ms; /* first offered */
-  int64_t next_ms;  /* AWAY: asks then */
+  int64_t first_ms; /* first attempt */
+  int64_t next_ms;  /* CALL_PENDING: next attempt */
   uint32_t class_index;
   uint32_t prompt_left;
   uint32_t prompt;
@@ -72,11 +72,11 @@
   uint32_t refusals;
   uint32_t router;
   uint32_t endpoint;
-  uint64_t order; /* of its coming to the router */
+  uint64_t order; /* order of arrival at routers */
   enum call_state state;
   struct ash_forward forward;
-  int64_t reads_ms; /* reading may begin */
-  int64_t event_ms; /* of its last event */
+  int64_t reads_ms; /* from then on the prompt is read */
+  int64_t event_ms; /* last event received */
   bool late;
   bool overtaken;
   bool served;
@@ -91,7 +91,7 @@
   uint32_t reported[ENDPOINTS];
   bool up;
   bool stopping;
-  int64_t since_ms; /* it stops, or went */
+  int64_t since_ms; /* start of the planned stop, or, if not up, its end */
   bool changed;
   bool check_waiting;
 };
@@ -116,10 +116,10 @@
   uint32_t call_count;
   uint32_t *active; /* indices of calls that are waiting or sent */
   uint32_t active_count;
-  uint32_t next_call; /* calls before it have been offered */
+  uint32_t next_call; /* index of the first call that has not been submitted yet */
   uint32_t endpoint_load[ENDPOINTS];
-  int64_t last_retry_ms; /* the latest that a caller was reported, RETRY_BY_RATE */
-  uint32_t released;     /* places, in this second and the last */
+  int64_t last_retry_ms; /* RETRY_BY_RATE: the latest time given to a caller */
+  uint32_t released;     /* slots released in this second */
   uint32_t released_last;
   double pass_sum_ms;
   uint32_t passes;
@@ -157,7 +157,7 @@
          (ash_pass_model_ms (engine, writers, skew) + read_tokens * 1000.0 / engine->read_tokens_s);
 }
 
-/* Demand has just shifted, and ranks copy what the map lacks. */
+/* @return whether demand has shifted and ranks still copy the experts that the new map needs. */
 static bool
 is_shifted (const struct sim *sim)
 {
@@ -174,13 +174,13 @@
   int64_t since_ms = sim->now_ms - setup->slow_start_ms;
   bool slow = since_ms >= 0 && since_ms < setup->slow_duration_ms;
 
-  /* A group is as slow as its slowest rank. */
+  /* All ranks of a group wait for the slowest rank. */
   return slow && group < setup->slow_groups ? setup->slow_factor : 1;
 }
 
 static void release_slot (struct sim *sim, struct call *call);
 
-/* Counts what arrived of a call. */
+/* Ends a call and counts its result. */
 static void
 end_call (struct sim *sim, struct call *call, bool whole)
 {
@@ -233,7 +233,7 @@
   return call->state == CALL_SENT && call->endpoint / (ENDPOINTS / sim->group_count) == group;
 }
 
-/* All that have read their prompts get an event; @return whether any call is there. */
+/* Ends a pass: each call of the group whose prompt has been read gets an event. */
 static void
 end_pass (struct sim *sim, uint32_t group)
 {
@@ -263,16 +263,16 @@
     {
       struct call *call = &sim->calls[sim->active[i]];
       uint32_t rank = call->endpoint;
-      uint32_t part;
+      uint32_t tokens;
 
       if (!is_of_group (sim, call, group) || sim->now_ms < call->reads_ms ||
           writers[rank] == ENDPOINT_SLOTS)
         continue;
       writers[rank]++;
-      part =
+      tokens =
           call->prompt_left < read_most - read[rank] ? call->prompt_left : read_most - read[rank];
-      call->prompt_left -= part;
-      read[rank] += part;
+      call->prompt_left -= tokens;
+      read[rank] += tokens;
       most_writers = writers[rank] > most_writers ? writers[rank] : most_writers;
       most_read = read[rank] > most_read ? read[rank] : most_read;
     }
@@ -317,7 +317,7 @@
   call->next_ms = sim->now_ms + 2 * CALLER_LATENCY_MS + wait_ms;
 }
 
-/* Those that arrived earlier, are more urgent and still wait were overtaken. */
+/* Marks the waiting calls that arrived before @p sent and are more urgent. */
 static void
 mark_overtaken (struct sim *sim, const struct call *sent)
 {
@@ -357,7 +357,8 @@
   return call->refusals > 0;
 }
 
-/* When a refused caller is reported to come back. */
+/* @return delay after which a refused caller retries. @param advised_ms delay from filters/forward.
+ */
 static uint32_t
 retry_delay_ms (struct sim *sim, uint32_t advised_ms)
 {
@@ -371,7 +372,7 @@
     case RETRY_RANDOM:
       return setup->retry_min_ms + ash_random_below (&sim->random, setup->retry_spread_ms);
     case RETRY_BY_RATE:
-      /* One after the other, as fast as places became free in the last second. */
+      /* One caller after the other, at the rate at which slots were released in the last second. */
       retry_at_ms = sim->last_retry_ms + 1000 / (sim->released_last + 1);
       if (retry_at_ms < sim->now_ms + setup->retry_min_ms)
         retry_at_ms = sim->now_ms + setup->retry_min_ms;
@@ -382,7 +383,7 @@
 }
 
 static void
-step (struct sim *sim, struct call *call)
+try_forward (struct sim *sim, struct call *call)
 {
   struct router *router = &sim->routers[call->router];
   struct ash_forward_context forward_context = {
@@ -410,7 +411,7 @@
     }
 }
 
-/* @return whether a is looked at before b: as they arrived, or by class and deadline. */
+/* @return whether a is served before b: in order of arrival, or by class and deadline. */
 static bool
 is_served_first (const struct sim *sim, const struct call *a, const struct call *b)
 {
@@ -441,10 +442,10 @@
       count++;
     }
   for (uint32_t i = 0; i < count; i++)
-    step (sim, &sim->calls[waiting[i]]);
+    try_forward (sim, &sim->calls[waiting[i]]);
 }
 
-/* A router tells the others what it has at each endpoint. */
+/* Reports the number of requests of a router at each endpoint to the other routers. */
 static void
 report_loads (struct sim *sim, uint32_t index)
 {
@@ -487,7 +488,7 @@
     }
 }
 
-/* A process ends: what it has is interrupted. */
+/* Ends the process of a router, which interrupts its calls. */
 static void
 stop_router (struct sim *sim, uint32_t index)
 {
@@ -547,7 +548,8 @@
 
 /* ---- callers ---- */
 
-/* A caller's addresses are of up to two seconds ago, and one where nobody listens is passed. */
+/* Picks a random router. Callers cache the list of addresses for up to ADDRESS_KEEP_MS, so they may
+ * pick a stopping router; they skip a router that does not listen. */
 static int32_t
 choose_router (struct sim *sim)
 {
@@ -597,7 +599,7 @@
     .arrived = sim_time (sim),
     .deadline = { call->first_ms + DEADLINE_MS },
   };
-  step (sim, call);
+  try_forward (sim, call);
 }
 
 static double
@@ -610,7 +612,7 @@
          (since_ms >= 0 && since_ms < setup->burst_duration_ms ? setup->burst_factor : 1);
 }
 
-/* Log-normal by the sum of twelve draws. */
+/* Log-normal distribution; the sum of 12 uniform numbers minus 6 approximates a normal variable. */
 static uint32_t
 draw_size (struct sim *sim, double mean, double spread, uint32_t most)
 {
@@ -647,12 +649,12 @@
     }
 }
 
-/* ---- running ---- */
+/* ---- event loop ---- */
 
 static void
 submit_due_calls (struct sim *sim)
 {
-  uint32_t retry_cap_extra = 0;
+  uint32_t remaining = 0;
 
   while (sim->next_call < sim->call_count && sim->calls[sim->next_call].next_ms <= sim->now_ms)
     sim->active[sim->active_count++] = sim->next_call++;
@@ -665,8 +667,8 @@
     }
   for (uint32_t i = 0; i < sim->active_count; i++)
     if (sim->calls[sim->active[i]].state != CALL_ENDED)
-      sim->active[retry_cap_extra++] = sim->active[i];
-  sim->active_count = retry_cap_extra;
+      sim->active[remaining++] = sim->active[i];
+  sim->active_count = remaining;
 }
 
 static bool
@@ -677,7 +679,8 @@
           sim->now_ms - call->forward.arrived.ms >= FIRST_EVENT_TIMEOUT_MS);
 }
 
-/* Callers leave at their deadline, or when nothing comes; those whose wait is over are answered. */
+/* Refuses waiting calls whose maximum wait is over, and ends the calls whose callers disconnect: at
+ * the deadline, or without a first event in time. */
 static void
 end_due_calls (struct sim *sim)
 {
@@ -686,7 +689,7 @@
       struct call *call = &sim->calls[sim->active[i]];
 
       if (call->state == CALL_WAITING)
-        step (sim, call);
+        try_forward (sim, call);
       if (call->state == CALL_ENDED || call->state == CALL_PENDING || !caller_left (sim, call))
         continue;
       if (call->state == CALL_SENT)
@@ -778,11 +781,11 @@
   return class->offered ? (class->on_target + LATE_SCORE * class->late) / class->offered : 0;
 }
 
-/* ---- engines and shifts ---- */
+/* ---- engines and shifts of demand ---- */
 
 #define SHIFT_PERIOD_MS 3600
 #define SHIFTED_SKEW 3.2
-#define SHIFT_REACTION_MS 450 /* seen, counted, ordered */
+#define SHIFT_REACTION_MS 450 /* to detect the shift, count the loads and order the map */
 #define SHIFT_SEEDS 2
 #define EXPERT_MB 1000.0
 #define BITS_PER_BYTE 8
--- a/bench/router_sim.h
+++ b/bench/router_sim.h
@@ -1,10 +1,10 @@
 /**
  * @file
- * What the policy bench plays of a router's fleet: filters/forward and
- * controllers/direct as they are, in several routers that tell each other their
- * loads, before groups of endpoints whose passes are a model, with callers that come
- * back once when they are told to. Time goes on by a millisecond; nothing sleeps. The
- * same setup and seed give the same run.
+ * Simulation of a fleet of routers for the policy bench: the real filters/forward and
+ * controllers/direct in several routers that report their loads to each other, in front
+ * of groups of model endpoints, with callers that retry a refused call once. A group
+ * works in passes: each stream of the group gets one event per pass. Time advances in
+ * steps of 1 ms without real waiting. The same setup and seed give the same run.
  */
 #ifndef ASH_BENCH_ROUTER_SIM_H
 #define ASH_BENCH_ROUTER_SIM_H
@@ -13,86 +13,91 @@
 
 #define ROUTER_SIM_CLASSES 2
 
-/** When refused callers are told to come back. */
+/** Delay before a refused caller retries. */
 enum router_sim_retry
 {
-  RETRY_AS_ADVISED, /**< as filters/forward says */
-  RETRY_RANDOM,     /**< after a least time and a part of a spread */
-  RETRY_BY_RATE,    /**< one after the other, at the rate at which places become free */
+  RETRY_AS_ADVISED, /**< the delay that filters/forward returns */
+  RETRY_RANDOM,     /**< retry_min_ms plus a random part of retry_spread_ms */
+  RETRY_BY_RATE,    /**< one caller after the other, at the rate at which requests complete */
 };
 
-/** What happens in a run. Times in ms from its start. */
+/** Parameters of a run. Times are in ms from its start. */
 struct router_sim_setup
 {
   uint64_t seed;
   uint32_t duration_ms;
-  double calls_per_s;                    /**< usual demand */
-  uint32_t slow_start_ms;                /**< endpoints turn slow */
-  uint32_t slow_duration_ms;             /**< 0: none does */
-  double slow_factor;                    /**< how much longer their passes take */
-  uint32_t slow_groups;                  /**< with slow endpoints; their others wait for them */
-  uint32_t burst_start_ms;               /**< demand grows */
-  uint32_t burst_duration_ms;            /**< 0: never */
-  double burst_factor;                   /**< by this */
-  uint32_t rolling_restarts;             /**< rolling stops of all routers */
-  uint32_t restart_start_ms[4];          /**< when each begins */
-  uint32_t restart_gap_ms;               /**< between two routers that stop */
-  const struct ash_engine_facts *engine; /**< NULL: that of the first users' sheets */
-  uint32_t groups;                       /**< that the endpoints make; 0: two */
-  uint32_t shift_period_ms;              /**< other experts are offered for; 0: never */
-  uint32_t shift_duration_ms;            /**< until the map has followed; ranks copy meanwhile */
-  double shift_skew;                     /**< of the map until then */
-  uint32_t cap;                          /**< requests of an endpoint, over all routers */
-  bool fixed_cap;                        /**< it does not fall where streams pause too long */
-  int32_t retry_cap_extra;               /**< more than that for callers that have come back */
-  uint32_t wait_ms;                      /**< how long a request may wait for room */
-  uint32_t retry_queue_ms;               /**< the same for callers that have come back */
-  bool by_deadline; /**< those waiting are served by class and deadline, not as they came */
-  uint32_t report_period_ms; /**< how often routers tell each other their loads */
+  double calls_per_s;        /**< demand outside of the burst */
+  uint32_t slow_start_ms;    /**< when endpoints become slow */
+  uint32_t slow_duration_ms; /**< 0: endpoints never become slow */
+  double slow_factor;        /**< factor on the duration of passes while slow */
+  uint32_t slow_groups; /**< number of groups with slow endpoints; a group is as slow as its slowest
+                           endpoint */
+  uint32_t burst_start_ms;               /**< when the burst starts */
+  uint32_t burst_duration_ms;            /**< 0: no burst */
+  double burst_factor;                   /**< factor on the demand during the burst */
+  uint32_t rolling_restarts;             /**< number of rolling restarts of all routers */
+  uint32_t restart_start_ms[4];          /**< start of each rolling restart */
+  uint32_t restart_gap_ms;               /**< time between the stops of two routers */
+  const struct ash_engine_facts *engine; /**< NULL: the engine of the first users' data sheets */
+  uint32_t groups;                       /**< number of groups of endpoints; 0: two */
+  uint32_t shift_period_ms; /**< period of changes of the requested experts; 0: no changes */
+  uint32_t
+      shift_duration_ms; /**< time until the expert map is adapted; ranks copy experts meanwhile */
+  double shift_skew;     /**< skew of the map until it is adapted */
+  uint32_t cap;          /**< maximum requests at an endpoint, over all routers */
+  bool fixed_cap;        /**< do not reduce cap when streams pause too long */
+  int32_t retry_cap_extra; /**< added to cap for calls that retry; may be negative */
+  uint32_t wait_ms;        /**< maximum wait of a first attempt for a free slot */
+  uint32_t retry_queue_ms; /**< maximum wait of a retry for a free slot */
+  bool by_deadline; /**< serve waiting requests by class and deadline instead of in order of arrival
+                     */
+  uint32_t report_period_ms; /**< period of load reports between routers */
   enum router_sim_retry retry_policy;
   uint32_t retry_min_ms;    /**< RETRY_RANDOM, RETRY_BY_RATE */
   uint32_t retry_spread_ms; /**< RETRY_RANDOM */
 };
 
-/** What came of the calls of one class. */
+/** Results of the calls of one class: numbers of calls unless noted. */
 struct router_sim_class
 {
   uint32_t offered;
-  uint32_t on_target;    /**< first event and pauses in time, from the first try */
-  uint32_t late;         /**< whole before the caller's deadline, but not in aim */
-  uint32_t refused_once; /**< whatever came after */
+  uint32_t on_target;    /**< first event and pauses within their targets, measured from the first
+                            attempt */
+  uint32_t late;         /**< complete before the caller's deadline, but not on target */
+  uint32_t refused_once; /**< refused at least once, whatever the final result */
   uint32_t refused_twice;
-  uint32_t unserved_waits; /**< not served, and waited more than an eighth of the aim */
-  uint32_t interrupted;    /**< had begun and was not whole in time */
-  uint32_t overtaken;      /**< waited while a less urgent one that came later was sent */
-  uint32_t large;          /**< of offered: the tenth with most to read and to write */
+  uint32_t unserved_waits; /**< not served, after waiting more than 1/8 of the first event target */
+  uint32_t interrupted;    /**< answer started, but was not complete in time */
+  uint32_t overtaken;      /**< waited while a later and less urgent call was sent */
+  uint32_t large; /**< the largest tenth of the offered calls, by prompt and answer tokens */
   uint32_t large_served;
-  double unserved_wait_s; /**< waits of those that were not served */
+  double unserved_wait_s; /**< total wait of the calls that were not served */
 };
 
-/** What came of a run. */
+/** Results of a run. */
 struct router_sim_result
 {
   struct router_sim_class classes[ROUTER_SIM_CLASSES];
-  uint32_t max_at_endpoint; /**< requests at one endpoint at once, at most */
-  double pass_ms;           /**< mean */
+  uint32_t max_at_endpoint; /**< maximum number of concurrent requests at one endpoint */
+  double pass_ms;           /**< mean duration of a pass */
 };
 
-/** Plays a run. */
+/** Runs a simulation and fills in @p result. */
 void router_sim_run (const struct router_sim_setup *setup, struct router_sim_result *result);
 
-/** Sums up the classes of a result. */
+/** @return the sum over all classes of a result. */
 struct router_sim_class router_sim_total (const struct router_sim_result *result);
 
-/** @return what the calls are worth in the mean: 1 in aim, half of that late, else nothing. */
+/** @return mean score of the calls: 1 if on target, 0.5 if late, otherwise 0; 0 without calls. */
 double router_sim_score (const struct router_sim_class *class);
 
 /**
- * @return how long a pass of a group takes.
- * @param engine NULL: that of the first users' sheets.
- * @param skew of the map in use.
- * @param writers of its fullest rank.
- * @param read_tokens of prompts, of the rank that reads most.
+ * @return duration of a pass of a group in ms.
+ * @param engine NULL: the engine of the first users' data sheets.
+ * @param skew skew of the active expert map.
+ * @param writers number of streams on the rank with the most streams.
+ * @param read_tokens prompt tokens of the rank that reads the most.
+ * @param slow_factor factor on the duration; 1: not slow.
  */
 double router_sim_pass_ms (const struct ash_engine_facts *engine,
                            double skew,
@@ -100,19 +105,22 @@
                            uint32_t read_tokens,
                            double slow_factor);
 
-/** Longest good pause between two events of a stream, ms. */
+/** Target for the pause between two events of a stream: at most this many ms. */
 #define ROUTER_SIM_PAUSE_MAX_MS 120
 
-/** The skew that maps leave when they have followed the demand. */
+/** Skew that remains when the expert map is adapted to the demand. */
 #define ROUTER_SIM_SKEW 1.4
 
-/** Fills in an engine whose streams add so much to a step, and whose ranks copy an expert so long.
+/**
+ * Fills in an engine.
+ * @param sequence_ms what each stream adds to the duration of a step.
+ * @param copy_ms time that a rank needs to copy an expert.
  */
 void router_sim_engine (struct ash_engine_facts *engine, double sequence_ms, double copy_ms);
 
 /**
- * @return what calls are worth in the mean at one group of such an engine, with so many streams a
- * rank, demand that half of its slots can serve, and a shift of demand each 3.6 s.
+ * @return mean score of the calls at one group of the given engine with at most @p streams streams
+ * per rank, with demand that half of the slots can serve and a shift of demand every 3.6 s.
  */
 double router_sim_shift_score (const struct ash_engine_facts *engine, uint32_t streams);
 
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -1,8 +1,9 @@
 /**
  * @file
- * Slopes of the real code for docs/CAPACITY.md: bytes an account, an endpoint,
- * a ledger entry, a request; microseconds a decision, a message, a change of
- * configuration; each at three sizes or more. Markdown on standard output.
+ * Measures how memory and CPU time of the real code grow, for docs/CAPACITY.md: bytes per
+ * account, endpoint, ledger entry and request; microseconds per routing decision, message
+ * and check of a document row; each at several sizes. Prints Markdown tables to standard
+ * output.
  */
 #include "common/clock.h"
 #include "net/frame.h"
@@ -15,7 +16,7 @@
 #define SERVICES 18
 #define ACCOUNT_KEY "account-%u"
 
-/* ---- documents of any size ---- */
+/* ---- configuration documents ---- */
 
 static char *
 make_document (uint32_t accounts, uint32_t endpoints, uint32_t entries, size_t *length)
@@ -87,7 +88,7 @@
   free (text);
 }
 
-/* ---- an entry of any size ---- */
+/* ---- entry ---- */
 
 static uint64_t emitted;
 
@@ -215,7 +216,7 @@
   session_finish (&session);
 }
 
-/* ---- an agent ---- */
+/* ---- agent ---- */
 
 static void
 start_agent (struct session *session, uint32_t slots)
--- a/bench/spread.c
+++ b/bench/spread.c
@@ -1,9 +1,9 @@
 /**
  * @file
- * How a configuration spreads over a fleet of today's size with real processes:
- * 8 entries in three halls, 16 + 3 endpoints. Until a change is in force everywhere,
- * what the platform is asked, and what boxes send each other. Markdown on standard
- * output.
+ * Measures how a configuration change propagates through a fleet of real processes:
+ * 8 entries in 3 halls, 16 model endpoints and 3 plain endpoints. Prints the time until
+ * the change is active on all boxes, the rate of requests to the platform, and the bytes
+ * that entries send to their peers.
  */
 #include "bench/stats.h"
 #include "common/id.h"
@@ -166,7 +166,7 @@
     fprintf (stderr, "can't remove %s\n", testbed->folder);
 }
 
-/* ---- what the logs say ---- */
+/* ---- reading logs ---- */
 
 static int64_t
 wall_now_ms (void)
@@ -177,7 +177,7 @@
   return (int64_t) ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
-/* @return when the box's log says that it accepted the revision; 0 if it does not. */
+/* @return time at which the box accepted the revision, according to its log; 0: not yet. */
 static int64_t
 accepted_ms (const struct testbed *testbed, int i)
 {
@@ -208,8 +208,8 @@
   return at_ms;
 }
 
-/* Waits until all boxes have the revision. @return milliseconds from @p since_ms to
- * the last of them, -1 if some box never has it. */
+/* Waits until all boxes have accepted the revision. @return milliseconds from @p since_ms until
+ * the last box accepted it; -1: timeout. @param took_ms the same for each box. */
 static int64_t
 propagation_ms (const struct testbed *testbed, int64_t since_ms, double *took_ms)
 {
@@ -233,7 +233,7 @@
   return last_ms;
 }
 
-/* ---- figures ---- */
+/* ---- measurements ---- */
 
 static json_t *
 get_json (uint16_t port, const char *path)
@@ -325,7 +325,7 @@
           (double) sum * 1000 / IDLE_MS / ENTRIES);
 }
 
-/* A change while one hall's boxes are paused: they are cut off, and then awake. */
+/* Publishes a change while all processes of one hall are suspended, then resumes them. */
 static void
 measure_paused_hall (struct testbed *testbed)
 {
@@ -362,7 +362,8 @@
           (long long) propagation_ms (testbed, since_ms, took_ms));
 }
 
-/* All boxes replaced but one, with the platform down: that one has what they need. */
+/* Replaces all boxes but one while the platform is down: the others get the configuration from the
+ * remaining box. */
 static void
 measure_replaced (struct testbed *testbed)
 {
