--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -22,7 +22,7 @@
 #define BODY_BYTES 256
 
 /* One byte of an answer stands for one token; a message carries up to this many tokens. */
-#define TOKENS_A_MESSAGE 8
+#define TOKENS_PER_MESSAGE 8
 
 struct box
 {
@@ -155,7 +155,7 @@
 static void
 send_tokens (struct sim *sim, uint32_t box, const struct engine_run *run, uint32_t tokens)
 {
-  static uint8_t bytes[TOKENS_A_MESSAGE];
+  static uint8_t bytes[TOKENS_PER_MESSAGE];
   struct Ash__EngineData data = ASH__ENGINE_DATA__INIT;
 
   data.run = run->run;
@@ -189,8 +189,8 @@
           defer_message (sim, box, ASH__EVENT__KIND_ENGINE_HEAD, &head);
           send_tokens (sim, box, run, 1);
         }
-      else if (run->tokens_left == 0 || run->generated % TOKENS_A_MESSAGE == 1)
-        send_tokens (sim, box, run, (run->generated - 2) % TOKENS_A_MESSAGE + 1);
+      else if (run->tokens_left == 0 || run->generated % TOKENS_PER_MESSAGE == 1)
+        send_tokens (sim, box, run, (run->generated - 2) % TOKENS_PER_MESSAGE + 1);
       if (run->tokens_left)
         continue;
       defer_message (sim, box, ASH__EVENT__KIND_ENGINE_END, &end);
@@ -209,14 +209,15 @@
 schedule_retry (struct sim *sim, uint32_t index, uint32_t retry_ms)
 {
   struct sim_call *call = &sim->calls[index];
-  bool storm = sim->setup->callers == CALLERS_AT_ONCE;
+  bool at_once = sim->setup->callers == CALLERS_AT_ONCE;
   int64_t at_us = sim->now_us + sim->setup->client_latency_us +
-                  (storm ? IMMEDIATE_RETRY_US : (int64_t) retry_ms * US_PER_MS);
+                  (at_once ? IMMEDIATE_RETRY_US : (int64_t) retry_ms * US_PER_MS);
 
   call->entry = -1;
   if (!call->first_refusal_us)
     call->first_refusal_us = sim->now_us + sim->setup->client_latency_us;
-  if (call->tries > (storm ? IMMEDIATE_TRIES_MAX : ADVISED_TRIES_MAX) || at_us >= call->deadline_us)
+  if (call->tries > (at_once ? IMMEDIATE_TRIES_MAX : ADVISED_TRIES_MAX) ||
+      at_us >= call->deadline_us)
     call->abandoned = true;
   else
     event_queue_push (&sim->queue, (struct sim_event){ at_us, 0, KIND_CALL, 0, index, NULL });
--- a/bench/router_sim.c
+++ b/bench/router_sim.c
@@ -43,11 +43,11 @@
 #define PROMPT_TOKENS_MEAN 800
 #define PROMPT_TOKENS_MAX 2850
 #define URGENT_PERCENT 70
-#define LARGE_SIZE 1300
+#define LARGE_SIZE 1300 /* half of the size in tokens above which a call counts as large */
 
 /* Planned stop of a router. */
-#define STOP_ACCEPT_MS 3000 /* new calls are accepted for so long, then refused */
-#define STOP_GRACE_MS 8000
+#define STOP_ACCEPT_MS 3000 /* accepts new calls for this long; then exits once it has none */
+#define STOP_GRACE_MS 8000  /* exits after this long even with unfinished calls */
 #define RESTART_DELAY_MS 1000
 #define LEAVING_RETRY_MS 10
 
@@ -75,9 +75,9 @@
   uint64_t order; /* order of arrival at routers */
   enum call_state state;
   struct ash_forward forward;
-  int64_t reads_ms; /* from then on the prompt is read */
+  int64_t reads_ms; /* the prompt is not read earlier */
   int64_t event_ms; /* last event received */
-  bool late;
+  bool late;        /* the first event or a pause missed its target */
   bool overtaken;
   bool served;
   double waited_ms;
@@ -88,12 +88,12 @@
   struct ash_direct_set set;
   struct ash_direct_endpoint *endpoints[ENDPOINTS];
   struct ash_resend_window window;
-  uint32_t reported[ENDPOINTS];
+  uint32_t reported[ENDPOINTS]; /* in_flight as last reported to the other routers */
   bool up;
   bool stopping;
-  int64_t since_ms; /* start of the planned stop, or, if not up, its end */
-  bool changed;
-  bool check_waiting;
+  int64_t since_ms;   /* start of the planned stop, or, if not up, its end */
+  bool changed;       /* in_flight has changed since the last report */
+  bool check_waiting; /* waiting calls may be sent now */
 };
 
 struct group
@@ -114,13 +114,13 @@
   uint32_t group_count;
   struct call *calls;
   uint32_t call_count;
-  uint32_t *active; /* indices of calls that are waiting or sent */
+  uint32_t *active; /* indices of the calls that have been submitted and have not ended */
   uint32_t active_count;
-  uint32_t next_call; /* index of the first call that has not been submitted yet */
-  uint32_t endpoint_load[ENDPOINTS];
-  int64_t last_retry_ms; /* RETRY_BY_RATE: the latest time given to a caller */
-  uint32_t released;     /* slots released in this second */
-  uint32_t released_last;
+  uint32_t next_call;                /* index of the first call that has not been submitted yet */
+  uint32_t endpoint_load[ENDPOINTS]; /* requests at each endpoint, from all routers */
+  int64_t last_retry_ms;             /* RETRY_BY_RATE: the latest time given to a caller */
+  uint32_t released;                 /* slots released in this second */
+  uint32_t released_last;            /* slots released in the previous second */
   double pass_sum_ms;
   uint32_t passes;
 };
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,137 +1,141 @@
 /*
- * Which configuration is in force. A platform that is read only and may answer an
- * older revision or not at all; two operators who plan on a base, have the plan
- * confirmed at a box and publish it; boxes that learn from the platform and from
- * each other, and are replaced one after the other, with nothing left.
+ * Propagation of configuration revisions. Participants: a platform that may answer
+ * with an older revision or not at all; two operators, each of which plans a change on
+ * a base revision, has it confirmed at a box and publishes it; boxes that receive
+ * revisions from the platform and from each other, and are replaced one at a time,
+ * losing all state.
  *
- * Holds:
- * - no box ever goes back to an older revision;
- * - nor does a box that was replaced serve with an older one than before, once that
- *   revision had reached all boxes, if it has heard one of them before it serves;
- * - of two operators on one base one wins: what is published on a base that has moved
- *   would take back the other's change.
+ * Properties, checked by assert():
+ * - no box ever activates an older revision than its active one;
+ * - once a revision has reached all boxes, a replaced box does not serve with an older
+ *   revision, provided that it has received the state of a peer before it serves;
+ * - of two operators that plan on the same base only one can publish: the second
+ *   publication would revert the first change.
  *
- * Left out: what is in a document; a revision that had not reached all boxes when the
- * one that served with it was replaced, while the platform answers an older one.
+ * Not modelled: the content of a document; the loss of a revision that had not reached
+ * all boxes when the box that served with it was replaced, while the platform answers
+ * with an older one.
  *
- * Broken variants, each must be seen to fail:
- *   TAKE_OLDER        a box takes whatever it hears
- *   SERVE_AT_ONCE     a replaced box serves before it has heard its peers
- *   USED_REVISION     the platform takes a revision that it has already
+ * Broken variants, each of which must violate an assertion:
+ *   ACCEPT_OLDER      a box accepts any revision that it receives
+ *   SERVE_UNSYNCED    a replaced box serves before it has received the state of a peer
+ *   REUSE_REVISION    the platform accepts a revision number that it already has
  */
 
 #define BOXES 3
-#define LAST 3 /* revisions that are published at most */
+#define LAST 3 /* highest revision that is published */
 
-byte newest = 1;        /* at the platform */
-bool stale = false;     /* it may answer any older one */
-byte base_of[LAST + 1]; /* the revision that a published one was planned on */
+byte published = 1;     /* newest revision at the platform */
+bool stale = false;     /* the platform may answer with an older revision */
+byte base_of[LAST + 1]; /* base revision of each published revision */
 
-byte rev[BOXES];     /* in force; 0: none yet */
-bool serves[BOXES];  /* it answers callers */
-byte was[BOXES];     /* the newest that it ever served with, over its lives */
-bool heard[BOXES];   /* it has heard a peer in this life */
-byte spread;         /* the newest revision that all boxes have had at once */
-byte replaced = BOXES; /* the box that was replaced last and does not serve yet */
+byte revision[BOXES];       /* active revision of each box; 0: none yet */
+bool serves[BOXES];         /* the box answers callers */
+byte highest_served[BOXES]; /* newest revision that the box ever served with, also before it was
+                               replaced */
+bool synced[BOXES];         /* the box has received the state of a peer since it was replaced */
+byte seen_by_all;           /* newest revision that all boxes have had at the same time */
+byte replaced = BOXES;      /* box that was replaced and does not serve yet; BOXES: none */
 
-inline note_spread (r)
+inline note_seen_by_all (r)
 {
   byte i;
-  byte have = 0;
+  byte count = 0;
   i = 0;
   do
-  :: i < BOXES -> have = have + (rev[i] >= r); i++
+  :: i < BOXES -> count = count + (revision[i] >= r); i++
   :: else -> break
   od;
   if
-  :: have == BOXES && r > spread -> spread = r
+  :: count == BOXES && r > seen_by_all -> seen_by_all = r
   :: else
   fi;
   i = 0;
-  have = 0
+  count = 0
 }
 
-inline learn (b, r)
+inline receive (b, r)
 {
   if
-#ifdef TAKE_OLDER
+#ifdef ACCEPT_OLDER
   :: r > 0 ->
 #else
-  :: r > rev[b] ->
+  :: r > revision[b] ->
 #endif
-     assert (r >= rev[b]);
-     rev[b] = r;
-     note_spread (r)
+     assert (r >= revision[b]);
+     revision[b] = r;
+     note_seen_by_all (r)
   :: else
   fi
 }
 
-/* A box: learns, begins to serve, is replaced. */
+/* A box receives revisions, starts to serve, and is replaced. */
 proctype box (byte b)
 {
   byte p;
 
 end:
   do
-  /* the platform answers: the newest, or, when stale, any */
-  :: atomic { learn (b, newest) }
+  /* the platform answers with the newest revision, or, while stale, with any */
+  :: atomic { receive (b, published) }
   :: atomic { stale ->
        if
-       :: learn (b, 1)
-       :: newest > 1 -> learn (b, 2)
+       :: receive (b, 1)
+       :: published > 1 -> receive (b, 2)
        fi }
-  /* a peer is heard: what it has in force comes with it */
-  :: atomic { p = (b + 1) % BOXES; heard[b] = true; learn (b, rev[p]); p = 0 }
-  :: atomic { p = (b + 2) % BOXES; heard[b] = true; learn (b, rev[p]); p = 0 }
-  /* it begins to serve */
-#ifdef SERVE_AT_ONCE
-  :: atomic { !serves[b] && rev[b] > 0 ->
+  /* a peer sends its active revision */
+  :: atomic { p = (b + 1) % BOXES; synced[b] = true; receive (b, revision[p]); p = 0 }
+  :: atomic { p = (b + 2) % BOXES; synced[b] = true; receive (b, revision[p]); p = 0 }
+  /* the box starts to serve */
+#ifdef SERVE_UNSYNCED
+  :: atomic { !serves[b] && revision[b] > 0 ->
 #else
-  :: atomic { !serves[b] && rev[b] > 0 && heard[b] ->
+  :: atomic { !serves[b] && revision[b] > 0 && synced[b] ->
 #endif
        serves[b] = true;
        if
        :: replaced == b -> replaced = BOXES
        :: else
        fi;
-       assert (rev[b] >= was[b] || was[b] > spread) }
-  :: atomic { serves[b] && rev[b] > was[b] -> was[b] = rev[b] }
-  /* it is replaced, one at a time */
+       assert (revision[b] >= highest_served[b] || highest_served[b] > seen_by_all) }
+  :: atomic { serves[b] && revision[b] > highest_served[b] -> highest_served[b] = revision[b] }
+  /* the box is replaced; only one box at a time */
   :: atomic { serves[b] && replaced == BOXES ->
        if
-       :: rev[b] > was[b] -> was[b] = rev[b]
+       :: revision[b] > highest_served[b] -> highest_served[b] = revision[b]
        :: else
        fi;
-       replaced = b; serves[b] = false; rev[b] = 0; heard[b] = false }
+       replaced = b; serves[b] = false; revision[b] = 0; synced[b] = false }
   od
 }
 
-/* An operator: plans on what box b has in force, has it confirmed, publishes. */
+/* An operator plans a change on the active revision of box b, has it confirmed there, and publishes
+ * it. */
 proctype operator (byte b)
 {
   byte base;
   bool confirmed = false;
 
   do
-  :: atomic { serves[b] -> base = rev[b]; confirmed = false; break }
+  :: atomic { serves[b] -> base = revision[b]; confirmed = false; break }
   od;
   do
-  :: atomic { serves[b] && rev[b] == base -> confirmed = true; break }
-  :: atomic { serves[b] && rev[b] != base -> break } /* refused: the base has moved */
+  :: atomic { serves[b] && revision[b] == base -> confirmed = true; break }
+  :: atomic { serves[b] && revision[b] != base -> break } /* refused: the base has changed */
   od;
   if
   :: atomic { confirmed && base < LAST ->
        if
-#ifdef USED_REVISION
+#ifdef REUSE_REVISION
        :: true ->
 #else
-       :: base + 1 > newest ->
+       :: base + 1 > published ->
 #endif
-          /* published: nobody else's change on that base is taken back */
+          /* no other change has been published on this base, so none is reverted */
           assert (base_of[base + 1] == 0);
           base_of[base + 1] = base;
-          newest = base + 1
-       :: else /* the platform refuses a revision that it has */
+          published = base + 1
+       :: else /* the platform refuses a revision number that it already has */
        fi }
   :: else
   fi
--- a/spec/expert_map.pml
+++ b/spec/expert_map.pml
@@ -1,90 +1,95 @@
 /*
- * A change of the expert map of a group that runs in lock-step: three ranks,
- * two coordinators that may stop or go on late at any point, one rank that is
- * replaced and forgets all, orders that are lost, doubled or late.
+ * A change of the expert map of a group whose ranks run in lock-step: three ranks, one
+ * of which may be replaced and lose its state; two coordinators, each of which may stop
+ * or be delayed at any point; orders that may be lost, duplicated or delayed.
  *
- * Promise, checked by assert(): in each step all ranks use one and the same map.
+ * Property, checked by assert(): in each step all ranks use the same map.
  *
- * A rank takes orders with a ballot and refuses lower ones than it has promised
- * (an engine that checks no fence is ordered by its own agent alone, which checks
- * in its place):
- *   prepare  promises the ballot, answers step, committed and armed map
- *   arm      a map for a step that has not begun; the rank does not begin that
- *            step before it is decided
- *   commit   of what is armed with that ballot, or of what a rank elsewhere has
- *            committed already
- *   disarm   takes an arm back
- *   adopt    gives a replaced rank the state of the others
- * Each order names the rank's life.
+ * Each order carries a ballot; a rank refuses ballots lower than the highest one that it
+ * has promised. (An engine that does not check ballots is controlled only by its own
+ * agent, which checks them instead.) Orders:
+ *   prepare  promise the ballot; the rank answers with its step, committed and armed map
+ *   arm      use a map from a step on that has not begun; the rank does not begin that
+ *            step before the map is committed or disarmed
+ *   commit   commit what is armed with this ballot, or what another rank has already
+ *            committed
+ *   disarm   withdraw an arm
+ *   adopt    give a replaced rank the state of the others
+ * Each order names the incarnation of the rank.
  *
- * Broken variants, each with -D: NO_FENCE, NO_READ_OF_ALL, COMMIT_BEFORE_ALL_ARMED,
- * ARM_BEGUN_STEP, NO_LIFE, BEGIN_UNDECIDED.
+ * Broken variants, each with -D and each of which must violate an assertion:
+ *   NO_FENCE                 ranks do not check ballots
+ *   NO_READ_OF_ALL           the coordinator does not finish a commit that it has read
+ *   COMMIT_BEFORE_ALL_ARMED  the coordinator commits although a rank refused to arm
+ *   ARM_BEGUN_STEP           a rank arms a step that has begun
+ *   NO_INCARNATION           ranks do not check the incarnation
+ *   BEGIN_UNDECIDED          a rank begins a step that is armed and not committed
  */
 #define RANKS 3
-#define STEPS 3      /* steps that are run */
+#define STEPS 3      /* number of steps of a run */
 #define BALLOTS 2    /* one for each coordinator */
 
-byte step[RANKS];    /* the last that it began */
-byte version[RANKS]; /* of its committed map */
-byte map[RANKS];     /* committed */
-byte from[RANKS];    /* step from which it is used */
-byte before[RANKS];  /* map that is used until then */
-byte armed[RANKS];   /* ballot; 0: nothing is armed */
+byte step[RANKS];    /* last step that the rank has begun */
+byte version[RANKS]; /* version of the committed map */
+byte map[RANKS];     /* committed map */
+byte from[RANKS];    /* first step that uses the committed map */
+byte before[RANKS];  /* map that is used before that step */
+byte armed[RANKS];   /* ballot of the armed map; 0: nothing is armed */
 byte armed_map[RANKS];
 byte armed_step[RANKS];
 byte promised[RANKS];
-bool blank[RANKS];   /* replaced, and not adopted yet */
-byte life[RANKS];
+bool blank[RANKS];   /* replaced, and has no state of the others yet */
+byte incarnation[RANKS];
 bool replaced;
 
-/* The map that a rank has run a step with, plus one; 0: not run yet. What a rank
- * ran before it was replaced counts for nothing: a step is whole when all ranks
- * have run it, and the new life runs it again. */
+/* The map with which a rank has run a step, plus 1; 0: not run yet. Steps that a rank
+ * ran before it was replaced do not count: a step is complete when all ranks have run
+ * it, and the new incarnation runs it again. */
 byte used[RANKS * (STEPS + 1)];
 #define used_by(r, s) used[(r) * (STEPS + 1) + (s)]
 #define agrees(q, s, m) (used_by (q, s) == 0 || used_by (q, s) == m)
 
-/* Orders that were sent and may come (again) at any time. */
+/* Orders that were sent; they may be delivered, also repeatedly, at any later time. */
 byte arm_step[BALLOTS + 1];
-byte arm_first[BALLOTS + 1]; /* the step of its first arms, if it had to go later */
-byte arm_life[(BALLOTS + 1) * RANKS];
+byte arm_first[BALLOTS + 1]; /* step of the first arms, if a later step had to be chosen */
+byte arm_incarnation[(BALLOTS + 1) * RANKS];
 bool commit_sent[BALLOTS + 1];
 
 #ifdef NO_FENCE
-#define fenced(r, b) (false)
+#define is_fenced(r, b) (false)
 #else
-#define fenced(r, b) (b < promised[r])
+#define is_fenced(r, b) (b < promised[r])
 #endif
 
-#ifdef NO_LIFE
-#define right_life(r, l) (true)
+#ifdef NO_INCARNATION
+#define is_current(r, l) (true)
 #else
-#define right_life(r, l) (l == life[r])
+#define is_current(r, l) (l == incarnation[r])
 #endif
 
 #ifdef ARM_BEGUN_STEP
 #define may_arm(r, s) (!blank[r])
 #else
-/* A map that is committed must be in use first. */
+/* A rank arms a map only once its committed map is in use. */
 #define may_arm(r, s) (!blank[r] && step[r] < s && step[r] >= from[r])
 #endif
 
-/* An arm that comes late must not replace a later one of the same ballot, nor
- * come after that ballot's commit: else the rank would stand still. */
-#define outdated(r, b, s) ((armed[r] == b && s < armed_step[r]) || map[r] == b)
+/* A delayed arm must not replace a later one of the same ballot, nor be accepted after the
+ * commit of that ballot: otherwise the rank would stall. */
+#define is_outdated(r, b, s) ((armed[r] == b && s < armed_step[r]) || map[r] == b)
 
-/* Each order sets ok: whether the rank took it. */
+/* Handlers of orders; handle_arm sets ok to whether the rank has accepted the order. */
 
-inline take_arm (r, b, l, s)
+inline handle_arm (r, b, l, s)
 {
   if
-  :: right_life (r, l) && !fenced (r, b) && may_arm (r, s) && !outdated (r, b, s) ->
+  :: is_current (r, l) && !is_fenced (r, b) && may_arm (r, s) && !is_outdated (r, b, s) ->
      promised[r] = b;
      armed[r] = b;
      armed_map[r] = b;
      armed_step[r] = s;
      ok = true
-  :: else -> ok = (right_life (r, l) && armed[r] == b && armed_step[r] == s)
+  :: else -> ok = (is_current (r, l) && armed[r] == b && armed_step[r] == s)
   fi
 }
 
@@ -99,25 +104,25 @@
   armed_step[r] = 0
 }
 
-inline take_commit (r, b, l, s)
+inline handle_commit (r, b, l, s)
 {
   if
-  :: right_life (r, l) && !blank[r] && armed[r] == b && armed_step[r] == s && !fenced (r, b) ->
+  :: is_current (r, l) && !blank[r] && armed[r] == b && armed_step[r] == s && !is_fenced (r, b) ->
      commit_armed (r)
   :: else
   fi
 }
 
-/* A commit that another rank has taken already: it comes with all that it says. */
-inline take_finish (r, b, l, d)
+/* A commit that another rank (donor) has already executed; it carries the whole map state. */
+inline handle_finish (r, b, l, donor)
 {
   if
-  :: right_life (r, l) && !blank[r] && !fenced (r, b) && version[r] < version[d] ->
-     assert (step[r] < from[d]);
+  :: is_current (r, l) && !blank[r] && !is_fenced (r, b) && version[r] < version[donor] ->
+     assert (step[r] < from[donor]);
      before[r] = map[r];
-     map[r] = map[d];
-     from[r] = from[d];
-     version[r] = version[d];
+     map[r] = map[donor];
+     from[r] = from[donor];
+     version[r] = version[donor];
      armed[r] = 0;
      armed_map[r] = 0;
      armed_step[r] = 0
@@ -125,16 +130,16 @@
   fi
 }
 
-inline take_adopt (r, b, l, d)
+inline handle_adopt (r, b, l, donor)
 {
   if
-  :: right_life (r, l) && blank[r] && !fenced (r, b) ->
-     map[r] = map[d];
-     from[r] = from[d];
-     before[r] = before[d];
-     version[r] = version[d];
-     /* Where another has begun a step, the life before had begun the step before
-      * that: the new one goes on from there, and runs the others' present step. */
+  :: is_current (r, l) && blank[r] && !is_fenced (r, b) ->
+     map[r] = map[donor];
+     from[r] = from[donor];
+     before[r] = before[donor];
+     version[r] = version[donor];
+     /* If another rank has begun a step, the previous incarnation had begun the step
+      * before it: the new one continues there and runs the current step of the others. */
      step[r] = (step[(r + 1) % RANKS] > step[(r + 2) % RANKS] -> step[(r + 1) % RANKS]
                                                               : step[(r + 2) % RANKS]);
      step[r] = (step[r] > 0 -> step[r] - 1 : 0);
@@ -147,37 +152,38 @@
 {
   step[r] = step[r] + 1;
   if
-  :: step[r] >= from[r] -> now_map = map[r]
-  :: else -> now_map = before[r]
+  :: step[r] >= from[r] -> current_map = map[r]
+  :: else -> current_map = before[r]
   fi;
-  now_map++;
-  assert (agrees (0, step[r], now_map) && agrees (1, step[r], now_map)
-          && agrees (2, step[r], now_map));
-  used_by (r, step[r]) = now_map;
-  now_map = 0
+  current_map++;
+  assert (agrees (0, step[r], current_map) && agrees (1, step[r], current_map)
+          && agrees (2, step[r], current_map));
+  used_by (r, step[r]) = current_map;
+  current_map = 0
 }
 
 #ifdef BEGIN_UNDECIDED
-#define undecided(r) (false)
+#define is_undecided(r) (false)
 #else
-#define undecided(r) (armed[r] != 0 && armed_step[r] == step[r] + 1)
+#define is_undecided(r) (armed[r] != 0 && armed_step[r] == step[r] + 1)
 #endif
 
-#define behind(r) (step[r] <= step[0] && step[r] <= step[1] && step[r] <= step[2])
+#define is_slowest(r) (step[r] <= step[0] && step[r] <= step[1] && step[r] <= step[2])
 
 proctype Rank (byte r)
 {
-  byte now_map;
+  byte current_map;
 end:
   do
   :: atomic {
-       (!blank[0] && !blank[1] && !blank[2] && step[r] < STEPS && behind (r) && !undecided (r)) ->
+       (!blank[0] && !blank[1] && !blank[2] && step[r] < STEPS && is_slowest (r)
+        && !is_undecided (r)) ->
        begin_step (r) }
   od
 }
 
-/* Orders once more, late. */
-proctype Late ()
+/* Delivers orders late or repeatedly. */
+proctype LateOrders ()
 {
   bool ok;
   byte r;
@@ -186,92 +192,92 @@
   do
   :: atomic { select (r : 0 .. 2); select (b : 1 .. BALLOTS);
        if
-       :: arm_step[b] != 0 -> take_arm (r, b, arm_life[b * RANKS + r], arm_step[b])
-       :: arm_first[b] != 0 -> take_arm (r, b, arm_life[b * RANKS + r], arm_first[b])
-       :: commit_sent[b] -> take_commit (r, b, arm_life[b * RANKS + r], arm_step[b])
+       :: arm_step[b] != 0 -> handle_arm (r, b, arm_incarnation[b * RANKS + r], arm_step[b])
+       :: arm_first[b] != 0 -> handle_arm (r, b, arm_incarnation[b * RANKS + r], arm_first[b])
+       :: commit_sent[b] -> handle_commit (r, b, arm_incarnation[b * RANKS + r], arm_step[b])
        :: else
        fi;
        r = 0; b = 0; ok = false }
   od
 }
 
-/* One rank is replaced, once; it forgets all. */
+/* Replaces one rank, once; it loses its state. */
 proctype Replace ()
 {
-  byte gone;
+  byte victim;
 
   atomic {
-    select (gone : 0 .. 2);
-    step[gone] = 0; version[gone] = 0; map[gone] = 0; from[gone] = 0; before[gone] = 0;
-    armed[gone] = 0; armed_map[gone] = 0; armed_step[gone] = 0; promised[gone] = 0;
-    blank[gone] = true;
-    life[gone] = 1;
-    used_by (gone, 1) = 0; used_by (gone, 2) = 0; used_by (gone, 3) = 0;
-    gone = 0
+    select (victim : 0 .. 2);
+    step[victim] = 0; version[victim] = 0; map[victim] = 0; from[victim] = 0; before[victim] = 0;
+    armed[victim] = 0; armed_map[victim] = 0; armed_step[victim] = 0; promised[victim] = 0;
+    blank[victim] = true;
+    incarnation[victim] = 1;
+    used_by (victim, 1) = 0; used_by (victim, 2) = 0; used_by (victim, 3) = 0;
+    victim = 0
   }
 }
 
 proctype Coordinator (byte b)
 {
   byte r;
-  byte d;        /* a rank with the newest committed map */
-  byte last;     /* the latest step that any rank has begun, as read */
-  byte top;
+  byte donor;            /* a rank with the newest committed map */
+  byte latest_step;      /* latest step that any rank has begun, according to the answers */
+  byte newest_version;   /* version of its map */
   bool ok;
   bool differ;
   byte read_version[RANKS];
   bool read_blank[RANKS];
 
-  /* 1. prepare, and 2. read all */
+  /* 1. prepare, and 2. read all ranks */
   do
   :: atomic { r < RANKS ->
        if
-       :: fenced (r, b) -> goto stop
+       :: is_fenced (r, b) -> goto stop
        :: else
        fi;
        promised[r] = b;
-       arm_life[b * RANKS + r] = life[r];
+       arm_incarnation[b * RANKS + r] = incarnation[r];
        read_version[r] = version[r];
        read_blank[r] = blank[r];
        if
-       :: step[r] > last -> last = step[r]
+       :: step[r] > latest_step -> latest_step = step[r]
        :: else
        fi;
        r++ }
   :: atomic { r == RANKS -> r = 0; break }
   od;
   atomic {
-    d = (read_blank[0] -> 1 : 0);
+    donor = (read_blank[0] -> 1 : 0);
     if
-    :: !read_blank[1] && read_version[1] > read_version[d] -> d = 1
+    :: !read_blank[1] && read_version[1] > read_version[donor] -> donor = 1
     :: else
     fi;
     if
-    :: !read_blank[2] && read_version[2] > read_version[d] -> d = 2
+    :: !read_blank[2] && read_version[2] > read_version[donor] -> donor = 2
     :: else
     fi;
-    top = read_version[d];
-    differ = ((!read_blank[0] && read_version[0] < top)
-              || (!read_blank[1] && read_version[1] < top)
-              || (!read_blank[2] && read_version[2] < top))
+    newest_version = read_version[donor];
+    differ = ((!read_blank[0] && read_version[0] < newest_version)
+              || (!read_blank[1] && read_version[1] < newest_version)
+              || (!read_blank[2] && read_version[2] < newest_version))
   }
-  /* The rank that was read may have been replaced since: its word still holds,
-   * but the model takes it from the rank, so it stops instead. */
+  /* The donor may have been replaced since it was read. Its answer is still valid, but the
+   * model copies the state from the rank itself, so the coordinator stops in this case. */
   do
   :: atomic { r < RANKS ->
        if
-       :: blank[d] || version[d] != top -> goto stop
+       :: blank[donor] || version[donor] != newest_version -> goto stop
        :: else
        fi;
        if
 #ifndef NO_READ_OF_ALL
-       :: differ && !read_blank[r] -> take_finish (r, b, arm_life[b * RANKS + r], d)
+       :: differ && !read_blank[r] -> handle_finish (r, b, arm_incarnation[b * RANKS + r], donor)
        :: !differ && !read_blank[r] ->
 #else
        :: !read_blank[r] ->
 #endif
           if
-          :: right_life (r, arm_life[b * RANKS + r]) && !fenced (r, b) ->
+          :: is_current (r, arm_incarnation[b * RANKS + r]) && !is_fenced (r, b) ->
              armed[r] = 0; armed_map[r] = 0; armed_step[r] = 0
           :: else -> goto stop
           fi
@@ -283,27 +289,28 @@
   do
   :: atomic { r < RANKS ->
        if
-       :: read_blank[r] && (blank[d] || version[d] != top) -> goto stop
-       :: read_blank[r] && !blank[d] && version[d] == top -> take_adopt (r, b, arm_life[b * RANKS + r], d)
+       :: read_blank[r] && (blank[donor] || version[donor] != newest_version) -> goto stop
+       :: read_blank[r] && !blank[donor] && version[donor] == newest_version ->
+          handle_adopt (r, b, arm_incarnation[b * RANKS + r], donor)
        :: else
        fi;
        r++ }
   :: atomic { r == RANKS -> r = 0; break }
   od;
 
-  /* 3. arm all, at a later step where one was begun meanwhile */
-  atomic { arm_step[b] = last + 1; arm_first[b] = last + 1 }
+  /* 3. arm all ranks, for a later step if a rank has begun the chosen step meanwhile */
+  atomic { arm_step[b] = latest_step + 1; arm_first[b] = latest_step + 1 }
   do
   :: atomic { r < RANKS ->
-       take_arm (r, b, arm_life[b * RANKS + r], arm_step[b]);
+       handle_arm (r, b, arm_incarnation[b * RANKS + r], arm_step[b]);
        if
        :: ok -> r++
 #ifdef COMMIT_BEFORE_ALL_ARMED
        :: !ok -> r++
 #else
-       :: !ok && fenced (r, b) -> goto stop
-       :: !ok && !fenced (r, b) && arm_step[b] < STEPS -> arm_step[b] = arm_step[b] + 1; r = 0
-       :: !ok && !fenced (r, b) && arm_step[b] >= STEPS -> goto stop
+       :: !ok && is_fenced (r, b) -> goto stop
+       :: !ok && !is_fenced (r, b) && arm_step[b] < STEPS -> arm_step[b] = arm_step[b] + 1; r = 0
+       :: !ok && !is_fenced (r, b) && arm_step[b] >= STEPS -> goto stop
 #endif
        fi;
        ok = false }
@@ -314,13 +321,13 @@
   do
   :: atomic { r < RANKS ->
        commit_sent[b] = true;
-       take_commit (r, b, arm_life[b * RANKS + r], arm_step[b]);
+       handle_commit (r, b, arm_incarnation[b * RANKS + r], arm_step[b]);
        r++ }
   :: atomic { r == RANKS -> r = 0; break }
   od;
 stop:
   atomic {
-    r = 0; d = 0; last = 0; top = 0; ok = false; differ = false;
+    r = 0; donor = 0; latest_step = 0; newest_version = 0; ok = false; differ = false;
     read_version[0] = 0; read_version[1] = 0; read_version[2] = 0;
     read_blank[0] = false; read_blank[1] = false; read_blank[2] = false
   }
@@ -332,7 +339,7 @@
     run Rank (0);
     run Rank (1);
     run Rank (2);
-    run Late ();
+    run LateOrders ();
     run Replace ();
     run Coordinator (1);
     run Coordinator (2)
--- a/spec/map_switch.pml
+++ b/spec/map_switch.pml
@@ -1,45 +1,53 @@
 /*
- * A change of the map of a group in lock-step that is ordered from outside, where
- * ranks take orders from anyone and check neither fence nor ballot: two ranks (three
- * with -DRANKS=3), two leaders that may stop or go on late at any point, orders that are
- * lost, answered in vain, sent again, or carried out late and out of order.
+ * A change of the expert map of a group whose ranks run in lock-step, ordered by external
+ * leaders. Ranks accept orders from any leader and check neither fence nor ballot. Two
+ * ranks (three with -DRANKS=3); two leaders, each of which may stop or be delayed at any
+ * point; orders may be lost, repeated, delayed or reordered, and their answers lost.
  *
- * Promises, checked by assert(): in each step all ranks use one and the same
- * map (a fence is another version of the map in use); and once one leader is left and
- * nothing is lost any more, all steps are run, whatever stood before.
+ * Properties, checked by assert(): in each step all ranks use the same map (a fence is
+ * another version of the active map); once only one leader is left and nothing is lost
+ * any more, all steps are run, whatever the state before.
  *
- * A rank takes
- *   prepare  of a version above all it had, unless it is armed; it copies for a while
- *   arm      of the version that it has prepared, for a step that has not begun
- *   disarm   of a version that is not in use
- *   hold     of a step that has not begun, one at a time: the group does not begin it
- *   go       of the step that it holds
+ * Orders that a rank accepts:
+ *   prepare  a version higher than all it has prepared, unless it is armed; the rank then
+ *            copies experts for a while
+ *   arm      the version that it has prepared and copied, for a step that has not begun
+ *   disarm   a version that is not in use
+ *   hold     a step that has not begun, one step at a time: the group does not begin it
+ *   go       release the step that the rank holds
  *
- * A leader has all ranks prepare; holds a step at a rank of its own; arms all for
- * that step; lets it go. Going back, it disarms all and then fences: each rank
- * prepares a newer version with the map in use, after which it refuses every late
- * arm. Whoever sees a hold of another finishes: it reads all ranks, holds the step
- * itself, and goes back from what it found; where it found nothing, it fences all the
- * same, since what is still being copied is in no report. It arms nothing on: another
- * leader that goes back may disarm ranks that it counts as armed.
+ * A leader orders all ranks to prepare, holds a step at its own rank, arms all ranks for
+ * that step, and releases it. To roll back, it disarms all ranks and then fences them:
+ * each rank prepares a newer version of the active map, after which it refuses every
+ * delayed arm. A leader that observes a hold of another one finishes that change: it
+ * reads all ranks, holds the step itself, and rolls back what it has found. If it has
+ * found nothing, it fences the ranks too, since reports do not show a version that is
+ * still being copied. It does not resume arming: another leader that rolls back may
+ * disarm ranks that it counts as armed.
  *
- * An order that was sent may be carried out at any time from then on, any number of
- * times and at any rank that it is for; its answer counts or is lost. An order that
- * can't have an effect any more is forgotten. Reports are read rank by rank, each as
- * it stands then; what is done with them comes any time later.
+ * An order that was sent may be executed at any later time, any number of times and at
+ * any rank that it addresses; its answer may be lost. Orders that can no longer have an
+ * effect are dropped. Reports are read rank by rank, each with the state at that time;
+ * the reader may act on them at any later time.
  *
- * Taken for granted: no copy of a hold is carried out after the go for it was; without
- * that (HELD_AGAIN) a late go lets go a step that is being armed anew. A leader holds a
- * step anew at its own rank, where there is no second one for it; so with CHANGES=1 its
- * own late go does the same.
- * Left out: new epochs, ranks that are replaced, leaders that start anew, a fence that is
- * given up because the map in use is not known. While there is trouble one leader begins
- * a change (with -DCHANGES=1 both), each finishes FINISHES times, and versions have LEVELS
- * levels. That the end is reached is checked as: no state without a way on but the last
- * one, at most TRIES rounds and LEVELS_MOST levels; not that no phase goes round for good.
+ * Assumption: no copy of a hold is executed after the go for it. Without it
+ * (REPEATED_HOLD) a delayed go releases a step that is being armed again. A leader that
+ * holds a step again can only use the same rank, its own; so with CHANGES=1 its own
+ * delayed go has the same effect.
+ * Not modelled: new epochs, replaced ranks, restarted leaders, a fence that is given up
+ * because the active map is unknown. Before the recovery, one leader begins a change
+ * (with -DCHANGES=1 both), each finishes changes FINISHES times, and versions have LEVELS
+ * levels. Termination is checked as: no deadlock before the last step, and at most
+ * ROUNDS_MAX rounds and LEVELS_MAX levels; an endless loop within a phase is not detected.
  *
- * Broken variants, each with -D: NO_HOLD, FINISHER_HOLDS_NOTHING,
- * ONE_COMMON_RANK, NO_FENCE, FINISHER_ARMS_ON, HELD_AGAIN, NOTHING_FOUND_LET_GO.
+ * Broken variants, each with -D and each of which must violate an assertion:
+ *   NO_HOLD                   a leader does not hold the step while it arms
+ *   FINISHER_WITHOUT_HOLD     a finishing leader rolls back without its own hold
+ *   SHARED_HOLD_RANK          all leaders hold the step at the same rank
+ *   NO_FENCE                  a leader does not fence the ranks after disarming
+ *   FINISHER_RESUMES_ARMING   a finishing leader arms the remaining ranks
+ *   REPEATED_HOLD             a delayed hold is executed after its go
+ *   RELEASE_IF_NOTHING_FOUND  a finishing leader that has found nothing releases the step at once
  */
 #ifndef RANKS
 #define RANKS 2
@@ -49,99 +57,102 @@
 #endif
 #define LEADERS 2
 #ifndef CHANGES
-#define CHANGES 0    /* that the second leader begins of itself; the first one begins one */
+#define CHANGES 0    /* changes that the second leader begins; the first leader begins one */
 #endif
 #define CHANGES_OF(l) ((l) == 0 -> 1 : CHANGES)
 #ifndef FINISHES
-#define FINISHES 1   /* that each leader begins while there is trouble */
+#define FINISHES 1   /* changes that each leader finishes before the recovery */
 #endif
 #ifndef LEVELS
-#define LEVELS 2     /* of versions, drawn while there is trouble; more when it is over */
+#define LEVELS 2     /* levels of versions before the recovery; up to LEVELS_MAX after it */
 #endif
-#define LEVELS_MOST 6
-#define TRIES 8      /* rounds in which a leader that is left alone must be done */
+#define LEVELS_MAX 6
+#define ROUNDS_MAX 8 /* rounds within which the remaining leader must complete */
 #define ALL ((1 << RANKS) - 1)
 
-byte step;           /* the last that was begun; all ranks begin together */
+byte step;           /* last step that was begun; all ranks begin a step together */
 byte used[RANKS];    /* version in use */
-byte map_of[16];     /* of each version: the change that it came with */
-byte had[RANKS];     /* the newest version that it took, which is the one prepared */
-bool copied[RANKS];  /* all of it */
-byte armed[RANKS];   /* 0: nothing */
+byte map_of[16];     /* the map of each version, named by the version of its change */
+byte prepared[RANKS]; /* newest version that the rank has accepted with a prepare */
+bool copied[RANKS];  /* the rank has copied all experts of the prepared version */
+byte armed[RANKS];   /* armed version; 0: none */
 byte armed_step[RANKS];
-byte held[RANKS];    /* 0: nothing */
+byte held[RANKS];    /* held step; 0: none */
 
-/* Orders that were sent: sets of versions, or of a rank and a step. */
+/* Orders that were sent: bit sets of versions (arms: per step), or of pairs of rank and step. */
 unsigned prepares : 16;
 unsigned disarms : 16;
 short arms[STEPS + 1];
 short holds;
 short gos;
-#define place(r, s) (1 << ((r) * STEPS + (s) - 1))
+#define order_bit(r, s) (1 << ((r) * STEPS + (s) - 1))
 
-byte calm;           /* the process of the leader that is left; 0: there is trouble */
+byte survivor; /* process id of the only remaining leader; 0: before the recovery */
 
 #define has(set, v) (((set) & (1 << (v))) != 0)
 
 #if RANKS == 2
-#define highest_had (had[0] > had[1] -> had[0] : had[1])
-#define lowest_had (had[0] < had[1] -> had[0] : had[1])
+#define highest_prepared (prepared[0] > prepared[1] -> prepared[0] : prepared[1])
+#define lowest_prepared (prepared[0] < prepared[1] -> prepared[0] : prepared[1])
 #define one_map (map_of[used[0]] == map_of[used[1]])
-#define holds_step(s) (held[0] == (s) || held[1] == (s))
+#define is_step_held(s) (held[0] == (s) || held[1] == (s))
 #define any_held (held[0] != 0 || held[1] != 0)
 #else
 #define max2(a, b) ((a) > (b) -> (a) : (b))
 #define min2(a, b) ((a) < (b) -> (a) : (b))
-#define highest_had (had[0] > had[1] -> max2 (had[0], had[2]) : max2 (had[1], had[2]))
-#define lowest_had (had[0] < had[1] -> min2 (had[0], had[2]) : min2 (had[1], had[2]))
+#define highest_prepared \
+  (prepared[0] > prepared[1] -> max2 (prepared[0], prepared[2]) : max2 (prepared[1], prepared[2]))
+#define lowest_prepared \
+  (prepared[0] < prepared[1] -> min2 (prepared[0], prepared[2]) : min2 (prepared[1], prepared[2]))
 #define one_map (map_of[used[0]] == map_of[used[1]] && map_of[used[1]] == map_of[used[2]])
-#define holds_step(s) (held[0] == (s) || held[1] == (s) || held[2] == (s))
+#define is_step_held(s) (held[0] == (s) || held[1] == (s) || held[2] == (s))
 #define any_held (held[0] != 0 || held[1] != 0 || held[2] != 0)
 #endif
 
-/* Orders that no rank would take any more. */
-inline forget_versions ()
+/* Drops the orders that no rank would accept any more. */
+inline drop_stale_versions ()
 {
-  prepares = prepares & ~((1 << (lowest_had + 1)) - 1);
-  disarms = disarms & ~((1 << lowest_had) - 1);
-  arms[1] = arms[1] & ~((1 << lowest_had) - 1);
+  prepares = prepares & ~((1 << (lowest_prepared + 1)) - 1);
+  disarms = disarms & ~((1 << lowest_prepared) - 1);
+  arms[1] = arms[1] & ~((1 << lowest_prepared) - 1);
 #if STEPS > 1
-  arms[2] = arms[2] & ~((1 << lowest_had) - 1);
+  arms[2] = arms[2] & ~((1 << lowest_prepared) - 1);
 #endif
 #if STEPS > 2
-  arms[3] = arms[3] & ~((1 << lowest_had) - 1);
+  arms[3] = arms[3] & ~((1 << lowest_prepared) - 1);
 #endif
 }
 
-inline forget_step (s)
+inline drop_step_orders (s)
 {
   arms[s] = 0;
-  holds = holds & ~(place (0, s) | place (1, s) | place (RANKS - 1, s));
-  gos = gos & ~(place (0, s) | place (1, s) | place (RANKS - 1, s))
+  holds = holds & ~(order_bit (0, s) | order_bit (1, s) | order_bit (RANKS - 1, s));
+  gos = gos & ~(order_bit (0, s) | order_bit (1, s) | order_bit (RANKS - 1, s))
 }
 
-/* Each order sets ok: whether the rank took it, or has it already. */
+/* Handlers of orders. Each sets ok: whether the rank accepts the order or has executed it before. */
 
-inline take_prepare (r, v)
+inline handle_prepare (r, v)
 {
   if
-  :: had[r] == v -> ok = true
-  :: had[r] < v && armed[r] == 0 -> had[r] = v; copied[r] = false; forget_versions (); ok = true
+  :: prepared[r] == v -> ok = true
+  :: prepared[r] < v && armed[r] == 0 ->
+     prepared[r] = v; copied[r] = false; drop_stale_versions (); ok = true
   :: else -> ok = false
   fi
 }
 
-inline take_arm (r, v, s)
+inline handle_arm (r, v, s)
 {
   if
   :: armed[r] == v && armed_step[r] == s -> ok = true
-  :: !(armed[r] == v && armed_step[r] == s) && step < s && had[r] == v && copied[r] ->
+  :: !(armed[r] == v && armed_step[r] == s) && step < s && prepared[r] == v && copied[r] ->
      armed[r] = v; armed_step[r] = s; ok = true
   :: else -> ok = false
   fi
 }
 
-inline take_disarm (r, v)
+inline handle_disarm (r, v)
 {
   if
   :: armed[r] == v && used[r] != v -> armed[r] = 0; armed_step[r] = 0
@@ -150,7 +161,7 @@
   ok = (used[r] != v)
 }
 
-inline take_hold (r, s)
+inline handle_hold (r, s)
 {
   if
   :: held[r] == s -> ok = true
@@ -159,13 +170,13 @@
   fi
 }
 
-inline take_go (r, s)
+inline handle_go (r, s)
 {
   if
   :: held[r] == s ->
      held[r] = 0;
-#ifndef HELD_AGAIN
-     holds = holds & ~place (r, s);
+#ifndef REPEATED_HOLD
+     holds = holds & ~order_bit (r, s);
 #endif
      ok = true
   :: else -> ok = false
@@ -177,7 +188,7 @@
   byte r;
 end:
   do
-  :: atomic { step < STEPS && !holds_step (step + 1) ->
+  :: atomic { step < STEPS && !is_step_held (step + 1) ->
        step++;
        do
        :: r < RANKS ->
@@ -188,7 +199,7 @@
           r++
        :: r == RANKS -> r = 0; break
        od;
-       forget_step (step);
+       drop_step_orders (step);
        assert (one_map) }
   :: atomic { !copied[0] -> copied[0] = true }
   :: atomic { !copied[1] -> copied[1] = true }
@@ -198,8 +209,8 @@
   od
 }
 
-/* Orders without an answer: late, or once more. */
-proctype Late ()
+/* Executes orders late or repeatedly; their answers are lost. */
+proctype LateOrders ()
 {
   bool ok;
   byte r;
@@ -207,23 +218,23 @@
   byte s;
 end:
   do
-  :: atomic { calm == 0 && (prepares != 0 || disarms != 0) ->
+  :: atomic { survivor == 0 && (prepares != 0 || disarms != 0) ->
        select (r : 0 .. RANKS - 1); select (v : 2 .. 2 * LEVELS + 1);
        if
-       :: has (prepares, v) -> take_prepare (r, v)
-       :: has (disarms, v) -> take_disarm (r, v)
+       :: has (prepares, v) -> handle_prepare (r, v)
+       :: has (disarms, v) -> handle_disarm (r, v)
        :: else
        fi;
        r = 0; v = 0; ok = false }
-  :: atomic { calm == 0 && step < STEPS ->
+  :: atomic { survivor == 0 && step < STEPS ->
        select (r : 0 .. RANKS - 1); select (s : 1 .. STEPS);
        if
-       :: (holds & place (r, s)) != 0 -> take_hold (r, s)
-       :: (gos & place (r, s)) != 0 -> take_go (r, s)
+       :: (holds & order_bit (r, s)) != 0 -> handle_hold (r, s)
+       :: (gos & order_bit (r, s)) != 0 -> handle_go (r, s)
        :: arms[s] != 0 ->
           select (v : 2 .. 2 * LEVELS + 1);
           if
-          :: has (arms[s], v) -> take_arm (r, v, s)
+          :: has (arms[s], v) -> handle_arm (r, v, s)
           :: else
           fi
        :: else
@@ -232,13 +243,13 @@
   od
 }
 
-/* One leader is left, and nothing is lost or late any more. */
-proctype Calm ()
+/* From now on one leader is left, and no order is lost or delayed. */
+proctype Recovery ()
 {
   atomic {
     if
-    :: calm = 1
-    :: calm = 2
+    :: survivor = 1
+    :: survivor = 2
     fi;
     prepares = 0; disarms = 0; arms[1] = 0; holds = 0; gos = 0;
 #if STEPS > 1
@@ -249,81 +260,82 @@
 #endif
   }
   timeout -> assert (step == STEPS);
-  /* The other leader is left wherever it stood: that is no deadlock. */
+  /* The other leader stays where it stopped; this is not a deadlock. */
   do
   :: step == STEPS
   od
 }
 
-#ifdef ONE_COMMON_RANK
-#define own(l) 0
+#ifdef SHARED_HOLD_RANK
+#define own_rank(l) 0
 #else
-#define own(l) (l)
+#define own_rank(l) (l)
 #endif
 
-/* A version above all that a rank had and that this leader has drawn; not used by
- * another leader. */
-inline draw (x)
+/* Allocates a version higher than all versions that any rank has prepared or this leader has
+ * allocated. No other leader uses the same version. */
+inline allocate (x)
 {
-  level = (level > highest_had / 2 -> level : highest_had / 2) + 1;
-  assert (level <= LEVELS_MOST);
+  level = (level > highest_prepared / 2 -> level : highest_prepared / 2) + 1;
+  assert (level <= LEVELS_MAX);
   x = level * 2 + l
 }
-#define can_draw (calm != 0 || (level < LEVELS && highest_had / 2 < LEVELS))
+#define can_allocate (survivor != 0 || (level < LEVELS && highest_prepared / 2 < LEVELS))
 
-#define unanswered(r) ((answered & (1 << (r))) == 0)
+#define is_unanswered(r) ((answered_ranks & (1 << (r))) == 0)
 
-/* By a late arm: nothing changes at its step, and it takes nothing else till then. */
-#define armed_in_use(r) (armed[r] != 0 && armed[r] == used[r])
+/* A delayed arm has armed the version that is in use: its step changes nothing, and until then the
+ * rank accepts no other version. */
+#define is_active_armed(r) (armed[r] != 0 && armed[r] == used[r])
 
-/* Next phase. */
-#define enter answered = 0; whole = false; ok = false
+/* Starts the next phase. */
+#define start_phase answered_ranks = 0; any_copied = false; ok = false
 
-proctype Leader (byte l) provided (calm == 0 || calm == _pid)
+proctype Leader (byte l) provided (survivor == 0 || survivor == _pid)
 {
   bool ok;
-  bool whole;           /* a rank has copied all of the version */
+  bool any_copied;     /* a rank has copied all experts of the version */
   bool finishing;
   byte changes;
   byte finishes;
-  byte level;          /* of the last version that it drew */
-  byte v;              /* being changed to; 0: nothing is to be taken */
-  byte s;              /* being held */
-  byte fence;
-  byte foreign;        /* rank whose hold is being finished */
-  byte answered;       /* set of ranks */
-  byte disarm_first;        /* set of ranks that have refused the fence */
-  byte found_armed;
-  byte found_prepared;
-  byte tries;
+  byte level;          /* level of the last version that this leader allocated */
+  byte v;              /* version that is prepared or rolled back; 0: none */
+  byte s;              /* step that is held */
+  byte fence;          /* version of the active map that fences the ranks; 0: none */
+  byte foreign_rank;   /* rank with the hold that is being finished */
+  byte answered_ranks; /* bit set of ranks */
+  byte disarm_first;   /* bit set of ranks that refuse the fence until they are disarmed */
+  byte found_armed;    /* lowest version that a rank has armed and does not use, as read */
+  byte found_prepared; /* lowest version that a rank has copied and does not use, as read */
+  byte rounds;
   byte r;
 
 idle:
   atomic {
-    v = 0; s = 0; fence = 0; foreign = 0; finishing = false; disarm_first = 0; enter;
+    v = 0; s = 0; fence = 0; foreign_rank = 0; finishing = false; disarm_first = 0; start_phase;
     found_armed = 0; found_prepared = 0;
     if
-    :: calm != 0 -> tries++; assert (tries <= TRIES)
+    :: survivor != 0 -> rounds++; assert (rounds <= ROUNDS_MAX)
     :: else
     fi
   }
 end_idle:
   if
-  :: atomic { calm == 0 && changes < CHANGES_OF (l) && can_draw && step < STEPS ->
-       changes++; draw (v); map_of[v] = v; prepares = prepares | (1 << v) }
+  :: atomic { survivor == 0 && changes < CHANGES_OF (l) && can_allocate && step < STEPS ->
+       changes++; allocate (v); map_of[v] = v; prepares = prepares | (1 << v) }
      goto prepare
-  /* The lowest hold is the one at which the group stands. */
-  :: atomic { any_held && (calm != 0 || finishes < FINISHES) ->
-       finishes = (calm == 0 -> finishes + 1 : 0);
+  /* The lowest held step is the one that stalls the group. */
+  :: atomic { any_held && (survivor != 0 || finishes < FINISHES) ->
+       finishes = (survivor == 0 -> finishes + 1 : 0);
        if
-       :: holds_step (step + 1) -> s = step + 1
+       :: is_step_held (step + 1) -> s = step + 1
        :: else -> s = step + 2
        fi;
        if
-       :: held[0] == s -> foreign = 0
-       :: held[1] == s -> foreign = 1
+       :: held[0] == s -> foreign_rank = 0
+       :: held[1] == s -> foreign_rank = 1
 #if RANKS > 2
-       :: held[2] == s -> foreign = 2
+       :: held[2] == s -> foreign_rank = 2
 #endif
        :: else -> s = 0
        fi;
@@ -336,32 +348,35 @@
 
 prepare:
   do
-  :: atomic { answered != ALL ->
+  :: atomic { answered_ranks != ALL ->
        select (r : 0 .. RANKS - 1);
-       take_prepare (r, v);
+       handle_prepare (r, v);
        if
-       :: ok -> answered = answered | (1 << r); whole = (whole || copied[r]); r = 0; ok = false
+       :: ok ->
+          answered_ranks = answered_ranks | (1 << r);
+          any_copied = (any_copied || copied[r]);
+          r = 0; ok = false
        :: else -> r = 0; goto idle
        fi }
-  :: atomic { answered == ALL && !whole ->
-       /* They are asked again. */
+  :: atomic { answered_ranks == ALL && !any_copied ->
+       /* The ranks are polled again. */
        select (r : 0 .. RANKS - 1);
        if
-       :: had[r] == v && copied[r] -> whole = true; r = 0
-       :: had[r] != v -> r = 0; goto idle
+       :: prepared[r] == v && copied[r] -> any_copied = true; r = 0
+       :: prepared[r] != v -> r = 0; goto idle
        :: else -> r = 0
        fi }
-  :: atomic { answered == ALL && whole -> enter; break }
+  :: atomic { answered_ranks == ALL && any_copied -> start_phase; break }
   :: goto idle
   od;
 
-choose:
+choose_step:
   atomic {
     if
     :: step >= STEPS -> goto idle
     :: else
     fi;
-    /* Which step runs now is not known for sure. */
+    /* The leader does not know exactly which step is running. */
     if
     :: s = step + 1
     :: step + 2 <= STEPS -> s = step + 2
@@ -372,56 +387,59 @@
   }
 hold:
   atomic {
-    holds = holds | place (own (l), s) }
+    holds = holds | order_bit (own_rank (l), s) }
   atomic {
-    take_hold (own (l), s);
+    handle_hold (own_rank (l), s);
     if
-    :: ok -> enter
+    :: ok -> start_phase
     :: !ok && finishing -> goto idle
-    :: !ok && !finishing -> goto choose
+    :: !ok && !finishing -> goto choose_step
     :: !ok && !finishing -> goto idle
     fi
   }
-#ifdef FINISHER_ARMS_ON
+#ifdef FINISHER_RESUMES_ARMING
   if
-  :: v == 0 -> goto back
+  :: v == 0 -> goto roll_back
   :: else
   fi;
 #else
   if
-  :: finishing -> goto back
+  :: finishing -> goto roll_back
   :: else
   fi;
 #endif
 
 arm:
-  atomic { enter; arms[s] = arms[s] | (1 << v) }
+  atomic { start_phase; arms[s] = arms[s] | (1 << v) }
   do
-  :: atomic { answered != ALL && step < s ->
+  :: atomic { answered_ranks != ALL && step < s ->
        select (r : 0 .. RANKS - 1);
-       take_arm (r, v, s);
+       handle_arm (r, v, s);
 #ifdef REPORT_IS_ANSWER
        ok = ok || armed[r] == v;
 #endif
        if
-       :: ok -> answered = answered | (1 << r)
+       :: ok -> answered_ranks = answered_ranks | (1 << r)
        :: else
        fi;
        r = 0; ok = false }
-  :: atomic { answered == ALL -> enter; goto go }
-  :: atomic { step >= s -> enter; goto go }
-  :: answered != ALL -> break /* a rank can't, or takes too long */
+  :: atomic { answered_ranks == ALL -> start_phase; goto go }
+  :: atomic { step >= s -> start_phase; goto go }
+  :: answered_ranks != ALL -> break /* a rank refuses, or takes too long */
   od;
 
-back:
+roll_back:
   if
 #ifdef NO_FENCE
   :: goto disarm
 #else
-  :: atomic { fence == 0 && can_draw -> draw (fence); map_of[fence] = map_of[used[0]]; prepares = prepares | (1 << fence) }
+  :: atomic { fence == 0 && can_allocate ->
+       allocate (fence);
+       map_of[fence] = map_of[used[0]];
+       prepares = prepares | (1 << fence) }
   :: fence != 0
 #endif
-  :: atomic { step >= s -> enter; goto go }
+  :: atomic { step >= s -> start_phase; goto go }
   fi;
   if
   :: v == 0 -> goto fence_all
@@ -429,100 +447,103 @@
   fi;
 
 disarm:
-  atomic { enter; disarms = disarms | (1 << v) }
+  atomic { start_phase; disarms = disarms | (1 << v) }
   do
-  :: atomic { answered != ALL ->
+  :: atomic { answered_ranks != ALL ->
        select (r : 0 .. RANKS - 1);
-       take_disarm (r, v);
-       answered = answered | (1 << r);
+       handle_disarm (r, v);
+       answered_ranks = answered_ranks | (1 << r);
        r = 0; ok = false }
-  :: atomic { answered == ALL -> enter; break }
-  :: atomic { step >= s -> enter; goto go }
+  :: atomic { answered_ranks == ALL -> start_phase; break }
+  :: atomic { step >= s -> start_phase; goto go }
   od;
 fence_all:
-  enter;
+  start_phase;
 #ifndef NO_FENCE
   do
-  :: atomic { answered != ALL && step < s ->
+  :: atomic { answered_ranks != ALL && step < s ->
        select (r : 0 .. RANKS - 1);
        if
-       :: !unanswered (r)
-       :: unanswered (r) && (disarm_first & (1 << r)) != 0 ->
-          take_disarm (r, v);
+       :: !is_unanswered (r)
+       :: is_unanswered (r) && (disarm_first & (1 << r)) != 0 ->
+          handle_disarm (r, v);
           disarm_first = disarm_first & ~(1 << r)
-       :: unanswered (r) && (disarm_first & (1 << r)) == 0 ->
-          take_prepare (r, fence);
+       :: is_unanswered (r) && (disarm_first & (1 << r)) == 0 ->
+          handle_prepare (r, fence);
           if
-          :: ok || armed_in_use (r) -> answered = answered | (1 << r)
+          :: ok || is_active_armed (r) -> answered_ranks = answered_ranks | (1 << r)
           :: else ->
              if
              :: v != 0 && armed[r] == v -> disarm_first = disarm_first | (1 << r)
-             :: else -> r = 0; ok = false; goto read_anew
+             :: else -> r = 0; ok = false; goto restart_reading
              fi
           fi
        fi;
        r = 0; ok = false }
-  :: atomic { answered == ALL -> enter; disarm_first = 0; break }
-  :: atomic { step >= s -> enter; disarm_first = 0; break }
+  :: atomic { answered_ranks == ALL -> start_phase; disarm_first = 0; break }
+  :: atomic { step >= s -> start_phase; disarm_first = 0; break }
   od;
 #endif
 
 go:
   atomic {
-    gos = gos | place (own (l), s);
+    gos = gos | order_bit (own_rank (l), s);
     if
-    :: finishing -> gos = gos | place (foreign, s)
+    :: finishing -> gos = gos | order_bit (foreign_rank, s)
     :: else
     fi
   }
 #ifndef NO_HOLD
-  atomic { take_go (own (l), s); ok = false }
+  atomic { handle_go (own_rank (l), s); ok = false }
 #endif
 go_foreign:
   if
-  :: atomic { finishing -> gos = gos | place (foreign, s); take_go (foreign, s); ok = false }
+  :: atomic { finishing ->
+       gos = gos | order_bit (foreign_rank, s); handle_go (foreign_rank, s); ok = false }
   :: else
   fi;
   goto idle;
 
-read_anew:
+restart_reading:
   atomic {
     if
     :: finishing
-    :: else -> finishing = true; foreign = own (l)
+    :: else -> finishing = true; foreign_rank = own_rank (l)
     fi;
-    enter; disarm_first = 0; fence = 0 }
+    start_phase; disarm_first = 0; fence = 0 }
 read:
   do
-  :: atomic { answered != ALL ->
+  :: atomic { answered_ranks != ALL ->
        select (r : 0 .. RANKS - 1);
        if
-       :: unanswered (r) ->
-          answered = answered | (1 << r);
+       :: is_unanswered (r) ->
+          answered_ranks = answered_ranks | (1 << r);
           if
-          :: armed[r] != 0 && armed[r] != used[r] && (found_armed == 0 || armed[r] < found_armed) -> found_armed = armed[r]
+          :: armed[r] != 0 && armed[r] != used[r] && (found_armed == 0 || armed[r] < found_armed) ->
+             found_armed = armed[r]
           :: else
           fi;
           if
-          :: copied[r] && had[r] > used[r] && (found_prepared == 0 || had[r] < found_prepared) ->
-             found_prepared = had[r]
+          :: copied[r] && prepared[r] > used[r] && (found_prepared == 0
+                                                    || prepared[r] < found_prepared) ->
+             found_prepared = prepared[r]
           :: else
           fi
        :: else
        fi;
        r = 0 }
-  :: atomic { answered == ALL ->
+  :: atomic { answered_ranks == ALL ->
        v = (found_armed != 0 -> found_armed : found_prepared);
-       found_armed = 0; found_prepared = 0; enter; break }
+       found_armed = 0; found_prepared = 0; start_phase; break }
   od;
   if
-#ifdef NOTHING_FOUND_LET_GO
+#ifdef RELEASE_IF_NOTHING_FOUND
   :: v == 0 -> goto go_foreign
 #else
   :: v == 0 -> goto hold
 #endif
-#ifdef FINISHER_HOLDS_NOTHING
-  :: v != 0 -> goto back
+#ifdef FINISHER_WITHOUT_HOLD
+  :: v != 0 -> goto roll_back
 #else
   :: v != 0 -> goto hold
 #endif
@@ -536,9 +557,9 @@
     run Leader (0); /* process 1 */
     run Leader (1);
     run Group ();
-    run Late ();
-#ifndef NOCALM
-    run Calm ()
+    run LateOrders ();
+#ifndef NO_RECOVERY
+    run Recovery ()
 #endif
   }
 }
--- a/spec/request.pml
+++ b/spec/request.pml
@@ -1,98 +1,108 @@
 /*
- * One key whose request may not be repeated, three submissions of it through
- * three entries, and two endpoints: 0 is the key's home at revision 0, 1 at
- * revision 1. Agents restart and forget; calls, Submits and Disowns come late,
- * doubled or never; entries and agents have either revision.
+ * One idempotency key whose request must not be repeated, three submissions of it
+ * through three entries, and two endpoints: endpoint 0 is the home of the key at
+ * configuration revision 0, endpoint 1 at revision 1. Agents may restart and lose their
+ * state; calls, Submits and Disowns may be delayed, duplicated or lost; entries and
+ * agents may have either revision.
  *
- * Promises, checked by assert():
+ * Properties, checked by assert():
  *   - the request runs at most once;
- *   - if submission n is told "not run", no submission up to n ran or will run.
+ *   - if submission n is reported as "not run", no submission up to n has run or will
+ *     run.
  *
- * Abstractions. All happens within one key's life: a first life of an agent
- * began long before and knows all submissions, a later one is young. The guard
- * after a restart is modelled by what it brings about: a life's guard is not
- * over while a call that was made before that life is still on its way.
- * Submissions state their number. Links' sessions are not modelled: a message
- * names the life that it is meant for and may come at any time.
+ * Abstractions. All events happen within the lifetime of one key. The first incarnation
+ * of an agent started long before and has seen all submissions; a later one may have
+ * missed some. The guard period after a restart is modelled by its effect: it does not
+ * end while a call that was made before this incarnation is in transit. Submissions
+ * carry their number. Link sessions are not modelled: a message names the incarnation
+ * that it is sent to and may be delivered at any time.
  *
- * Broken variants, each with -D: NO_INCARNATION, TOLD_BEFORE_WRITTEN,
- * HOME_BY_LIVE_SET, LATER_ATTEMPT_IN_NEW_LIFE, NO_GUARD, SENT_NOWHERE_IS_NOT_RUN,
- * NO_DISOWN, DISOWN_FORGETS_REFUSALS.
+ * Broken variants, each with -D and each of which must violate an assertion:
+ *   NO_INCARNATION           an agent accepts Submits to an earlier incarnation
+ *   REPORT_BEFORE_RECORD     an agent refuses without recording the refusal
+ *   HOME_BY_LIVE_SET         an entry may choose either endpoint, whatever the home
+ *   LATER_ATTEMPT_IN_NEW_INCARNATION  a restarted agent runs submissions after the first
+ *   NO_GUARD                 a restarted agent has no guard period
+ *   UNSENT_IS_NOT_RUN        an entry reports each unsent submission as not run
+ *   NO_DISOWN                an entry does not query the earlier home
+ *   DISOWN_FORGETS_REFUSALS  the earlier home ignores which submissions it has refused
  */
-#define N 3          /* submissions */
-#define LIVES 2      /* of each agent */
+#define SUBMISSIONS 3
+#define INCARNATIONS 2 /* of each agent */
 
-#define NONE 0       /* states of a ledger's record */
+#define NONE 0       /* states of a record in the agent's ledger */
 #define RUN 1
 #define REFUSED 2
 
-#define WAITING 0    /* what an entry has heard from the home */
+#define WAITING 0    /* replies of the home to an entry */
 #define ACCEPTED 1
 #define NOT_RUN 2
 #define UNKNOWN 3
 
 #define IDLE 0       /* states of a submission */
-#define CALLED 1     /* the caller has sent it */
-#define ASKING 2     /* its entry asks the earlier home */
-#define SENT 3       /* its Submit is under way or was delivered */
+#define CALLED 1     /* sent by the caller */
+#define QUERYING 2   /* the entry queries the earlier home */
+#define SENT 3       /* the Submit is in transit or delivered */
 #define DONE 4
 
-byte newest;                 /* revision that was published */
-byte agent_rev[2];
-byte life[2];
+byte published;              /* newest published configuration revision */
+byte agent_revision[2];
+byte incarnation[2];
 byte record[2];
-byte covers[2];              /* submissions that a refusal covers */
+byte refused_upto[2];        /* highest submission that the refusal covers */
 bool disowned[2];
-byte outcome[2];             /* told with a refusal */
+byte refusal_outcome[2];     /* outcome that is sent with the refusal */
 
-byte state[N + 1];
-byte called_life[(N + 1) * 2]; /* each agent's life when the caller sent it */
-byte submit_home[N + 1];
-byte submit_life[N + 1];
-byte submit_rev[N + 1];
-bool submit_moved[N + 1];
-byte reply[N + 1];
+byte state[SUBMISSIONS + 1];
+/* incarnation of each agent when the caller sent the submission */
+byte call_incarnation[(SUBMISSIONS + 1) * 2];
+byte submit_home[SUBMISSIONS + 1];
+byte submit_incarnation[SUBMISSIONS + 1];
+byte submit_revision[SUBMISSIONS + 1];
+bool submit_moved[SUBMISSIONS + 1];
+byte reply[SUBMISSIONS + 1];
 
 bool ran;
 byte ran_by;
-bool told_not_run[N + 1];
+bool reported_not_run[SUBMISSIONS + 1];
 
-inline tell_not_run (n)
+inline report_not_run (n)
 {
   assert (!(ran && ran_by <= n));
-  told_not_run[n] = true;
+  reported_not_run[n] = true;
   state[n] = DONE
 }
 
 inline start_run (n)
 {
   assert (!ran);
-  assert (!(n <= 1 && told_not_run[1]) && !(n <= 2 && told_not_run[2])
-          && !(n <= 3 && told_not_run[3]));
+  assert (!(n <= 1 && reported_not_run[1]) && !(n <= 2 && reported_not_run[2])
+          && !(n <= 3 && reported_not_run[3]));
   ran = true;
   ran_by = n
 }
 
-/* An entry that is done listens to nothing any more: keeps the states few. */
-inline answer (n, told)
+/* Replies to an entry. Replies to a submission that is done are dropped, to reduce the number of
+ * states. */
+inline answer (n, result)
 {
   if
-  :: state[n] == SENT -> reply[n] = told
+  :: state[n] == SENT -> reply[n] = result
   :: else
   fi
 }
 
-inline refuse (h, n, told)
+inline refuse (h, n, result)
 {
   if
-  :: covers[h] < n -> covers[h] = n
+  :: refused_upto[h] < n -> refused_upto[h] = n
   :: else
   fi;
-#ifndef TOLD_BEFORE_WRITTEN
+#ifndef REPORT_BEFORE_RECORD
   record[h] = REFUSED;
 #endif
-  outcome[h] = told;
-  answer (n, told)
+  refusal_outcome[h] = result;
+  answer (n, result)
 }
 
 inline deliver_submit (n)
@@ -100,27 +110,28 @@
   h = submit_home[n];
   if
 #ifndef NO_INCARNATION
-  :: submit_life[n] != life[h] -> answer (n, UNKNOWN)
+  :: submit_incarnation[n] != incarnation[h] -> answer (n, UNKNOWN)
 #endif
   :: else ->
      if
      :: record[h] == RUN -> answer (n, ACCEPTED)
-     :: record[h] == REFUSED && (disowned[h] || n <= covers[h]) ->
+     :: record[h] == REFUSED && (disowned[h] || n <= refused_upto[h]) ->
         if
-        :: covers[h] < n -> covers[h] = n
+        :: refused_upto[h] < n -> refused_upto[h] = n
         :: else
         fi;
-        answer (n, outcome[h])
-     :: record[h] == NONE || (record[h] == REFUSED && !disowned[h] && n > covers[h]) ->
+        answer (n, refusal_outcome[h])
+     :: record[h] == NONE || (record[h] == REFUSED && !disowned[h] && n > refused_upto[h]) ->
         if
-#ifndef LATER_ATTEMPT_IN_NEW_LIFE
-        :: life[h] > 1 && n != 1 -> refuse (h, n, UNKNOWN)
+#ifndef LATER_ATTEMPT_IN_NEW_INCARNATION
+        :: incarnation[h] > 1 && n != 1 -> refuse (h, n, UNKNOWN)
 #endif
 #ifndef NO_GUARD
-        :: life[h] > 1 && n == 1 && called_life[n * 2 + h] < life[h] -> refuse (h, n, NOT_RUN)
+        :: incarnation[h] > 1 && n == 1 && call_incarnation[n * 2 + h] < incarnation[h] ->
+           refuse (h, n, NOT_RUN)
 #endif
 #ifndef HOME_BY_LIVE_SET
-        :: agent_rev[h] >= submit_rev[n] && agent_rev[h] != h && !submit_moved[n] ->
+        :: agent_revision[h] >= submit_revision[n] && agent_revision[h] != h && !submit_moved[n] ->
            if
            :: n == 1 -> refuse (h, n, NOT_RUN)
            :: else -> refuse (h, n, UNKNOWN)
@@ -138,52 +149,52 @@
   fi
 }
 
-/* What an entry may say of a submission that it has sent nowhere. */
+/* An entry gives up a submission that it has not sent to any agent. */
 inline give_up_unsent (n)
 {
   if
-#ifdef SENT_NOWHERE_IS_NOT_RUN
-  :: true -> tell_not_run (n)
+#ifdef UNSENT_IS_NOT_RUN
+  :: true -> report_not_run (n)
 #else
-  :: n == 1 -> tell_not_run (n)
+  :: n == 1 -> report_not_run (n)
   :: else -> state[n] = DONE
 #endif
   fi
 }
 
-/* An entry knows a life of the home that it learned before the call came in:
- * the present one or an earlier one. */
-inline send_submit (n, home, known)
+/* @param known_incarnation incarnation of the home that the entry learned before the call arrived:
+ * the current one or an earlier one. */
+inline send_submit (n, home, known_incarnation)
 {
   submit_home[n] = home;
-  submit_life[n] = known;
+  submit_incarnation[n] = known_incarnation;
   reply[n] = WAITING;
   state[n] = SENT
 }
 
-/* A life's guard is over only when no call from before it is on its way. */
-#define on_its_way(n) ((state[n] == CALLED || state[n] == ASKING || state[n] == SENT) \
-                       && called_life[(n) * 2] < life[0])
-#define guarded (life[0] > 1 && (on_its_way (1) || on_its_way (2) || on_its_way (3)))
+/* The guard period of an incarnation lasts while a call from before it is in transit. */
+#define in_transit(n) ((state[n] == CALLED || state[n] == QUERYING || state[n] == SENT) \
+                       && call_incarnation[(n) * 2] < incarnation[0])
+#define is_guarded (incarnation[0] > 1 && (in_transit (1) || in_transit (2) || in_transit (3)))
 
-inline ask_earlier_home (n)
+inline query_earlier_home (n)
 {
   if
   :: record[0] == RUN ->
      submit_moved[n] = true;
-     send_submit (n, 0, life[0])
+     send_submit (n, 0, incarnation[0])
   :: else ->
      record[0] = REFUSED;
      disowned[0] = true;
-     outcome[0] = UNKNOWN;
+     refusal_outcome[0] = UNKNOWN;
      if
-     :: guarded -> give_up_unsent (n)
-     :: !guarded && life[0] > 1 && n != 1 -> give_up_unsent (n)
+     :: is_guarded -> give_up_unsent (n)
+     :: !is_guarded && incarnation[0] > 1 && n != 1 -> give_up_unsent (n)
 #ifndef DISOWN_FORGETS_REFUSALS
-     :: !guarded && !(life[0] > 1 && n != 1) && n <= covers[0] -> give_up_unsent (n)
-     :: !guarded && !(life[0] > 1 && n != 1) && n > covers[0] -> state[n] = ASKING
+     :: !is_guarded && !(incarnation[0] > 1 && n != 1) && n <= refused_upto[0] -> give_up_unsent (n)
+     :: !is_guarded && !(incarnation[0] > 1 && n != 1) && n > refused_upto[0] -> state[n] = QUERYING
 #else
-     :: !guarded && !(life[0] > 1 && n != 1) -> state[n] = ASKING
+     :: !is_guarded && !(incarnation[0] > 1 && n != 1) -> state[n] = QUERYING
 #endif
      fi
   fi
@@ -191,54 +202,54 @@
 
 proctype Entry (byte n)
 {
-  byte known[2];
-  bool asked;
+  byte known_incarnation[2];
+  bool must_query;
 
-  /* The caller sends them in order, but does not wait for an answer. */
+  /* The caller sends the submissions in order, but does not wait for answers. */
   atomic {
     (n == 1 || state[n - 1] != IDLE);
-    called_life[n * 2] = life[0];
-    called_life[n * 2 + 1] = life[1];
+    call_incarnation[n * 2] = incarnation[0];
+    call_incarnation[n * 2 + 1] = incarnation[1];
     state[n] = CALLED
   }
-  /* It arrives: any time later, at an entry of either revision. */
+  /* The call arrives at any later time, at an entry with either revision. */
   atomic {
     if
-    :: submit_rev[n] = 0
-    :: newest == 1 -> submit_rev[n] = 1
+    :: submit_revision[n] = 0
+    :: published == 1 -> submit_revision[n] = 1
     fi;
     if
-    :: known[0] = life[0]
-    :: life[0] > 1 -> known[0] = 1
+    :: known_incarnation[0] = incarnation[0]
+    :: incarnation[0] > 1 -> known_incarnation[0] = 1
     fi;
     if
-    :: known[1] = life[1]
-    :: life[1] > 1 -> known[1] = 1
+    :: known_incarnation[1] = incarnation[1]
+    :: incarnation[1] > 1 -> known_incarnation[1] = 1
     fi
   }
   atomic {
     if
     :: give_up_unsent (n) /* no link to the home */
 #ifdef HOME_BY_LIVE_SET
-    :: send_submit (n, 0, known[0])
-    :: send_submit (n, 1, known[1])
+    :: send_submit (n, 0, known_incarnation[0])
+    :: send_submit (n, 1, known_incarnation[1])
 #else
-    :: submit_rev[n] == 0 -> send_submit (n, 0, known[0])
+    :: submit_revision[n] == 0 -> send_submit (n, 0, known_incarnation[0])
 #ifdef NO_DISOWN
-    :: submit_rev[n] == 1 -> send_submit (n, 1, known[1])
+    :: submit_revision[n] == 1 -> send_submit (n, 1, known_incarnation[1])
 #else
-    :: submit_rev[n] == 1 -> asked = true
+    :: submit_revision[n] == 1 -> must_query = true
 #endif
 #endif
     fi
   }
   if
-  :: asked ->
-     atomic { ask_earlier_home (n) }
+  :: must_query ->
+     atomic { query_earlier_home (n) }
      atomic {
        if
-       :: state[n] == ASKING -> send_submit (n, 1, known[1])
-       :: state[n] == ASKING -> give_up_unsent (n)
+       :: state[n] == QUERYING -> send_submit (n, 1, known_incarnation[1])
+       :: state[n] == QUERYING -> give_up_unsent (n)
        :: else
        fi
      }
@@ -246,28 +257,28 @@
   fi;
   atomic {
     if
-    :: state[n] == SENT && reply[n] == NOT_RUN -> tell_not_run (n)
+    :: state[n] == SENT && reply[n] == NOT_RUN -> report_not_run (n)
     :: state[n] == SENT && reply[n] == ACCEPTED -> state[n] = DONE
-    :: state[n] == SENT -> state[n] = DONE /* unknown, or given up on */
+    :: state[n] == SENT -> state[n] = DONE /* outcome unknown, or the entry gives up */
     :: state[n] == DONE
     fi;
     reply[n] = WAITING;
-    known[0] = 0;
-    known[1] = 0;
-    asked = false
+    known_incarnation[0] = 0;
+    known_incarnation[1] = 0;
+    must_query = false
   }
 }
 
-/* Late and doubled: a Submit stays deliverable for ever once sent. */
-#define was_sent(n) (submit_life[n] > 0)
+/* Once sent, a Submit may be delivered at any later time, also repeatedly. */
+#define was_sent(n) (submit_incarnation[n] > 0)
 
-active proctype World ()
+active proctype Environment ()
 {
   byte h;
 
   atomic {
-    life[0] = 1;
-    life[1] = 1;
+    incarnation[0] = 1;
+    incarnation[1] = 1;
     run Entry (1);
     run Entry (2);
     run Entry (3)
@@ -277,21 +288,23 @@
   :: atomic { was_sent (1) -> deliver_submit (1) }
   :: atomic { was_sent (2) -> deliver_submit (2) }
   :: atomic { was_sent (3) -> deliver_submit (3) }
-  :: atomic { newest == 0 -> newest = 1 }
-  :: atomic { agent_rev[0] < newest -> agent_rev[0] = newest }
-  :: atomic { agent_rev[1] < newest -> agent_rev[1] = newest }
-  :: atomic { life[0] < LIVES ->
-       life[0]++; record[0] = NONE; covers[0] = 0; disowned[0] = false; outcome[0] = 0;
+  :: atomic { published == 0 -> published = 1 }
+  :: atomic { agent_revision[0] < published -> agent_revision[0] = published }
+  :: atomic { agent_revision[1] < published -> agent_revision[1] = published }
+  :: atomic { incarnation[0] < INCARNATIONS ->
+       incarnation[0]++; record[0] = NONE; refused_upto[0] = 0; disowned[0] = false;
+       refusal_outcome[0] = 0;
        if
-       :: agent_rev[0] = 0
-       :: agent_rev[0] = newest
+       :: agent_revision[0] = 0
+       :: agent_revision[0] = published
        fi
      }
-  :: atomic { life[1] < LIVES ->
-       life[1]++; record[1] = NONE; covers[1] = 0; disowned[1] = false; outcome[1] = 0;
+  :: atomic { incarnation[1] < INCARNATIONS ->
+       incarnation[1]++; record[1] = NONE; refused_upto[1] = 0; disowned[1] = false;
+       refusal_outcome[1] = 0;
        if
-       :: agent_rev[1] = 0
-       :: agent_rev[1] = newest
+       :: agent_revision[1] = 0
+       :: agent_revision[1] = published
        fi
      }
   od
--- a/spec/store_era.pml
+++ b/spec/store_era.pml
@@ -1,80 +1,82 @@
 /*
- * A store that comes back from an older copy, and a reader of it. The store gives each write a
- * revision; a restore goes back to a copy's revisions, which are then given out again, and raises the
- * era. The operator writes what was lost again. The reader asks on from where it was; a store that has
- * not got that far says so, and then all is read.
+ * A store that is restored from an older copy, and a reader that polls it. The store assigns a
+ * revision to each write. A restore resets the revision counter to that of the copy, so that
+ * revisions are assigned twice, and increments the era. The operator repeats the writes that were
+ * lost. The reader polls for writes after its store position (revision and era); if the era has
+ * changed or the position is ahead of the store, it reads the whole store instead.
  *
- * Proved: once the operator's last change is in the store, one more question brings it to the
- * reader; what the reader has in force never goes back.
+ * Properties, checked by assert(): once the last change of the operator is in the store, one more
+ * poll delivers it to the reader; the active version of the reader never decreases.
  *
- * Broken variants:
- *   REVISION_ALONE  the reader goes on by the revision, whatever the era
- *   TAKE_OLDER      it takes what a whole reading has, also an older one
+ * Broken variants, each of which must violate an assertion:
+ *   IGNORE_ERA      the reader compares only the revision of its position, not the era
+ *   ACCEPT_OLDER    the reader activates the version of a whole read even if it is older
  */
 #define VERSIONS 3
 #define SERVER_WRITES 3
 #define RESTORES 2
 
-/* The store: its counter, and the configuration's version and revision. */
+/* The store: its revision counter and era; version of the configuration, and revision of the write
+ * of that version. */
 byte revision = 1;
 byte era = 0;
 byte version = 1;
-byte written = 1;
+byte written_revision = 1;
 
-/* A copy of it. */
+/* A copy of the store, from which it may be restored. */
 byte copy_revision = 1;
 byte copy_version = 1;
-byte copy_written = 1;
+byte copy_written_revision = 1;
 
-byte newest = 1; /* that the operator has written */
-byte in_force = 0;
-byte place_revision = 0;
-byte place_era = 0;
-byte ended = 0;
+byte newest = 1; /* newest version that the operator has written */
+byte active_version = 0;
+byte position_revision = 0;
+byte position_era = 0;
+byte finished = 0;
 
 inline write (v)
 {
   revision++;
   version = v;
-  written = revision
+  written_revision = revision
 }
 
-inline take (v)
+inline accept (v)
 {
   if
-  :: v > in_force -> in_force = v
+  :: v > active_version -> active_version = v
   :: else -> skip
   fi
 }
 
 inline read_all ()
 {
-#ifdef TAKE_OLDER
-  assert (version >= in_force);
-  in_force = version;
+#ifdef ACCEPT_OLDER
+  assert (version >= active_version);
+  active_version = version;
 #else
-  take (version);
+  accept (version);
 #endif
-  place_revision = revision;
-  place_era = era
+  position_revision = revision;
+  position_era = era
 }
 
-inline ask ()
+inline poll ()
 {
   if
-#ifndef REVISION_ALONE
-  :: place_era != era -> read_all ()
-  :: place_era == era && place_revision > revision -> read_all ()
-  :: place_era == era && place_revision <= revision ->
+#ifndef IGNORE_ERA
+  :: position_era != era -> read_all ()
+  :: position_era == era && position_revision > revision -> read_all ()
+  :: position_era == era && position_revision <= revision ->
 #else
-  :: place_revision > revision -> read_all ()
-  :: place_revision <= revision ->
+  :: position_revision > revision -> read_all ()
+  :: position_revision <= revision ->
 #endif
     if
-    :: written > place_revision -> take (version)
+    :: written_revision > position_revision -> accept (version)
     :: else -> skip
     fi;
-    place_revision = revision
+    position_revision = revision
   fi
 }
 
@@ -83,7 +85,7 @@
   do
   :: newest < VERSIONS -> atomic { newest++; write (newest) }
   :: atomic { version < newest -> write (newest) }
-  :: atomic { ended >= 2 && newest == VERSIONS && version == newest -> ended++; break }
+  :: atomic { finished >= 2 && newest == VERSIONS && version == newest -> finished++; break }
   od
 }
 
@@ -95,7 +97,7 @@
   :: writes < SERVER_WRITES -> atomic { revision++; writes++ }
   :: break
   od;
-  ended++
+  finished++
 }
 
 active proctype Platform ()
@@ -106,29 +108,29 @@
   :: atomic {
        copy_revision = revision;
        copy_version = version;
-       copy_written = written
+       copy_written_revision = written_revision
      }
   :: atomic {
        restores < RESTORES ->
        revision = copy_revision;
        version = copy_version;
-       written = copy_written;
+       written_revision = copy_written_revision;
        era++;
        restores++
      }
   :: break
   od;
-  ended++
+  finished++
 }
 
 active proctype Reader ()
 {
   do
-  :: atomic { ended < 3 -> ask () }
+  :: atomic { finished < 3 -> poll () }
   :: atomic {
-       ended == 3 ->
-       ask ();
-       assert (in_force == newest);
+       finished == 3 ->
+       poll ();
+       assert (active_version == newest);
        break
      }
   od
