--- a/bench/policy.c
+++ b/bench/policy.c
@@ -24,7 +24,7 @@
 #define SECONDS 60
 #define FAULT_START_S 30
 #define BURST_START_S 20
-#define TEMPLATES 40
+#define PROMPT_TEMPLATES 40
 
 static const int64_t deadline_us[SIM_CLASSES] = { 4 * US_PER_S, 4 * US_PER_S, 10 * US_PER_S };
 static const char *const class_names[SIM_CLASSES] = { "counter", "shop", "batch" };
@@ -39,8 +39,7 @@
   TRACE_OPENING, /* a tenth; rises to 20 times as much within 2 s, for 15 s in all */
   TRACE_FLOOD,   /* half; rises to 20 times the capacity within 2 s, for 5 s in all */
   TRACE_STORM,   /* half; then two large accounts add 3 times the capacity for 20 s */
-  TRACE_LONG,    /* class batch: calls at a third of its usual rate, with answers 10 times as long;
-                    others: 0.3 of    their usual rate */
+  TRACE_LONG,    /* batch: a third of its usual calls, answers 10 times as long; others: 0.3 */
   TRACE_HEAVY,   /* half; then one account adds 3 times the capacity for 20 s */
   TRACE_COUNT,
 };
@@ -53,7 +52,7 @@
 {
   const char *name;
   uint32_t class_index;
-  double part; /* fraction of the usual total demand */
+  double fraction; /* fraction of the usual total demand */
 };
 
 static const struct share shares[SIM_ACCOUNTS] = {
@@ -62,15 +61,15 @@
   { "batch-2", 2, 0.05 },   { "batch-3", 2, 0.05 },
 };
 
-#define STORM_FIRST 2
-#define HEAVY 7
-#define HEAVY_LIMIT 100
+#define STORM_FIRST_ACCOUNT 2
+#define HEAVY_ACCOUNT 7
+#define HEAVY_LIMIT_PER_S 100
 
 /* @return calls per second of an account at the given time. */
 static double
 demand (enum trace trace, uint32_t account, double at_s)
 {
-  double usual = shares[account].part * CAPACITY_PER_S;
+  double usual = shares[account].fraction * CAPACITY_PER_S;
   double since_s = at_s - BURST_START_S;
   double ramp = since_s < 0 ? 0 : since_s < 2 ? since_s / 2 : 1;
 
@@ -85,14 +84,14 @@
     case TRACE_FLOOD:
       return since_s < 5 ? usual * (0.5 + 19.5 * ramp) : 0.5 * usual;
     case TRACE_STORM:
-      if (account == STORM_FIRST || account == STORM_FIRST + 1)
+      if (account == STORM_FIRST_ACCOUNT || account == STORM_FIRST_ACCOUNT + 1)
         return 0.5 * usual + (since_s < 20 ? 1.5 * ramp * CAPACITY_PER_S : 0);
       return 0.5 * usual;
     case TRACE_LONG:
       return shares[account].class_index == 2 ? usual / 3 : 0.3 * usual;
     case TRACE_HEAVY:
-      return account == HEAVY ? 0.5 * usual + (since_s < 20 ? 3 * ramp * CAPACITY_PER_S : 0)
-                              : 0.5 * usual;
+      return account == HEAVY_ACCOUNT ? 0.5 * usual + (since_s < 20 ? 3 * ramp * CAPACITY_PER_S : 0)
+                                      : 0.5 * usual;
     default:
       return 0;
     }
@@ -136,8 +135,8 @@
             .at_us = (int64_t) (at_s * 1e6),
             .deadline_us = (int64_t) (at_s * 1e6) + deadline_us[shares[a].class_index],
             .account = a,
-            .prefix = 1 + a * TEMPLATES / SIM_ACCOUNTS +
-                      ash_random_below (&random, TEMPLATES / SIM_ACCOUNTS),
+            .prefix = 1 + a * PROMPT_TEMPLATES / SIM_ACCOUNTS +
+                      ash_random_below (&random, PROMPT_TEMPLATES / SIM_ACCOUNTS),
             .tokens = 40 + ash_random_below (&random, 121),
             .entry = -1,
           };
@@ -288,7 +287,7 @@
   double worst = 0;
 
   for (uint32_t i = 0; i < count; i++)
-    if (calls[i].account == HEAVY && calls[i].done_us)
+    if (calls[i].account == HEAVY_ACCOUNT && calls[i].done_us)
       got[calls[i].done_us / US_PER_S % SECONDS]++;
   for (int second = BURST_START_S + 1; second + 10 < SECONDS; second++)
     {
@@ -298,7 +297,7 @@
         sum += got[second + i];
       /* The limit allows a burst of one second's worth of calls, so 10 s allow 11 times the rate.
        */
-      worst = fmax (worst, sum / (11.0 * HEAVY_LIMIT));
+      worst = fmax (worst, sum / (11.0 * HEAVY_LIMIT_PER_S));
     }
   return worst > 1 ? 100 * (worst - 1) : 0;
 }
@@ -317,7 +316,7 @@
     accounts[a] = (struct sim_account){
       .name = shares[a].name,
       .class_index = shares[a].class_index,
-      .rate_per_s = trace == TRACE_HEAVY && a == HEAVY ? HEAVY_LIMIT : 100000,
+      .rate_per_s = trace == TRACE_HEAVY && a == HEAVY_ACCOUNT ? HEAVY_LIMIT_PER_S : 100000,
       .reserved_per_s = setup->event && shares[a].class_index == 0
                             ? (uint32_t) fmax (demand (trace, a, BURST_START_S - 1),
                                                demand (trace, a, BURST_START_S + 3))
--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -13,8 +13,8 @@
 #define REPORT_LOSS_US 20000000
 #define LINK_TIMEOUT_US 2000000
 #define IMMEDIATE_RETRY_US 100000
-#define ADVISED_TRIES_MAX 3
-#define IMMEDIATE_TRIES_MAX 5
+#define ADVISED_RETRIES_MAX 3
+#define IMMEDIATE_RETRIES_MAX 5
 #define PREFIX_TOKENS 600
 #define PROMPT_TOKENS 100
 #define US_PER_MS 1000
@@ -216,7 +216,7 @@
   call->entry = -1;
   if (!call->first_refusal_us)
     call->first_refusal_us = sim->now_us + sim->setup->client_latency_us;
-  if (call->tries > (at_once ? IMMEDIATE_TRIES_MAX : ADVISED_TRIES_MAX) ||
+  if (call->tries > (at_once ? IMMEDIATE_RETRIES_MAX : ADVISED_RETRIES_MAX) ||
       at_us >= call->deadline_us)
     call->abandoned = true;
   else
--- a/bench/router_sim.c
+++ b/bench/router_sim.c
@@ -34,7 +34,7 @@
 #define DEADLINE_MS 8000
 #define FIRST_EVENT_TIMEOUT_MS 2000 /* callers disconnect if the first event takes longer */
 #define CALLER_LATENCY_MS 2
-#define TRIES 2
+#define TRIES 2 /* first attempt and one retry */
 #define ADDRESS_KEEP_MS 2000
 #define LONG_WAIT_MS 50 /* an eighth of FIRST_EVENT_TARGET_MS */
 #define LATE_SCORE 0.5
--- a/bench/router_sim.h
+++ b/bench/router_sim.h
@@ -26,12 +26,11 @@
 {
   uint64_t seed;
   uint32_t duration_ms;
-  double calls_per_s;        /**< demand outside of the burst */
-  uint32_t slow_start_ms;    /**< when endpoints become slow */
-  uint32_t slow_duration_ms; /**< 0: endpoints never become slow */
-  double slow_factor;        /**< factor on the duration of passes while slow */
-  uint32_t slow_groups; /**< number of groups with slow endpoints; a group is as slow as its slowest
-                           endpoint */
+  double calls_per_s;                    /**< demand outside of the burst */
+  uint32_t slow_start_ms;                /**< when endpoints become slow */
+  uint32_t slow_duration_ms;             /**< 0: endpoints never become slow */
+  double slow_factor;                    /**< factor on the duration of passes while slow */
+  uint32_t slow_groups;                  /**< number of groups that become slow */
   uint32_t burst_start_ms;               /**< when the burst starts */
   uint32_t burst_duration_ms;            /**< 0: no burst */
   double burst_factor;                   /**< factor on the demand during the burst */
@@ -40,18 +39,16 @@
   uint32_t restart_gap_ms;               /**< time between the stops of two routers */
   const struct ash_engine_facts *engine; /**< NULL: the engine of the first users' data sheets */
   uint32_t groups;                       /**< number of groups of endpoints; 0: two */
-  uint32_t shift_period_ms; /**< period of changes of the requested experts; 0: no changes */
-  uint32_t
-      shift_duration_ms; /**< time until the expert map is adapted; ranks copy experts meanwhile */
-  double shift_skew;     /**< skew of the map until it is adapted */
-  uint32_t cap;          /**< maximum requests at an endpoint, over all routers */
-  bool fixed_cap;        /**< do not reduce cap when streams pause too long */
-  int32_t retry_cap_extra; /**< added to cap for calls that retry; may be negative */
-  uint32_t wait_ms;        /**< maximum wait of a first attempt for a free slot */
-  uint32_t retry_queue_ms; /**< maximum wait of a retry for a free slot */
-  bool by_deadline; /**< serve waiting requests by class and deadline instead of in order of arrival
-                     */
-  uint32_t report_period_ms; /**< period of load reports between routers */
+  uint32_t shift_period_ms;              /**< period of shifts of the requested experts; 0: none */
+  uint32_t shift_duration_ms; /**< until the expert map is adapted; ranks copy experts meanwhile */
+  double shift_skew;          /**< skew of the map until it is adapted */
+  uint32_t cap;               /**< maximum requests at an endpoint, over all routers */
+  bool fixed_cap;             /**< do not reduce cap when streams pause too long */
+  int32_t retry_cap_extra;    /**< added to cap for calls that retry; may be negative */
+  uint32_t wait_ms;           /**< maximum wait of a first attempt for a free slot */
+  uint32_t retry_queue_ms;    /**< maximum wait of a retry for a free slot */
+  bool by_deadline;           /**< serve waiting requests by class and deadline, not by arrival */
+  uint32_t report_period_ms;  /**< period of load reports between routers */
   enum router_sim_retry retry_policy;
   uint32_t retry_min_ms;    /**< RETRY_RANDOM, RETRY_BY_RATE */
   uint32_t retry_spread_ms; /**< RETRY_RANDOM */
