--- a/controllers/map_switch.c
+++ b/controllers/map_switch.c
@@ -1,4 +1,4 @@
-#include "controllers/map_finish.h"
+#include "controllers/map_takeover.h"
 #include "controllers/map_steps.h"
 
 /* An order without an answer is sent again after this: ten times a calm round trip between
@@ -69,7 +69,7 @@
   sw->version = 0;
   sw->fence_is_set = false;
   sw->step = 0;
-  sw->finishing = false;
+  sw->taking_over = false;
 }
 
 void
@@ -293,19 +293,19 @@
 }
 
 static void
-finish_foreign_change (struct ash_map_switch *sw, struct ash_time now)
+take_over (struct ash_map_switch *sw, struct ash_time now)
 {
   if (!sw->foreign_held || ash_time_diff (sw->foreign_since, now) < FOREIGN_HOLD_MIN_MS ||
-      !all_known (sw) || !ash_map_finish_state_is_current (sw, sw->foreign_since))
+      !all_known (sw) || !ash_map_takeover_state_is_current (sw, sw->foreign_since))
     return;
-  sw->version = ash_map_finish_version (sw);
+  sw->version = ash_map_takeover_version (sw);
   sw->step = sw->foreign_held;
   sw->foreign_held = 0;
-  sw->finishing = true;
+  sw->taking_over = true;
   sw->began = now;
   /* With nothing to arm the group is just let go. Else the step is held here as well: the
    * other router may live, and let go what it holds while ranks are being armed. */
-  sw->holder = sw->version ? ash_map_finish_rank (sw, sw->step) : sw->foreign_rank;
+  sw->holder = sw->version ? ash_map_takeover_rank (sw, sw->step) : sw->foreign_rank;
   enter_phase (sw, now, sw->version ? ASH_MAP_HOLD : ASH_MAP_GO);
 }
 
@@ -373,7 +373,7 @@
 static void
 finish_release (struct ash_map_switch *sw, struct ash_time now)
 {
-  enum ash_map_result result = sw->finishing ? ASH_MAP_FINISHED : ASH_MAP_CHANGED;
+  enum ash_map_result result = sw->taking_over ? ASH_MAP_TAKEN_OVER : ASH_MAP_CHANGED;
 
   sw->released = sw->step;
   sw->released_at = now;
@@ -388,7 +388,7 @@
   switch (sw->phase)
     {
     case ASH_MAP_IDLE:
-      finish_foreign_change (sw, now);
+      take_over (sw, now);
       break;
     case ASH_MAP_PREPARE:
       if (sw->foreign_held || ash_time_diff (sw->began, now) > PREPARE_TIMEOUT_MS)
@@ -402,7 +402,7 @@
       break;
     case ASH_MAP_HOLD:
       if (sw->ranks[sw->holder].answered)
-        enter_phase (sw, now, sw->finishing ? ASH_MAP_DISARM : ASH_MAP_ARM);
+        enter_phase (sw, now, sw->taking_over ? ASH_MAP_DISARM : ASH_MAP_ARM);
       break;
     case ASH_MAP_ARM:
       if (all_answered (sw))
@@ -421,7 +421,7 @@
       break;
     case ASH_MAP_GO:
       if (sw->ranks[sw->holder].answered &&
-          (!sw->finishing || sw->ranks[sw->foreign_rank].answered))
+          (!sw->taking_over || sw->ranks[sw->foreign_rank].answered))
         finish_release (sw, now);
       break;
     }
@@ -451,7 +451,7 @@
       /* The step has begun, or another router holds one; reports will tell which. */
       sw->refused = sw->step;
       /* What was to be finished is: its step has begun. */
-      if (sw->finishing)
+      if (sw->taking_over)
         end (sw, now, ASH_MAP_ABORTED);
       else if (sw->holds >= HOLDS_MAX || sw->foreign_held)
         end (sw, now, ASH_MAP_ABORTED);
@@ -600,7 +600,7 @@
     case ASH_MAP_HOLD:
       return rank == sw->holder;
     case ASH_MAP_GO:
-      return rank == sw->holder || (sw->finishing && rank == sw->foreign_rank);
+      return rank == sw->holder || (sw->taking_over && rank == sw->foreign_rank);
     case ASH_MAP_FENCE:
       return sw->fence_is_set;
     case ASH_MAP_IDLE:
--- a/controllers/map_switch.h
+++ b/controllers/map_switch.h
@@ -48,7 +48,7 @@
 {
   ASH_MAP_NONE,
   ASH_MAP_CHANGED,
-  ASH_MAP_FINISHED,       /**< what another router had begun */
+  ASH_MAP_TAKEN_OVER,     /**< what another router had begun */
   ASH_MAP_ABORTED,        /**< before a rank had taken it */
   ASH_MAP_GROUP_REFORMED, /**< the group formed anew */
 };
@@ -85,7 +85,7 @@
   uint64_t step;     /**< being held */
   uint32_t own_rank; /**< where this router holds steps */
   uint32_t holder;   /**< rank that holds it */
-  bool finishing;    /**< what another router had begun */
+  bool taking_over;  /**< what another router had begun */
   uint32_t holds;    /**< tried in this change */
   uint64_t refused;  /**< the last step that could not be held; it may not have begun */
   struct ash_time began;
--- a/controllers/map_finish.c
+++ b/controllers/map_takeover.c
@@ -1,4 +1,4 @@
-#include "controllers/map_finish.h"
+#include "controllers/map_takeover.h"
 
 /* Reports may be so much older than their lag says: the time an answer takes, many times. */
 #define REPORT_MARGIN_MS 120
@@ -28,7 +28,7 @@
 }
 
 uint64_t
-ash_map_finish_version (const struct ash_map_switch *sw)
+ash_map_takeover_version (const struct ash_map_switch *sw)
 {
   uint64_t lowest = 0;
 
@@ -46,7 +46,7 @@
 }
 
 bool
-ash_map_finish_state_is_current (const struct ash_map_switch *sw, struct ash_time since)
+ash_map_takeover_state_is_current (const struct ash_map_switch *sw, struct ash_time since)
 {
   for (uint32_t i = 0; i < sw->rank_count; i++)
     {
@@ -71,7 +71,7 @@
 }
 
 uint32_t
-ash_map_finish_rank (const struct ash_map_switch *sw, uint64_t step)
+ash_map_takeover_rank (const struct ash_map_switch *sw, uint64_t step)
 {
   uint32_t spare = (sw->own_rank + sw->rank_count / 2) % sw->rank_count;
 
--- a/daemon/map_manager.c
+++ b/daemon/map_manager.c
@@ -14,7 +14,7 @@
 /* Counts that have not come by then are done without. */
 #define COUNTS_TIMEOUT_MS 150
 
-/* A router that has just come to lead waits: the one before may still be finishing, which takes
+/* A router that has just come to lead waits: the one before may still be taking_over, which takes
  * two passes or three. */
 #define LEAD_WAIT_MS 350
 
@@ -244,7 +244,7 @@
 {
   for (const struct ash_rank_group *group = groups->groups; group; group = group->hh.next)
     if (group->sw.last_step && !ash_map_switch_has_foreign_hold (&group->sw) &&
-        !group->sw.finishing)
+        !group->sw.taking_over)
       return true;
   return false;
 }
--- a/daemon/rank_client.c
+++ b/daemon/rank_client.c
@@ -104,7 +104,7 @@
 log_result (struct ash_rank_group *group, struct ash_map_manager *groups, struct ash_time now)
 {
   struct ash_map_switch *sw = &group->sw;
-  bool good = sw->result == ASH_MAP_CHANGED || sw->result == ASH_MAP_FINISHED;
+  bool good = sw->result == ASH_MAP_CHANGED || sw->result == ASH_MAP_TAKEN_OVER;
 
   ash_log_event (&groups->router->log, good ? ASH_EV_MAP_CHANGED : ASH_EV_MAP_GIVEN_UP,
                  "group=%s epoch=%" PRIu64 " result=%d step=%" PRIu64 " took_ms=%lld holds=%u",
--- a/spec/map_switch.pml
+++ b/spec/map_switch.pml
@@ -42,12 +42,12 @@
  *
  * Broken variants, each with -D and each of which must violate an assertion:
  *   NO_HOLD                   a leader does not hold the step while it arms
- *   FINISHER_WITHOUT_HOLD     a finishing leader rolls back without its own hold
+ *   FINISHER_WITHOUT_HOLD     a taking_over leader rolls back without its own hold
  *   SHARED_HOLD_RANK          all leaders hold the step at the same rank
  *   NO_FENCE                  a leader does not fence the ranks after disarming
- *   FINISHER_RESUMES_ARMING   a finishing leader arms the remaining ranks
+ *   FINISHER_RESUMES_ARMING   a taking_over leader arms the remaining ranks
  *   REPEATED_HOLD             a delayed hold is executed after its go
- *   RELEASE_IF_NOTHING_FOUND  a finishing leader that has found nothing releases the step at once
+ *   RELEASE_IF_NOTHING_FOUND  a taking_over leader that has found nothing releases the step at once
  */
 #ifndef RANKS
 #define RANKS 2
@@ -295,7 +295,7 @@
 {
   bool ok;
   bool any_copied;     /* a rank has copied all experts of the version */
-  bool finishing;
+  bool taking_over;
   byte changes;
   byte finishes;
   byte level;          /* level of the last version that this leader allocated */
@@ -312,7 +312,7 @@
 
 idle:
   atomic {
-    v = 0; s = 0; fence = 0; foreign_rank = 0; finishing = false; disarm_first = 0; start_phase;
+    v = 0; s = 0; fence = 0; foreign_rank = 0; taking_over = false; disarm_first = 0; start_phase;
     found_armed = 0; found_prepared = 0;
     if
     :: survivor != 0 -> rounds++; assert (rounds <= ROUNDS_MAX)
@@ -339,9 +339,9 @@
 #endif
        :: else -> s = 0
        fi;
-       finishing = (s != 0) }
+       taking_over = (s != 0) }
      if
-     :: finishing -> goto read
+     :: taking_over -> goto read
      :: else -> goto idle
      fi
   fi;
@@ -392,9 +392,9 @@
     handle_hold (own_rank (l), s);
     if
     :: ok -> start_phase
-    :: !ok && finishing -> goto idle
-    :: !ok && !finishing -> goto choose_step
-    :: !ok && !finishing -> goto idle
+    :: !ok && taking_over -> goto idle
+    :: !ok && !taking_over -> goto choose_step
+    :: !ok && !taking_over -> goto idle
     fi
   }
 #ifdef FINISHER_RESUMES_ARMING
@@ -404,7 +404,7 @@
   fi;
 #else
   if
-  :: finishing -> goto roll_back
+  :: taking_over -> goto roll_back
   :: else
   fi;
 #endif
@@ -489,7 +489,7 @@
   atomic {
     gos = gos | order_bit (own_rank (l), s);
     if
-    :: finishing -> gos = gos | order_bit (foreign_rank, s)
+    :: taking_over -> gos = gos | order_bit (foreign_rank, s)
     :: else
     fi
   }
@@ -498,7 +498,7 @@
 #endif
 go_foreign:
   if
-  :: atomic { finishing ->
+  :: atomic { taking_over ->
        gos = gos | order_bit (foreign_rank, s); handle_go (foreign_rank, s); ok = false }
   :: else
   fi;
@@ -507,8 +507,8 @@
 restart_reading:
   atomic {
     if
-    :: finishing
-    :: else -> finishing = true; foreign_rank = own_rank (l)
+    :: taking_over
+    :: else -> taking_over = true; foreign_rank = own_rank (l)
     fi;
     start_phase; disarm_first = 0; fence = 0 }
 read:
--- a/test/map_schedule.c
+++ b/test/map_schedule.c
@@ -323,7 +323,7 @@
     case ASH_MAP_CHANGED:
       totals[TOTAL_CHANGED]++;
       break;
-    case ASH_MAP_FINISHED:
+    case ASH_MAP_TAKEN_OVER:
       totals[TOTAL_FINISHED]++;
       break;
     case ASH_MAP_ABORTED:
--- a/test/unit_maps.c
+++ b/test/unit_maps.c
@@ -278,7 +278,7 @@
   now = report_held (&sw, now, prepared, held);
   answer_all (&sw, now, ASH_RANK_HOLD, 4, 0);
   CU_ASSERT_EQUAL (sw.step, 101);
-  CU_ASSERT (sw.finishing);
+  CU_ASSERT (sw.taking_over);
 }
 
 /* Another router's order to go for a first hold of a step would end a second one at that rank. */
@@ -337,7 +337,7 @@
       ash_map_switch_set_prepared (&sw, rank, 1, 7, now);
     }
   answer_all (&sw, now, ASH_RANK_HOLD, 4, 0);
-  CU_ASSERT (sw.finishing);
+  CU_ASSERT (sw.taking_over);
   CU_ASSERT_EQUAL (sw.version, 7);
 }
 
