--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -84,7 +84,7 @@
 static void
 defer_message (struct sim *sim, uint32_t box, Ash__Event__KindCase kind, const void *message)
 {
-  struct Ash__Event event = ash_event_of ("", kind, message);
+  struct Ash__Event event = ash_event_wrap ("", kind, message);
 
   if (sim->pending_count == sim->pending_capacity)
     {
@@ -278,7 +278,7 @@
   const struct ash_account *account =
       ash_document_account (document, sim->accounts[call->account].name);
   struct Ash__Call message = ASH__CALL__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_CALL, &message);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_CALL, &message);
   char body[BODY_BYTES + 16];
   int32_t e = choose_entry (sim, account);
 
@@ -291,9 +291,9 @@
   call->entry = e;
   call->first_token_us = 0;
   message.call = index;
-  message.service = ash_text ("model");
-  message.method = ash_text ("POST");
-  message.path = ash_text ("/v1/completions");
+  message.service = ash_proto_text ("model");
+  message.method = ash_proto_text ("POST");
+  message.path = ash_proto_text ("/v1/completions");
   message.body.data = (uint8_t *) body;
   /* The body starts with a prefix that is shared by many calls; the unique part follows. */
   memset (body, ' ', BODY_BYTES);
@@ -424,7 +424,7 @@
 {
   struct box *box = &sim->boxes[index];
   struct Ash__Heartbeat heartbeat = ASH__HEARTBEAT__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_HEARTBEAT, &heartbeat);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_HEARTBEAT, &heartbeat);
 
   event_queue_push (&sim->queue, (struct sim_event){ sim->now_us + HEARTBEAT_US, 0, KIND_HEARTBEAT,
                                                      index, 0, NULL });
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -135,16 +135,16 @@
   snprintf (text, sizeof text, ACCOUNT_KEY, 0u);
   ash_key_hash (text, strlen (text), hash);
   message.call = number;
-  message.service = ash_text ("s3");
-  message.method = ash_text ("POST");
-  message.path = ash_text ("/v1/chat/completions");
+  message.service = ash_proto_text ("s3");
+  message.method = ash_proto_text ("POST");
+  message.path = ash_proto_text ("/v1/chat/completions");
   message.key_hash.data = hash;
   message.key_hash.len = sizeof hash;
   message.stream = true;
   message.unix_s = 1000000;
   if (key)
     {
-      message.idempotency_key = ash_text (key);
+      message.idempotency_key = ash_proto_text (key);
       message.caller_attempt = 1;
       message.no_repeat = true;
     }
@@ -238,9 +238,9 @@
   submit.incarnation = 1;
   submit.attempt = number;
   submit.budget_ms = 30000;
-  submit.service = ash_text ("s3");
-  submit.method = ash_text ("POST");
-  submit.path = ash_text ("/v1/chat/completions");
+  submit.service = ash_proto_text ("s3");
+  submit.method = ash_proto_text ("POST");
+  submit.path = ash_proto_text ("/v1/chat/completions");
   session_give_message (session, (struct ash_time){ 2000 }, "e0", ASH__EVENT__KIND_SUBMIT, &submit);
 }
 
@@ -354,10 +354,10 @@
   submit.id_hi = submit.id_lo = submit.incarnation = UINT64_MAX;
   submit.attempt = 100000;
   submit.budget_ms = 30000;
-  submit.service = ash_text ("parts-model");
-  submit.method = ash_text ("POST");
-  submit.path = ash_text ("/v1/chat/completions");
-  submit.content_type = ash_text ("application/json");
+  submit.service = ash_proto_text ("parts-model");
+  submit.method = ash_proto_text ("POST");
+  submit.path = ash_proto_text ("/v1/chat/completions");
+  submit.content_type = ash_proto_text ("application/json");
   submit.body.data = bytes;
   submit.body.len = sizeof bytes;
   measure_frame ("submit, body of 2,000 bytes", ASH__EVENT__KIND_SUBMIT, &submit);
--- a/cli/ashctl.c
+++ b/cli/ashctl.c
@@ -17,7 +17,7 @@
 #define FILE_MAX_BYTES (2 * 1024 * 1024)
 
 /* A command and its arguments: a trace takes the logs of a whole fleet. */
-#define WORDS_MAX 512
+#define POSITIONAL_MAX 512
 
 const char *argp_program_version = "ashctl " ASH_VERSION;
 
@@ -28,7 +28,7 @@
   EXIT_NOT_RUN = 1,
   EXIT_USAGE = 2,
   EXIT_UNKNOWN = 3,
-  EXIT_BROKEN = 4,
+  EXIT_INCOMPLETE = 4,
   EXIT_NO_ENTRY = 5,
 };
 
@@ -57,8 +57,8 @@
   bool json;
   bool stream;
   bool no_repeat;
-  const char *words[WORDS_MAX];
-  unsigned word_count;
+  const char *positional[POSITIONAL_MAX];
+  unsigned positional_count;
 };
 
 static const struct argp_option argp_options[] = {
@@ -107,7 +107,7 @@
 }
 
 static error_t
-parse (int key, char *argument, struct argp_state *state)
+parse_option (int key, char *argument, struct argp_state *state)
 {
   struct arguments *arguments = state->input;
 
@@ -147,12 +147,12 @@
       arguments->deadline_ms = parse_number (argument, state);
       break;
     case ARGP_KEY_ARG:
-      if (arguments->word_count == WORDS_MAX)
+      if (arguments->positional_count == POSITIONAL_MAX)
         argp_error (state, "too many arguments");
-      arguments->words[arguments->word_count++] = argument;
+      arguments->positional[arguments->positional_count++] = argument;
       break;
     case ARGP_KEY_END:
-      if (arguments->word_count == 0)
+      if (arguments->positional_count == 0)
         argp_error (state, "no command");
       break;
     default:
@@ -171,7 +171,7 @@
   if (strcmp (answer->outcome, "not-run") == 0)
     return EXIT_NOT_RUN;
   if (strcmp (answer->outcome, "ran") == 0)
-    return answer->whole && answer->status < 500 ? EXIT_OK : EXIT_BROKEN;
+    return answer->whole && answer->status < 500 ? EXIT_OK : EXIT_INCOMPLETE;
   if (!*answer->outcome && answer->whole && answer->status == 200)
     return EXIT_OK;
   return EXIT_UNKNOWN;
@@ -249,10 +249,11 @@
 static enum exit_code
 run_chat (const struct arguments *arguments)
 {
-  struct ash_cli_send send = { .service = arguments->words[1], .path = "/v1/chat/completions" };
-  json_t *body =
-      json_pack ("{s:s, s:[{s:s, s:s}], s:b}", "model", arguments->words[1], "messages", "role",
-                 "user", "content", arguments->words[2], "stream", (int) arguments->stream);
+  struct ash_cli_send send = { .service = arguments->positional[1],
+                               .path = "/v1/chat/completions" };
+  json_t *body = json_pack ("{s:s, s:[{s:s, s:s}], s:b}", "model", arguments->positional[1],
+                            "messages", "role", "user", "content", arguments->positional[2],
+                            "stream", (int) arguments->stream);
   enum exit_code code;
   char *text;
 
@@ -271,11 +272,11 @@
 run_call (const struct arguments *arguments)
 {
   char path[2048];
-  struct ash_cli_send send = { .service = arguments->words[1], .path = path };
-  const char *rest = arguments->words[2];
+  struct ash_cli_send send = { .service = arguments->positional[1], .path = path };
+  const char *rest = arguments->positional[2];
 
-  snprintf (path, sizeof path, "/v1/services/%s%s%s", arguments->words[1], *rest == '/' ? "" : "/",
-            rest);
+  snprintf (path, sizeof path, "/v1/services/%s%s%s", arguments->positional[1],
+            *rest == '/' ? "" : "/", rest);
   send.request.method = arguments->data ? "POST" : "GET";
   if (arguments->method)
     send.request.method = arguments->method;
@@ -304,7 +305,7 @@
   char path[256];
 
   snprintf (path, sizeof path, "/v1/addresses?account=%s&service=%s", arguments->account,
-            arguments->words[1]);
+            arguments->positional[1]);
   return run_get (arguments, "GET", path);
 }
 
@@ -313,7 +314,7 @@
 {
   char path[256];
 
-  snprintf (path, sizeof path, "/v1/keys?service=%s", arguments->words[1]);
+  snprintf (path, sizeof path, "/v1/keys?service=%s", arguments->positional[1]);
   return run_get (arguments, "POST", path);
 }
 
@@ -361,7 +362,7 @@
 post_file (const struct arguments *arguments, const char *path, struct ash_cli_answer *answer)
 {
   char url[512];
-  char *text = read_file (arguments->words[1]);
+  char *text = read_file (arguments->positional[1]);
   struct ash_cli_request request = {
     .url = url, .method = "POST", .key = arguments->key, .body = text
   };
@@ -408,7 +409,7 @@
 /* Sends a file to an operators' path and takes the JSON that comes back; says why
  * if none does. @return a new object, or NULL. */
 static json_t *
-ask_with_file (const struct arguments *arguments, const char *path, const char *failure)
+post_file_for_json (const struct arguments *arguments, const char *path, const char *failure)
 {
   struct ash_cli_answer answer = { 0 };
   json_t *root;
@@ -429,7 +430,7 @@
 static enum exit_code
 run_plan (const struct arguments *arguments)
 {
-  json_t *plan = ask_with_file (arguments, "/v1/plan", "no plan");
+  json_t *plan = post_file_for_json (arguments, "/v1/plan", "no plan");
   bool can_be_met = json_array_size (json_object_get (plan, "not_met")) == 0;
 
   if (!plan)
@@ -445,7 +446,7 @@
 static enum exit_code
 run_confirm (const struct arguments *arguments)
 {
-  json_t *confirmed = ask_with_file (arguments, "/v1/confirm", "not confirmed");
+  json_t *confirmed = post_file_for_json (arguments, "/v1/confirm", "not confirmed");
 
   if (!confirmed)
     return EXIT_NOT_RUN;
@@ -461,7 +462,7 @@
 static enum exit_code
 run_diff (const struct arguments *arguments)
 {
-  json_t *diff = ask_with_file (arguments, "/v1/diff", "no comparison");
+  json_t *diff = post_file_for_json (arguments, "/v1/diff", "no comparison");
   const json_t *changes = json_object_get (diff, "changes");
 
   if (!diff)
@@ -479,7 +480,8 @@
 {
   char path[256];
 
-  snprintf (path, sizeof path, "/v1/explain/%s/%s", arguments->words[1], arguments->words[2]);
+  snprintf (path, sizeof path, "/v1/explain/%s/%s", arguments->positional[1],
+            arguments->positional[2]);
   return run_get (arguments, "GET", path);
 }
 
@@ -505,11 +507,11 @@
   char end[1024];
   bool ok = true;
 
-  ash_trace_init (&trace, arguments->words[1]);
-  if (arguments->word_count == 2)
+  ash_trace_init (&trace, arguments->positional[1]);
+  if (arguments->positional_count == 2)
     ok = ash_trace_read (&trace, stdin);
-  for (unsigned i = 2; i < arguments->word_count; i++)
-    ok = trace_file (&trace, arguments->words[i]) && ok;
+  for (unsigned i = 2; i < arguments->positional_count; i++)
+    ok = trace_file (&trace, arguments->positional[i]) && ok;
   ash_trace_explain (&trace, end, sizeof end);
   for (uint32_t i = 0; i < trace.count; i++)
     fputs (trace.lines[i].text, stdout);
@@ -524,7 +526,7 @@
 {
   char path[256];
 
-  snprintf (path, sizeof path, "/v1/drain?box=%s", arguments->words[1]);
+  snprintf (path, sizeof path, "/v1/drain?box=%s", arguments->positional[1]);
   return run_get (arguments, "POST", path);
 }
 
@@ -534,7 +536,7 @@
   uint8_t hash[ASH_KEY_HASH_BYTES];
   char hex[2 * ASH_KEY_HASH_BYTES + 1];
 
-  ash_key_hash (arguments->words[1], strlen (arguments->words[1]), hash);
+  ash_key_hash (arguments->positional[1], strlen (arguments->positional[1]), hash);
   sodium_bin2hex (hex, sizeof hex, hash, sizeof hash);
   printf ("%s\n", hex);
   return EXIT_OK;
@@ -543,8 +545,8 @@
 struct command
 {
   const char *name;
-  unsigned words; /* the command itself included */
-  bool more;      /* or more of them */
+  unsigned positional; /* the command itself included */
+  bool more;           /* or more of them */
   enum exit_code (*run) (const struct arguments *arguments);
 };
 
@@ -569,8 +571,9 @@
 int
 main (int argc, char **argv)
 {
-  static const struct argp argp = { argp_options, parse, "COMMAND [ARGUMENT...]", argp_doc, NULL,
-                                    NULL,         NULL };
+  static const struct argp argp = { argp_options, parse_option, "COMMAND [ARGUMENT...]",
+                                    argp_doc,     NULL,         NULL,
+                                    NULL };
   struct arguments arguments = {
     .entry = from_environment ("ASHCTL_ENTRY", "http://127.0.0.1:8080"),
     .key = from_environment ("ASHCTL_KEY", NULL),
@@ -583,17 +586,17 @@
   curl_global_init (CURL_GLOBAL_DEFAULT);
   for (size_t i = 0; i < sizeof commands / sizeof commands[0]; i++)
     {
-      if (strcmp (commands[i].name, arguments.words[0]) != 0)
+      if (strcmp (commands[i].name, arguments.positional[0]) != 0)
         continue;
-      if (arguments.word_count < commands[i].words ||
-          (arguments.word_count > commands[i].words && !commands[i].more))
+      if (arguments.positional_count < commands[i].positional ||
+          (arguments.positional_count > commands[i].positional && !commands[i].more))
         fprintf (stderr, "ashctl: '%s' takes %u argument%s\n", commands[i].name,
-                 commands[i].words - 1, commands[i].words == 2 ? "" : "s");
+                 commands[i].positional - 1, commands[i].positional == 2 ? "" : "s");
       else
         code = commands[i].run (&arguments);
       curl_global_cleanup ();
       return code;
     }
-  fprintf (stderr, "ashctl: no command '%s'; see ashctl --help\n", arguments.words[0]);
+  fprintf (stderr, "ashctl: no command '%s'; see ashctl --help\n", arguments.positional[0]);
   return EXIT_USAGE;
 }
--- a/cli/fetch.c
+++ b/cli/fetch.c
@@ -7,7 +7,7 @@
 #define CONNECT_TIMEOUT_MS 1000L
 
 /* Past the deadline that the entry keeps, before the tool stops waiting. */
-#define PATIENCE_MS 5000L
+#define TIMEOUT_MARGIN_MS 5000L
 #define DEADLINE_DEFAULT_MS 30000L
 
 struct transfer
@@ -113,8 +113,8 @@
   struct transfer transfer = { request, answer };
   struct curl_slist *headers = make_headers (request);
   CURL *easy = curl_easy_init ();
-  long patience_ms =
-      (request->deadline_ms ? (long) request->deadline_ms : DEADLINE_DEFAULT_MS) + PATIENCE_MS;
+  long timeout_ms = (request->deadline_ms ? (long) request->deadline_ms : DEADLINE_DEFAULT_MS) +
+                    TIMEOUT_MARGIN_MS;
   curl_off_t connect_us = 0;
   CURLcode code;
 
@@ -127,7 +127,7 @@
   curl_easy_setopt (easy, CURLOPT_HEADERFUNCTION, on_header);
   curl_easy_setopt (easy, CURLOPT_HEADERDATA, &transfer);
   curl_easy_setopt (easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
-  curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, patience_ms);
+  curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, timeout_ms);
   if (request->body)
     curl_easy_setopt (easy, CURLOPT_POSTFIELDS, request->body);
   else if (strcmp (request->method, "POST") == 0)
--- a/cli/send.c
+++ b/cli/send.c
@@ -17,7 +17,7 @@
 };
 
 static void
-ask_addresses (const struct ash_cli_send *send, struct addresses *addresses)
+query_addresses (const struct ash_cli_send *send, struct addresses *addresses)
 {
   char url[URL_BYTES];
   struct ash_cli_request request = { .url = url, .method = "GET", .key = send->request.key };
@@ -49,7 +49,7 @@
 /* With a key, submitting again is always safe. Without one only what certainly
  * did not run may be sent again. */
 static bool
-may_send_again (const struct ash_cli_send *send, const struct ash_cli_answer *answer)
+may_retry (const struct ash_cli_send *send, const struct ash_cli_answer *answer)
 {
   if (answer->status && strcmp (answer->outcome, "ran") == 0)
     return false;
@@ -78,9 +78,9 @@
   char url[URL_BYTES];
   unsigned sent = 0;
 
-  ask_addresses (send, &addresses);
+  query_addresses (send, &addresses);
   request.url = url;
-  for (unsigned i = 0; i < ASH_CLI_ATTEMPTS; i++)
+  for (unsigned i = 0; i < ASH_CLI_ATTEMPTS_MAX; i++)
     {
       snprintf (url, sizeof url, "%s%s", addresses.urls[i % addresses.count], send->path);
       if (request.idempotency_key)
@@ -88,12 +88,12 @@
       ash_cli_fetch (&request, answer);
       /* What never left is no submission: the next one is still the first. */
       sent += answer->connected;
-      if (i + 1 == ASH_CLI_ATTEMPTS || !may_send_again (send, answer))
+      if (i + 1 == ASH_CLI_ATTEMPTS_MAX || !may_retry (send, answer))
         break;
       sleep_ms (answer->retry_ms);
       ash_cli_answer_finish (answer);
       if (strstr (answer->outcome, "not-run"))
-        ask_addresses (send, &addresses);
+        query_addresses (send, &addresses);
     }
   return sent;
 }
--- a/cli/send.h
+++ b/cli/send.h
@@ -9,7 +9,7 @@
 #include "cli/fetch.h"
 
 /** How often a request is submitted at most. */
-#define ASH_CLI_ATTEMPTS 4
+#define ASH_CLI_ATTEMPTS_MAX 4
 
 /** What to send, and where to ask for addresses. */
 struct ash_cli_send
--- a/cli/trace.c
+++ b/cli/trace.c
@@ -70,7 +70,7 @@
 }
 
 static int
-event_of (const char *line)
+line_event (const char *line)
 {
   char value[FIELD_BYTES];
   int event = 0;
@@ -81,7 +81,7 @@
 }
 
 static void
-time_of (const char *line, char *time, size_t time_bytes)
+line_time (const char *line, char *time, size_t time_bytes)
 {
   char value[FIELD_BYTES];
 
@@ -94,23 +94,23 @@
 /* ---- reading ---- */
 
 static bool
-keep (struct ash_trace *trace, const char *text)
+add_line (struct ash_trace *trace, const char *text)
 {
   struct ash_trace_line *line;
 
-  if (trace->count == trace->room)
+  if (trace->count == trace->capacity)
     {
-      uint32_t room = trace->room ? 2 * trace->room : 16;
-      struct ash_trace_line *grown = realloc (trace->lines, room * sizeof *grown);
+      uint32_t capacity = trace->capacity ? 2 * trace->capacity : 16;
+      struct ash_trace_line *grown = realloc (trace->lines, capacity * sizeof *grown);
 
       if (!grown)
         return false;
       trace->lines = grown;
-      trace->room = room;
+      trace->capacity = capacity;
     }
   line = &trace->lines[trace->count];
-  *line = (struct ash_trace_line){ .text = strdup (text), .event = event_of (text) };
-  time_of (text, line->time, sizeof line->time);
+  *line = (struct ash_trace_line){ .text = strdup (text), .event = line_event (text) };
+  line_time (text, line->time, sizeof line->time);
   trace->count += line->text != NULL;
   return line->text != NULL;
 }
@@ -120,17 +120,17 @@
 {
   char value[FIELD_BYTES];
   char *text = NULL;
-  size_t room = 0;
+  size_t capacity = 0;
   bool ok = true;
 
-  while (ok && getline (&text, &room, log) > 0)
+  while (ok && getline (&text, &capacity, log) > 0)
     {
       trace->read++;
-      if (event_of (text) == ASH_EV_LOG_LEFT_OUT)
-        trace->left_out += strtoull (field (text, "lines", value), NULL, 10);
+      if (line_event (text) == ASH_EV_LOG_LEFT_OUT)
+        trace->dropped_lines += strtoull (field (text, "lines", value), NULL, 10);
       /* The search is quick, the comparison exact. */
       if (strstr (text, trace->id) && strcmp (field (text, "id", value), trace->id) == 0)
-        ok = keep (trace, text);
+        ok = add_line (trace, text);
     }
   free (text);
   return ok;
@@ -139,7 +139,7 @@
 /* ---- explaining ---- */
 
 static int
-by_time (const void *a, const void *b)
+compare_lines (const void *a, const void *b)
 {
   const struct ash_trace_line *first = a;
   const struct ash_trace_line *second = b;
@@ -157,7 +157,7 @@
 }
 
 static const char *
-meaning_of (const char *reason)
+describe_reason (const char *reason)
 {
   static const struct
   {
@@ -203,7 +203,7 @@
 
   snprintf (text, text_bytes,
             "Refused after %s ms: %s. It did not run; the caller was told to come back in %s ms.",
-            field (line, "age_ms", age), meaning_of (field (line, "reason", reason)),
+            field (line, "age_ms", age), describe_reason (field (line, "reason", reason)),
             field (line, "retry_after_ms", wait));
 }
 
@@ -218,7 +218,7 @@
   bool may_have_run = atoi (field (line, "unsure", unsure)) > 0;
 
   snprintf (text, text_bytes, "Failed after %s ms: %s. It was last at %s and %s.",
-            field (line, "age_ms", age), meaning_of (field (line, "reason", reason)),
+            field (line, "age_ms", age), describe_reason (field (line, "reason", reason)),
             last_endpoint (trace, i, endpoint), may_have_run ? "may have run" : "did not run");
 }
 
@@ -252,7 +252,7 @@
       break;
     default:
       snprintf (text, text_bytes, "Ended with %s: %s.", field (line, "status", a),
-                meaning_of (field (line, "reason", b)));
+                describe_reason (field (line, "reason", b)));
       break;
     }
 }
@@ -263,7 +263,7 @@
   char endpoint[FIELD_BYTES];
 
   if (trace->count)
-    qsort (trace->lines, trace->count, sizeof *trace->lines, by_time);
+    qsort (trace->lines, trace->count, sizeof *trace->lines, compare_lines);
   for (uint32_t i = trace->count; i-- > 0;)
     if (is_final (trace->lines[i].event))
       {
@@ -272,10 +272,11 @@
       }
   if (!trace->count)
     snprintf (text, text_bytes, "No line among %llu tells of it; %llu were left out.",
-              (unsigned long long) trace->read, (unsigned long long) trace->left_out);
+              (unsigned long long) trace->read, (unsigned long long) trace->dropped_lines);
   else
     snprintf (text, text_bytes,
               "No line tells how it ended: the process that had it ended first, or the line was "
               "left out (%llu were). It was last at %s and may have run.",
-              (unsigned long long) trace->left_out, last_endpoint (trace, trace->count, endpoint));
+              (unsigned long long) trace->dropped_lines,
+              last_endpoint (trace, trace->count, endpoint));
 }
--- a/cli/trace.h
+++ b/cli/trace.h
@@ -25,9 +25,9 @@
   const char *id;
   struct ash_trace_line *lines;
   uint32_t count;
-  uint32_t room;
-  uint64_t read;     /**< lines of any request */
-  uint64_t left_out; /**< that the logs say they lack */
+  uint32_t capacity;
+  uint64_t read;          /**< lines of any request */
+  uint64_t dropped_lines; /**< that the logs say they lack */
 };
 
 /** @param id of the request; must last. */
--- a/common/finding.c
+++ b/common/finding.c
@@ -18,7 +18,7 @@
 
 void
 ash_findings_add (
-    struct ash_findings *findings, uint32_t line, const char *place, const char *format, ...)
+    struct ash_findings *findings, uint32_t line, const char *key_path, const char *format, ...)
 {
   struct ash_finding *finding;
   va_list args;
@@ -32,7 +32,7 @@
     return;
   finding = &findings->items[findings->count - 1];
   finding->line = line;
-  snprintf (finding->place, sizeof finding->place, "%s", place);
+  snprintf (finding->key_path, sizeof finding->key_path, "%s", key_path);
   va_start (args, format);
   vsnprintf (finding->text, sizeof finding->text, format, args);
   va_end (args);
@@ -48,10 +48,10 @@
       const struct ash_finding *finding = &findings->items[i];
 
       if (finding->line)
-        fprintf (out, "%s:%u: %s: %s\n", findings->file, finding->line, finding->place,
+        fprintf (out, "%s:%u: %s: %s\n", findings->file, finding->line, finding->key_path,
                  finding->text);
       else
-        fprintf (out, "%s: %s: %s\n", findings->file, finding->place, finding->text);
+        fprintf (out, "%s: %s: %s\n", findings->file, finding->key_path, finding->text);
     }
   if (findings->count > kept)
     fprintf (out, "%s: and %u more\n", findings->file, findings->count - kept);
--- a/common/id.c
+++ b/common/id.c
@@ -28,7 +28,7 @@
 }
 
 static struct ash_id
-id_from_hash (crypto_generichash_state *state)
+finish_id_hash (crypto_generichash_state *state)
 {
   uint8_t hash[crypto_generichash_BYTES_MIN];
   struct ash_id id;
@@ -49,7 +49,7 @@
   crypto_generichash_update (&state, (const uint8_t *) account, strlen (account) + 1);
   crypto_generichash_update (&state, (const uint8_t *) service, strlen (service) + 1);
   crypto_generichash_update (&state, (const uint8_t *) key, strlen (key) + 1);
-  return id_from_hash (&state);
+  return finish_id_hash (&state);
 }
 
 struct ash_id
@@ -61,11 +61,11 @@
   crypto_generichash_update (&state, (const uint8_t *) account, strlen (account) + 1);
   crypto_generichash_update (&state, (const uint8_t *) target, strlen (target) + 1);
   crypto_generichash_update (&state, body, body_bytes);
-  return id_from_hash (&state);
+  return finish_id_hash (&state);
 }
 
 uint64_t
-ash_hash_pair (struct ash_id id, const char *name)
+ash_rendezvous_weight (struct ash_id id, const char *name)
 {
   return XXH3_64bits_withSeed (name, strlen (name), id.hi ^ id.lo);
 }
--- a/common/id.h
+++ b/common/id.h
@@ -45,7 +45,7 @@
 ash_id_from_request (const char *account, const char *target, const void *body, size_t body_bytes);
 
 /** A weight for rendezvous hashing: the highest over all candidates wins. */
-uint64_t ash_hash_pair (struct ash_id id, const char *name);
+uint64_t ash_rendezvous_weight (struct ash_id id, const char *name);
 
 /** @return a 64-bit hash of bytes, the same on every box. */
 uint64_t ash_hash_bytes (const void *bytes, size_t length);
--- a/common/log.c
+++ b/common/log.c
@@ -10,10 +10,10 @@
 #include <time.h>
 #include <unistd.h>
 
-#define LINE_BYTES 1024
+#define FIELDS_BYTES 1024
 
 /* A whole line; a pipe takes so much at once or nothing. */
-#define WHOLE_BYTES 2048
+#define LINE_MAX_BYTES 2048
 #define NAME_BYTES 64
 
 struct event_info
@@ -47,7 +47,7 @@
 }
 
 static void
-lower_case (char *out, size_t out_bytes, const char *name)
+to_lower_case (char *out, size_t out_bytes, const char *name)
 {
   size_t i;
 
@@ -123,33 +123,33 @@
   char *json;
 
   format_now (now, sizeof now);
-  lower_case (name, sizeof name, info->name);
+  to_lower_case (name, sizeof name, info->name);
   if (!log->sink->json)
     {
-      snprintf (line, WHOLE_BYTES, "%s %s %d %s box=%s module=%s %s\n", now,
+      snprintf (line, LINE_MAX_BYTES, "%s %s %d %s box=%s module=%s %s\n", now,
                 level_names[info->level], (int) info->event, name, log->sink->box, log->module,
                 fields);
       return;
     }
   json = to_json (log, info, now, name, fields);
-  snprintf (line, WHOLE_BYTES, "%s\n", json ? json : "");
+  snprintf (line, LINE_MAX_BYTES, "%s\n", json ? json : "");
   free (json);
 }
 
 /* ---- the bound ---- */
 
 void
-ash_log_bound_init (struct ash_log_bound *bound, FILE *out, uint32_t lines_s)
+ash_log_bound_init (struct ash_log_bound *bound, FILE *out, uint32_t lines_per_s)
 {
   int fd = fileno (out);
 
-  *bound = (struct ash_log_bound){ .lines_s = lines_s };
+  *bound = (struct ash_log_bound){ .lines_per_s = lines_per_s };
   fcntl (fd, F_SETFL, fcntl (fd, F_GETFL) | O_NONBLOCK);
 }
 
 /* @return whether the line was taken. */
 static bool
-write_whole (const struct ash_log_sink *sink, const char *line)
+write_line (const struct ash_log_sink *sink, const char *line)
 {
   size_t length = strlen (line);
 
@@ -157,23 +157,23 @@
 }
 
 static void
-say_left_out (const struct ash_log *log)
+report_dropped (const struct ash_log *log)
 {
   const struct event_info *info = find_event (ASH_EV_LOG_LEFT_OUT);
   struct ash_log_bound *bound = log->sink->bound;
   char fields[128];
-  char line[WHOLE_BYTES];
+  char line[LINE_MAX_BYTES];
 
-  snprintf (fields, sizeof fields, "lines=%llu total=%llu", (unsigned long long) bound->left_out,
-            (unsigned long long) bound->left_out_total);
+  snprintf (fields, sizeof fields, "lines=%llu total=%llu", (unsigned long long) bound->dropped,
+            (unsigned long long) bound->dropped_total);
   format_line (log, info, fields, line);
-  if (write_whole (log->sink, line))
-    bound->left_out = 0;
+  if (write_line (log->sink, line))
+    bound->dropped = 0;
 }
 
 /* @return whether this line may be written now. */
 static bool
-is_within (const struct ash_log *log, enum ash_log_level level)
+is_within_limit (const struct ash_log *log, enum ash_log_level level)
 {
   struct ash_log_bound *bound = log->sink->bound;
   struct timespec ts;
@@ -183,19 +183,19 @@
     {
       bound->second = ts.tv_sec;
       bound->lines = 0;
-      if (bound->left_out)
-        say_left_out (log);
+      if (bound->dropped)
+        report_dropped (log);
     }
-  if (level >= ASH_LOG_WARN || !bound->lines_s)
+  if (level >= ASH_LOG_WARN || !bound->lines_per_s)
     return true;
-  return bound->lines++ < bound->lines_s;
+  return bound->lines++ < bound->lines_per_s;
 }
 
 static void
-leave_out (struct ash_log_bound *bound)
+count_dropped (struct ash_log_bound *bound)
 {
-  bound->left_out++;
-  bound->left_out_total++;
+  bound->dropped++;
+  bound->dropped_total++;
 }
 
 void
@@ -203,15 +203,15 @@
 {
   const struct event_info *info = find_event (event);
   const struct ash_log_sink *sink = log->sink;
-  char fields[LINE_BYTES];
-  char line[WHOLE_BYTES];
+  char fields[FIELDS_BYTES];
+  char line[LINE_MAX_BYTES];
   va_list args;
 
   if (!sink || !info || info->level < sink->level)
     return;
-  if (sink->bound && !is_within (log, info->level))
+  if (sink->bound && !is_within_limit (log, info->level))
     {
-      leave_out (sink->bound);
+      count_dropped (sink->bound);
       return;
     }
   va_start (args, format);
@@ -223,6 +223,6 @@
       fputs (line, sink->out);
       fflush (sink->out);
     }
-  else if (!write_whole (sink, line))
-    leave_out (sink->bound);
+  else if (!write_line (sink, line))
+    count_dropped (sink->bound);
 }
--- a/common/log.h
+++ b/common/log.h
@@ -24,11 +24,11 @@
 /** Keeps the log's volume bounded. Warnings and errors do not count against it. */
 struct ash_log_bound
 {
-  uint32_t lines_s;  /**< lines a second at most; 0: no bound */
-  int64_t second;    /**< that is being counted */
-  uint32_t lines;    /**< written in it */
-  uint64_t left_out; /**< since that was last said */
-  uint64_t left_out_total;
+  uint32_t lines_per_s; /**< lines a second at most; 0: no bound */
+  int64_t second;       /**< that is being counted */
+  uint32_t lines;       /**< written in it */
+  uint64_t dropped;     /**< since that was last said */
+  uint64_t dropped_total;
 };
 
 /** What all modules of a process share. */
@@ -49,7 +49,7 @@
 };
 
 /** Makes a sink that never waits: its file is set not to block. */
-void ash_log_bound_init (struct ash_log_bound *bound, FILE *out, uint32_t lines_s);
+void ash_log_bound_init (struct ash_log_bound *bound, FILE *out, uint32_t lines_per_s);
 
 /**
  * Writes an event. @p format gives fields as `key=value`, separated by blanks;
--- a/common/metrics.c
+++ b/common/metrics.c
@@ -54,7 +54,7 @@
 
   snprintf (key, sizeof key, "%s{%s", name, labels);
   HASH_FIND_STR (metrics->series, key, series);
-  if (series || metrics->count >= ASH_METRICS_MAX)
+  if (series || metrics->count >= ASH_METRICS_SERIES_MAX)
     return series;
   series = calloc (1, sizeof *series);
   if (!series)
@@ -121,7 +121,7 @@
 }
 
 static int
-by_key (const struct ash_series *a, const struct ash_series *b)
+compare_keys (const struct ash_series *a, const struct ash_series *b)
 {
   return strcmp (a->key, b->key);
 }
@@ -132,7 +132,7 @@
   static const char *const kinds[] = { "counter", "gauge", "histogram" };
   char last[KEY_BYTES] = "";
 
-  HASH_SORT (metrics->series, by_key);
+  HASH_SORT (metrics->series, compare_keys);
   for (const struct ash_series *series = metrics->series; series; series = series->hh.next)
     {
       char name[KEY_BYTES];
--- a/common/metrics.h
+++ b/common/metrics.h
@@ -11,7 +11,7 @@
 #include <stdint.h>
 #include <stdio.h>
 
-#define ASH_METRICS_MAX 2048
+#define ASH_METRICS_SERIES_MAX 2048
 #define ASH_METRICS_BUCKETS 14
 
 struct ash_series;
--- a/controllers/agent_send.c
+++ b/controllers/agent_send.c
@@ -36,7 +36,8 @@
   head.incarnation = agent->incarnation;
   head.attempt = attempt;
   head.status = record->answer.status;
-  head.content_type = record->answer.content_type ? record->answer.content_type : ash_text ("");
+  head.content_type =
+      record->answer.content_type ? record->answer.content_type : ash_proto_text ("");
   head.wait_ms = record->wait_ms;
   ash_emit (&agent->sink, peer, ASH__EVENT__KIND_HEAD, &head);
 }
--- a/controllers/expert_change.c
+++ b/controllers/expert_change.c
@@ -135,7 +135,7 @@
 {
   struct Ash__RankOrder order = ASH__RANK_ORDER__INIT;
 
-  order.group = ash_text (change->group);
+  order.group = ash_proto_text (change->group);
   order.ballot = change->ballot;
   order.sequence = change->sequence;
   fill_order (change, &order);
--- a/controllers/expert_rank.c
+++ b/controllers/expert_rank.c
@@ -154,7 +154,7 @@
 
   if (ash_expert_fence_admit (&rank->fence, rank->life, order))
     state.accepted = apply_order (rank, order);
-  state.group = ash_text (rank->group);
+  state.group = ash_proto_text (rank->group);
   state.rank = rank->rank;
   state.life = rank->life;
   state.ballot = order->ballot;
--- a/controllers/readers.c
+++ b/controllers/readers.c
@@ -5,7 +5,7 @@
 static uint64_t
 order_of (const struct ash_entry_box *entry)
 {
-  return ash_hash_pair ((struct ash_id){ ash_hash_text (entry->hall), 0 }, entry->name);
+  return ash_rendezvous_weight ((struct ash_id){ ash_hash_text (entry->hall), 0 }, entry->name);
 }
 
 static bool
--- a/daemon/api.c
+++ b/daemon/api.c
@@ -208,10 +208,10 @@
   if (no_repeat && strcmp (no_repeat, "1") != 0 && strcmp (no_repeat, "0") != 0)
     return "header Ash-No-Repeat must be 0 or 1";
   call->call = request->number;
-  call->method = ash_text (request->method);
-  call->idempotency_key = ash_text (key ? key : "");
+  call->method = ash_proto_text (request->method);
+  call->idempotency_key = ash_proto_text (key ? key : "");
   call->no_repeat = no_repeat && *no_repeat == '1';
-  call->content_type = ash_text (type ? type : "");
+  call->content_type = ash_proto_text (type ? type : "");
   call->body.data = (uint8_t *) (uintptr_t) request->body;
   call->body.len = request->body_bytes;
   call->unix_s = (int64_t) time (NULL);
@@ -263,8 +263,8 @@
     reply_bad (api, request->number, ASH__REASON__BAD_REQUEST, "'stream' must be true or false");
   else
     {
-      call.service = ash_text (model);
-      call.path = ash_text (request->path);
+      call.service = ash_proto_text (model);
+      call.path = ash_proto_text (request->path);
       call.stream = json_is_true (stream);
       submit_call (api, request, &call);
     }
--- a/daemon/config_sync.c
+++ b/daemon/config_sync.c
@@ -10,7 +10,7 @@
          Ash__Event__KindCase kind,
          const void *message)
 {
-  struct Ash__Event event = ash_event_of (name, kind, message);
+  struct Ash__Event event = ash_event_wrap (name, kind, message);
 
   ash_daemon_send (daemon, &event);
 }
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -20,7 +20,7 @@
 
   for (uint32_t i = 0; findings->items && i < kept; i++)
     ash_log_event (&daemon->log, ASH_EV_CONFIG_REFUSED, "line=%u place=\"%s\" finding=\"%s\"",
-                   findings->items[i].line, findings->items[i].place, findings->items[i].text);
+                   findings->items[i].line, findings->items[i].key_path, findings->items[i].text);
 }
 
 void
@@ -70,12 +70,12 @@
 answer_query (struct ash_daemon *daemon, const char *peer, const struct Ash__Query *query)
 {
   struct Ash__QueryAnswer answer = ASH__QUERY_ANSWER__INIT;
-  struct Ash__Event event = ash_event_of (peer, ASH__EVENT__KIND_QUERY_ANSWER, &answer);
+  struct Ash__Event event = ash_event_wrap (peer, ASH__EVENT__KIND_QUERY_ANSWER, &answer);
   json_t *known = daemon->role.explain (daemon->role.data, query);
   char *text = known ? json_dumps (known, JSON_COMPACT) : NULL;
 
   answer.number = query->number;
-  answer.text = text ? text : ash_text ("");
+  answer.text = text ? text : ash_proto_text ("");
   ash_daemon_send (daemon, &event);
   free (text);
   json_decref (known);
--- a/daemon/endpoint.c
+++ b/daemon/endpoint.c
@@ -38,7 +38,7 @@
 static void
 send_to_agent (struct endpoint *endpoint, Ash__Event__KindCase kind, const void *message)
 {
-  struct Ash__Event event = ash_event_of ("", kind, message);
+  struct Ash__Event event = ash_event_wrap ("", kind, message);
 
   ash_agent_handle (&endpoint->agent, ash_clock_now (), &event);
 }
@@ -54,7 +54,7 @@
   (void) revision;
   head.run = run->number;
   head.status = status;
-  head.content_type = ash_text (content_type);
+  head.content_type = ash_proto_text (content_type);
   send_to_agent (run->endpoint, ASH__EVENT__KIND_ENGINE_HEAD, &head);
 }
 
--- a/daemon/explain.c
+++ b/daemon/explain.c
@@ -94,7 +94,7 @@
            const struct Ash__Query *query)
 {
   const struct ash_box *box = ash_membership_find (&explain->api->entry->membership, name);
-  struct Ash__Event event = ash_event_of (name, ASH__EVENT__KIND_QUERY, query);
+  struct Ash__Event event = ash_event_wrap (name, ASH__EVENT__KIND_QUERY, query);
 
   json_object_set_new (pending->unanswered, name, json_true ());
   if (box && box->linked)
@@ -131,7 +131,7 @@
   if (strncmp (path, GROUP_PATH, strlen (GROUP_PATH)) == 0)
     {
       query->kind = ASH__QUERY__KIND__GROUP;
-      query->name = ash_text (path + strlen (GROUP_PATH));
+      query->name = ash_proto_text (path + strlen (GROUP_PATH));
       return ash_document_group (document, query->name) ? NULL : "no such group";
     }
   if (strncmp (path, REQUEST_PATH, strlen (REQUEST_PATH)) != 0)
@@ -223,7 +223,7 @@
   const char *name = ash_http_query (request, "box");
   struct ash_box *box = name ? ash_membership_find (&api->entry->membership, name) : NULL;
   struct Ash__Drain drain = ASH__DRAIN__INIT;
-  struct Ash__Event event = ash_event_of (name ? name : "", ASH__EVENT__KIND_DRAIN, &drain);
+  struct Ash__Event event = ash_event_wrap (name ? name : "", ASH__EVENT__KIND_DRAIN, &drain);
 
   if (!ash_operator_check (api, request, ASH_OPERATOR_FULL))
     return;
--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -175,7 +175,7 @@
   uint64_t endpoints[ASH_FLEET_LOADS_MAX];
   uint64_t in_flight[ASH_FLEET_LOADS_MAX];
   struct Ash__EndpointLoads loads = ASH__ENDPOINT_LOADS__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_ENDPOINT_LOADS, &loads);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_ENDPOINT_LOADS, &loads);
 
   loads.endpoints = endpoints;
   loads.in_flight = in_flight;
@@ -193,7 +193,7 @@
 static void
 send_loads (struct ash_fleet *fleet, int audience, const struct Ash__EndpointLoads *loads)
 {
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_ENDPOINT_LOADS, loads);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_ENDPOINT_LOADS, loads);
   struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints;
 
   for (; endpoint; endpoint = endpoint->hh.next)
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -36,7 +36,7 @@
 {
   struct Ash__EndpointTerms *list[TERMS_MAX];
   struct Ash__EndpointTermsList terms = ASH__ENDPOINT_TERMS_LIST__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_ENDPOINT_TERMS, &terms);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_ENDPOINT_TERMS, &terms);
 
   if (!count)
     return;
--- a/daemon/group_agent.c
+++ b/daemon/group_agent.c
@@ -76,7 +76,7 @@
 {
   struct Ash__Event event = ASH__EVENT__INIT;
 
-  event.peer = ash_text (peer);
+  event.peer = ash_proto_text (peer);
   event.kind_case = ASH__EVENT__KIND_RANK_STATE;
   event.rank_state = (struct Ash__RankState *) (uintptr_t) state;
   if (strcmp (peer, group->daemon->settings->box) == 0)
--- a/daemon/intent.c
+++ b/daemon/intent.c
@@ -76,7 +76,7 @@
   for (uint32_t i = 0; findings->items && i < findings->count && i < ASH_FINDINGS_MAX; i++)
     json_array_append_new (
         list, json_pack ("{s:i, s:s, s:s}", "line", (int) findings->items[i].line, "place",
-                         findings->items[i].place, "text", findings->items[i].text));
+                         findings->items[i].key_path, "text", findings->items[i].text));
   return list;
 }
 
--- a/daemon/peer_sync.c
+++ b/daemon/peer_sync.c
@@ -48,11 +48,11 @@
   switch (part)
     {
     case ASH_STORE_CONFIG:
-      event = ash_event_of ("", ASH__EVENT__KIND_CONFIG_WANT, &config_want);
+      event = ash_event_wrap ("", ASH__EVENT__KIND_CONFIG_WANT, &config_want);
       ash_peers_send (&router->fleet.links, box, &event);
       break;
     case ASH_STORE_SERVERS:
-      event = ash_event_of ("", ASH__EVENT__KIND_ENDPOINT_LIST_WANT, &list_want);
+      event = ash_event_wrap ("", ASH__EVENT__KIND_ENDPOINT_LIST_WANT, &list_want);
       ash_peers_send (&router->fleet.links, box, &event);
       break;
     }
@@ -161,7 +161,7 @@
     delta = ash_config_delta_make (before, after);
   if (delta)
     {
-      struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_CONFIG_DELTA, delta);
+      struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_CONFIG_DELTA, delta);
 
       ash_fleet_send_hall (fleet, &event);
       ash__config_delta__free_unpacked (delta, NULL);
@@ -197,7 +197,7 @@
 {
   struct ash_router *router = peer_sync->router;
   struct Ash__ConfigOffer offer = ASH__CONFIG_OFFER__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_CONFIG_OFFER, &offer);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_CONFIG_OFFER, &offer);
 
   if (!router->config_text)
     return;
@@ -212,7 +212,7 @@
 {
   struct ash_router *router = peer_sync->router;
   struct Ash__EndpointList list = ASH__ENDPOINT_LIST__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_ENDPOINT_LIST, &list);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_ENDPOINT_LIST, &list);
 
   if (!ash_store_fill_list (&router->store, &list))
     return;
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -146,8 +146,9 @@
 {
   for (uint32_t i = 0; i < findings->count && i < ASH_FINDINGS_MAX; i++)
     ash_log_event (&router->log, ASH_EV_CONFIG_REFUSED,
-                   "source=%s place=%s why=\"%s\" in_force=%llu", source, findings->items[i].place,
-                   findings->items[i].text, (unsigned long long) ash_router_version (router));
+                   "source=%s place=%s why=\"%s\" in_force=%llu", source,
+                   findings->items[i].key_path, findings->items[i].text,
+                   (unsigned long long) ash_router_version (router));
 }
 
 /* Both are the router's from now on. */
--- a/daemon/router_pages.c
+++ b/daemon/router_pages.c
@@ -103,7 +103,7 @@
   ash_metrics_set (metrics, "ash_entries", "", ash_fleet_size (&router->fleet));
   ash_metrics_set (metrics, "ash_callers_connected", "", router->frontend.conn_count);
   ash_metrics_set (metrics, "ash_requests_waiting", "", router->waiting_count);
-  ash_metrics_set (metrics, "ash_log_lines_left_out_total", "", router->log_bound.left_out_total);
+  ash_metrics_set (metrics, "ash_log_lines_left_out_total", "", router->log_bound.dropped_total);
   ash_metrics_set (metrics, "ash_map_orders_total", "", router->groups.orders);
   ash_metrics_set (metrics, "ash_expert_counts_read_total", "", router->groups.reads);
   ash_metrics_set (metrics, "ash_groups_beyond_bounds_total", "", router->groups.beyond_bounds);
--- a/daemon/store_list.c
+++ b/daemon/store_list.c
@@ -267,7 +267,7 @@
 {
   struct ash_store_changes *changes = &store->changes;
   struct Ash__EndpointList list = ASH__ENDPOINT_LIST__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_ENDPOINT_CHANGES, &list);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_ENDPOINT_CHANGES, &list);
   size_t room = changes->count;
 
   if (!room || !since)
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -54,7 +54,7 @@
 {
   struct Ash__SuspectRun *list[ASH_QUARANTINE_DISCONNECTS];
   struct Ash__SuspectRuns runs = ASH__SUSPECT_RUNS__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_SUSPECT_RUNS, &runs);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_SUSPECT_RUNS, &runs);
 
   for (size_t i = 0; i < count; i++)
     list[i] = &messages[i];
--- a/filters/answer.c
+++ b/filters/answer.c
@@ -70,7 +70,7 @@
   reply.id_lo = request->id.lo;
   reply.status = head->status;
   reply.outcome = ASH__OUTCOME__RAN;
-  reply.content_type = request->content_type ? request->content_type : ash_text ("");
+  reply.content_type = request->content_type ? request->content_type : ash_proto_text ("");
   reply.box = request->box;
   reply.wait_ms = request->wait_ms;
   ash_emit (&entry->sink, "", ASH__EVENT__KIND_REPLY, &reply);
@@ -155,7 +155,7 @@
   reply.id_lo = request->id.lo;
   reply.status = request->status;
   reply.outcome = ASH__OUTCOME__RAN;
-  reply.content_type = request->content_type ? request->content_type : ash_text ("");
+  reply.content_type = request->content_type ? request->content_type : ash_proto_text ("");
   reply.box = request->box;
   reply.wait_ms = request->wait_ms;
   reply.body.data = request->body;
--- a/filters/request_end.c
+++ b/filters/request_end.c
@@ -100,7 +100,7 @@
   reply.outcome = (Ash__Outcome) outcome;
   reply.reason = (Ash__Reason) reason;
   reply.retry_ms = request->retry_ms;
-  reply.box = request->attempt ? request->box : ash_text ("");
+  reply.box = request->attempt ? request->box : ash_proto_text ("");
   reply.final = true;
   ash_emit (&entry->sink, "", ASH__EVENT__KIND_REPLY, &reply);
   ash_request_record_end (entry, now, request, outcome);
--- a/filters/route.c
+++ b/filters/route.c
@@ -151,7 +151,7 @@
       if (!consider (context, request, service, i, &candidate))
         continue;
       near = strcmp (candidate.endpoint->hall, context->settings->hall) == 0;
-      weight = ash_hash_pair (prefix, candidate.endpoint->name);
+      weight = ash_rendezvous_weight (prefix, candidate.endpoint->name);
       if (near < best_is_local || (highest && near == best_is_local && weight <= highest))
         continue;
       best_is_local = near;
--- a/net/peer.c
+++ b/net/peer.c
@@ -150,7 +150,7 @@
 static void
 send_message (struct ash_link *link, Ash__Event__KindCase kind, const void *message)
 {
-  struct Ash__Event event = ash_event_of ("", kind, message);
+  struct Ash__Event event = ash_event_wrap ("", kind, message);
 
   send_event (link, &event);
 }
@@ -162,7 +162,7 @@
   struct Ash__Hello hello = ASH__HELLO__INIT;
   uint8_t proof[ASH_PROOF_BYTES];
 
-  hello.box = ash_text (peers->identity.box);
+  hello.box = ash_proto_text (peers->identity.box);
   hello.role = peers->identity.role;
   hello.incarnation = peers->identity.incarnation;
   hello.revision = peers->revision (peers->data);
@@ -329,7 +329,7 @@
   free (event->peer == protobuf_c_empty_string ? NULL : event->peer);
   event->peer = link->box;
   link->peers->handler.emit (link->peers->handler.data, event);
-  event->peer = ash_text (protobuf_c_empty_string);
+  event->peer = ash_proto_text (protobuf_c_empty_string);
   return NULL;
 }
 
@@ -697,7 +697,7 @@
   if (!link || link->close_pending)
     return false;
   /* The receiver knows who sends; the name need not travel. */
-  copy.peer = ash_text (protobuf_c_empty_string);
+  copy.peer = ash_proto_text (protobuf_c_empty_string);
   send_event (link, &copy);
   return true;
 }
--- a/options/document.c
+++ b/options/document.c
@@ -11,11 +11,11 @@
 #define RATE_MAX 1000000
 
 /* clang-format off */
-#define TEXT(type, key, member, fallback, help) \
-  { key, ASH_OPTION_TEXT, offsetof (struct type, member), fallback, 0, ASH_NAME_BYTES, \
+#define TEXT(type, key, member, default_value, help) \
+  { key, ASH_OPTION_TEXT, offsetof (struct type, member), default_value, 0, ASH_NAME_BYTES, \
     NULL, NULL, help }
-#define COUNT(type, member, fallback, min, max, unit, help) \
-  { #member, ASH_OPTION_UINT, offsetof (struct type, member), fallback, min, max, \
+#define COUNT(type, member, default_value, min, max, unit, help) \
+  { #member, ASH_OPTION_UINT, offsetof (struct type, member), default_value, min, max, \
     NULL, unit, help }
 /* clang-format on */
 
@@ -135,7 +135,7 @@
   struct ash_node *array = ash_node_get (root, key);
   uint32_t length = 0;
   char *rows;
-  char place[64];
+  char key_path[64];
 
   *count = 0;
   if (!array)
@@ -160,15 +160,15 @@
     }
   for (struct ash_node *item = array->children; item; item = item->next)
     {
-      snprintf (place, sizeof place, "%s[%u]", key, *count);
+      snprintf (key_path, sizeof key_path, "%s[%u]", key, *count);
       if (item->kind != ASH_NODE_TABLE)
         {
-          ash_findings_add (findings, item->line, place, "expected a table");
+          ash_findings_add (findings, item->line, key_path, "expected a table");
           continue;
         }
-      ash_options_read (options, item, place, rows + *count * row_bytes, findings);
+      ash_options_read (options, item, key_path, rows + *count * row_bytes, findings);
       ((struct ash_row *) (void *) (rows + *count * row_bytes))->line = item->line;
-      ash_node_report_unused (item, place, findings);
+      ash_node_report_unused (item, key_path, findings);
       (*count)++;
     }
   return rows;
--- a/options/document_check.c
+++ b/options/document_check.c
@@ -15,7 +15,7 @@
 {
   uint32_t slot_count = 16;
   uint32_t *slots;
-  char place[64];
+  char key_path[64];
 
   while (slot_count < 2 * count)
     slot_count *= 2;
@@ -27,12 +27,12 @@
       const struct ash_row *row = ash_row_at (rows, i, row_bytes);
       uint32_t at = (uint32_t) ash_hash_text (row->name) & (slot_count - 1);
 
-      snprintf (place, sizeof place, "%s[%u]", key, i);
+      snprintf (key_path, sizeof key_path, "%s[%u]", key, i);
       if (*row->name == '\0')
-        ash_findings_add (findings, row->line, place, "its name is empty");
+        ash_findings_add (findings, row->line, key_path, "its name is empty");
       for (; slots[at]; at = (at + 1) & (slot_count - 1))
         if (strcmp (ash_row_at (rows, slots[at] - 1, row_bytes)->name, row->name) == 0)
-          ash_findings_add (findings, row->line, place, "'%s' is declared twice", row->name);
+          ash_findings_add (findings, row->line, key_path, "'%s' is declared twice", row->name);
       slots[at] = i + 1;
     }
   free (slots);
@@ -42,50 +42,53 @@
 check_hall (const struct ash_document *document,
             const char *hall,
             uint32_t line,
-            const char *place,
+            const char *key_path,
             struct ash_findings *findings)
 {
   if (!ash_row_find (document->halls, document->hall_count, sizeof (struct ash_hall), hall))
-    ash_findings_add (findings, line, place, "hall '%s' is not declared", hall);
+    ash_findings_add (findings, line, key_path, "hall '%s' is not declared", hall);
 }
 
 static void
-check_peer (const char *address, uint32_t line, const char *place, struct ash_findings *findings)
+check_address (const char *address,
+               uint32_t line,
+               const char *key_path,
+               struct ash_findings *findings)
 {
   char ip[16];
   uint16_t port;
 
   if (!ash_address_parse (address, ip, &port) || port == 0)
-    ash_findings_add (findings, line, place, "'%s' is not IP:PORT", address);
+    ash_findings_add (findings, line, key_path, "'%s' is not IP:PORT", address);
 }
 
 static void
 check_boxes (const struct ash_document *document, struct ash_findings *findings)
 {
-  char place[64];
+  char key_path[64];
 
   for (uint32_t i = 0; i < document->entry_count; i++)
     {
       const struct ash_entry_box *entry = &document->entries[i];
 
-      snprintf (place, sizeof place, "entry[%u]", i);
-      check_hall (document, entry->hall, entry->line, place, findings);
-      check_peer (entry->http, entry->line, place, findings);
-      check_peer (entry->peer, entry->line, place, findings);
+      snprintf (key_path, sizeof key_path, "entry[%u]", i);
+      check_hall (document, entry->hall, entry->line, key_path, findings);
+      check_address (entry->http, entry->line, key_path, findings);
+      check_address (entry->peer, entry->line, key_path, findings);
     }
   for (uint32_t i = 0; i < document->endpoint_count; i++)
     {
       const struct ash_endpoint *endpoint = &document->endpoints[i];
 
-      snprintf (place, sizeof place, "endpoint[%u]", i);
-      check_hall (document, endpoint->hall, endpoint->line, place, findings);
-      check_peer (endpoint->peer, endpoint->line, place, findings);
+      snprintf (key_path, sizeof key_path, "endpoint[%u]", i);
+      check_hall (document, endpoint->hall, endpoint->line, key_path, findings);
+      check_address (endpoint->peer, endpoint->line, key_path, findings);
       if (!ash_document_service (document, endpoint->service))
-        ash_findings_add (findings, endpoint->line, place, "service '%s' is not declared",
+        ash_findings_add (findings, endpoint->line, key_path, "service '%s' is not declared",
                           endpoint->service);
       if (ash_document_entry (document, endpoint->name))
-        ash_findings_add (findings, endpoint->line, place, "box '%s' is declared as an entry too",
-                          endpoint->name);
+        ash_findings_add (findings, endpoint->line, key_path,
+                          "box '%s' is declared as an entry too", endpoint->name);
     }
 }
 
@@ -98,9 +101,9 @@
     {
       struct ash_group *group = &document->groups[g];
       uint64_t seen = 0;
-      char place[64];
+      char key_path[64];
 
-      snprintf (place, sizeof place, "group[%u]", g);
+      snprintf (key_path, sizeof key_path, "group[%u]", g);
       for (uint32_t i = 0; i < document->endpoint_count; i++)
         if (strcmp (document->endpoints[i].group, group->name) == 0)
           {
@@ -109,20 +112,21 @@
           }
       if (group->rank_count == 0 || group->rank_count > 64 ||
           seen != UINT64_MAX >> (64 - group->rank_count))
-        ash_findings_add (findings, group->line, place,
+        ash_findings_add (findings, group->line, key_path,
                           "its endpoints' ranks must be 0, 1, 2 and so on, each once");
       if (group->rank_count * group->rank_slots < group->experts)
-        ash_findings_add (findings, group->line, place, "%u experts do not fit into %u x %u slots",
-                          group->experts, group->rank_count, group->rank_slots);
+        ash_findings_add (findings, group->line, key_path,
+                          "%u experts do not fit into %u x %u slots", group->experts,
+                          group->rank_count, group->rank_slots);
     }
   for (uint32_t i = 0; i < document->endpoint_count; i++)
     {
       const struct ash_endpoint *endpoint = &document->endpoints[i];
-      char place[64];
+      char key_path[64];
 
-      snprintf (place, sizeof place, "endpoint[%u]", i);
+      snprintf (key_path, sizeof key_path, "endpoint[%u]", i);
       if (*endpoint->group && !ash_document_group (document, endpoint->group))
-        ash_findings_add (findings, endpoint->line, place, "group '%s' is not declared",
+        ash_findings_add (findings, endpoint->line, key_path, "group '%s' is not declared",
                           endpoint->group);
     }
 }
@@ -130,7 +134,7 @@
 static void
 check_accounts (struct ash_document *document, struct ash_findings *findings)
 {
-  char place[64];
+  char key_path[64];
 
   document->account_slot_count = 16;
   while (document->account_slot_count < 2 * document->account_count)
@@ -143,14 +147,14 @@
           document->classes, document->class_count, sizeof (struct ash_class), account->class_name);
       uint32_t at;
 
-      snprintf (place, sizeof place, "account[%u]", i);
+      snprintf (key_path, sizeof key_path, "account[%u]", i);
       if (class_found)
         account->class_index = (uint32_t) (class_found - document->classes);
       else
-        ash_findings_add (findings, account->line, place, "class '%s' is not declared",
+        ash_findings_add (findings, account->line, key_path, "class '%s' is not declared",
                           account->class_name);
       if (ash_document_account_by_key (document, account->key_hash))
-        ash_findings_add (findings, account->line, place, "its key is another account's too");
+        ash_findings_add (findings, account->line, key_path, "its key is another account's too");
       at = ash_account_slot (account->key_hash, document->account_slot_count);
       while (document->account_slots[at])
         at = (at + 1) & (document->account_slot_count - 1);
@@ -163,27 +167,27 @@
 static void
 check_reservations (const struct ash_document *document, struct ash_findings *findings)
 {
-  char place[64];
+  char key_path[64];
 
   for (uint32_t i = 0; i < document->reservation_count; i++)
     {
       const struct ash_reservation *reservation = &document->reservations[i];
 
-      snprintf (place, sizeof place, "reservation[%u]", i);
+      snprintf (key_path, sizeof key_path, "reservation[%u]", i);
       if (!ash_document_event (document, reservation->event))
-        ash_findings_add (findings, reservation->line, place, "event '%s' is not declared",
+        ash_findings_add (findings, reservation->line, key_path, "event '%s' is not declared",
                           reservation->event);
       if (!ash_document_account (document, reservation->account))
-        ash_findings_add (findings, reservation->line, place, "account '%s' is not declared",
+        ash_findings_add (findings, reservation->line, key_path, "account '%s' is not declared",
                           reservation->account);
       if (!ash_document_service (document, reservation->service))
-        ash_findings_add (findings, reservation->line, place, "service '%s' is not declared",
+        ash_findings_add (findings, reservation->line, key_path, "service '%s' is not declared",
                           reservation->service);
       for (uint32_t j = 0; j < i; j++)
         if (strcmp (document->reservations[j].event, reservation->event) == 0 &&
             strcmp (document->reservations[j].account, reservation->account) == 0 &&
             strcmp (document->reservations[j].service, reservation->service) == 0)
-          ash_findings_add (findings, reservation->line, place,
+          ash_findings_add (findings, reservation->line, key_path,
                             "'%s' reserves for the same event, account and service",
                             document->reservations[j].name);
     }
@@ -193,7 +197,7 @@
 check_profiles (const struct ash_document *document, struct ash_findings *findings)
 {
   double loads[ASH_PROFILE_EXPERTS_MAX];
-  char place[64];
+  char key_path[64];
 
   for (uint32_t i = 0; i < document->profile_count; i++)
     {
@@ -201,16 +205,17 @@
       const struct ash_group *group = ash_document_group (document, profile->group);
       uint32_t count = ash_profile_loads (profile, loads);
 
-      snprintf (place, sizeof place, "profile[%u]", i);
+      snprintf (key_path, sizeof key_path, "profile[%u]", i);
       if (!ash_document_event (document, profile->event))
-        ash_findings_add (findings, profile->line, place, "event '%s' is not declared",
+        ash_findings_add (findings, profile->line, key_path, "event '%s' is not declared",
                           profile->event);
       if (!group)
-        ash_findings_add (findings, profile->line, place, "group '%s' is not declared",
+        ash_findings_add (findings, profile->line, key_path, "group '%s' is not declared",
                           profile->group);
       else if (count != group->experts)
-        ash_findings_add (findings, profile->line, place, "%u loads, and group '%s' has %u experts",
-                          count, group->name, group->experts);
+        ash_findings_add (findings, profile->line, key_path,
+                          "%u loads, and group '%s' has %u experts", count, group->name,
+                          group->experts);
     }
 }
 
--- a/options/document_find.c
+++ b/options/document_find.c
@@ -92,7 +92,7 @@
   for (uint32_t i = 0; service && i < service->endpoint_count; i++)
     {
       const struct ash_endpoint *endpoint = ash_document_service_endpoint (document, service, i);
-      uint64_t weight = ash_hash_pair (id, endpoint->name);
+      uint64_t weight = ash_rendezvous_weight (id, endpoint->name);
 
       if (home && weight <= best)
         continue;
@@ -108,13 +108,13 @@
                          const char *entry)
 {
   struct ash_id id = { ash_hash_text (account->name), 0 };
-  uint64_t own = ash_hash_pair (id, entry);
+  uint64_t own = ash_rendezvous_weight (id, entry);
   int32_t rank = 0;
 
   if (!ash_document_entry (document, entry))
     return -1;
   for (uint32_t i = 0; i < document->entry_count; i++)
-    if (ash_hash_pair (id, document->entries[i].name) > own)
+    if (ash_rendezvous_weight (id, document->entries[i].name) > own)
       rank++;
   return rank < (int32_t) account->entries ? rank : -1;
 }
--- a/options/intent.c
+++ b/options/intent.c
@@ -70,7 +70,7 @@
 }
 
 static void
-note (json_t *changes, const char *kind, const char *name, const char *change, json_t *keys)
+add_change (json_t *changes, const char *kind, const char *name, const char *change, json_t *keys)
 {
   json_array_append_new (changes, json_pack ("{s:s, s:s, s:s, s:o}", "kind", kind, "name", name,
                                              "change", change, "keys", keys));
@@ -79,7 +79,7 @@
 /* ---- rows ---- */
 
 static void
-change_row (struct ash_plan *plan, const char *kind, json_t *row, const json_t *wanted)
+update_row (struct ash_plan *plan, const char *kind, json_t *row, const json_t *wanted)
 {
   json_t *keys = json_array ();
   const char *key;
@@ -93,17 +93,17 @@
       json_array_append_new (keys, json_string (key));
     }
   if (json_array_size (keys))
-    note (plan->changes, kind, row_name (row), "changed", keys);
+    add_change (plan->changes, kind, row_name (row), "changed", keys);
   else
     json_decref (keys);
 }
 
 static void
-take_row (struct ash_plan *plan,
-          const char *kind,
-          json_t *rows,
-          json_t *wanted,
-          struct ash_findings *findings)
+apply_row (struct ash_plan *plan,
+           const char *kind,
+           json_t *rows,
+           json_t *wanted,
+           struct ash_findings *findings)
 {
   const char *name = row_name (wanted);
   size_t at;
@@ -115,11 +115,11 @@
     }
   at = find_row (rows, name);
   if (at < json_array_size (rows))
-    change_row (plan, kind, json_array_get (rows, at), wanted);
+    update_row (plan, kind, json_array_get (rows, at), wanted);
   else
     {
       json_array_append (rows, wanted);
-      note (plan->changes, kind, name, "added", json_array ());
+      add_change (plan->changes, kind, name, "added", json_array ());
     }
 }
 
@@ -146,11 +146,11 @@
       return;
     }
   json_array_remove (rows, at);
-  note (plan->changes, kind, blank + 1, "removed", json_array ());
+  add_change (plan->changes, kind, blank + 1, "removed", json_array ());
 }
 
 static void
-take_kind (struct ash_plan *plan, const char *kind, json_t *wanted, struct ash_findings *findings)
+apply_kind (struct ash_plan *plan, const char *kind, json_t *wanted, struct ash_findings *findings)
 {
   json_t *rows = json_object_get (plan->document, kind);
   json_t *row;
@@ -167,13 +167,13 @@
       json_object_set_new (plan->document, kind, rows);
     }
   json_array_foreach (wanted, i, row)
-    take_row (plan, kind, rows, row, findings);
+    apply_row (plan, kind, rows, row, findings);
 }
 
 /* ---- homes ---- */
 
 static json_t *
-boxes_of (const json_t *document, const char *service)
+service_boxes (const json_t *document, const char *service)
 {
   const json_t *rows = json_object_get (document, "endpoint");
   json_t *boxes = json_object ();
@@ -190,7 +190,7 @@
 }
 
 static void
-date_homes (struct ash_plan *plan, const json_t *base, int64_t unix_s)
+update_homes_since (struct ash_plan *plan, const json_t *base, int64_t unix_s)
 {
   json_t *rows = json_object_get (plan->document, "service");
 
@@ -198,13 +198,14 @@
     {
       json_t *row = json_array_get (rows, i);
       const char *name = row_name (row);
-      json_t *before = boxes_of (base, name ? name : "");
-      json_t *after = boxes_of (plan->document, name ? name : "");
+      json_t *before = service_boxes (base, name ? name : "");
+      json_t *after = service_boxes (plan->document, name ? name : "");
 
       if (name && !json_equal (before, after))
         {
           json_object_set_new (row, "homes_since_s", json_integer (unix_s));
-          note (plan->changes, "service", name, "changed", json_pack ("[s]", "homes_since_s"));
+          add_change (plan->changes, "service", name, "changed",
+                      json_pack ("[s]", "homes_since_s"));
         }
       json_decref (before);
       json_decref (after);
@@ -232,10 +233,10 @@
     {
       json_object_foreach (wanted, kind, value)
         if (strcmp (kind, REMOVE_KEY) != 0)
-          take_kind (plan, kind, value, findings);
+          apply_kind (plan, kind, value, findings);
       json_array_foreach (json_object_get (wanted, REMOVE_KEY), i, value)
         remove_row (plan, json_string_value (value), findings);
-      date_homes (plan, before, unix_s);
+      update_homes_since (plan, before, unix_s);
     }
   json_decref (before);
   json_decref (wanted);
@@ -252,7 +253,7 @@
 
 /* Keys of a row that are in only one of both, or differ. */
 static json_t *
-different_keys (json_t *before, json_t *after)
+changed_keys (json_t *before, json_t *after)
 {
   json_t *keys = json_array ();
   const char *key;
@@ -275,12 +276,12 @@
       json_t *row = json_array_get (after, i);
       const char *name = row_name (row) ? row_name (row) : "";
       json_t *old = json_array_get (before, find_row (before, name));
-      json_t *keys = old ? different_keys (old, row) : json_array ();
+      json_t *keys = old ? changed_keys (old, row) : json_array ();
 
       if (!old)
-        note (changes, kind, name, "added", keys);
+        add_change (changes, kind, name, "added", keys);
       else if (json_array_size (keys))
-        note (changes, kind, name, "changed", keys);
+        add_change (changes, kind, name, "changed", keys);
       else
         json_decref (keys);
     }
@@ -289,7 +290,7 @@
       const char *name = row_name (json_array_get (before, i));
 
       if (name && find_row (after, name) == json_array_size (after))
-        note (changes, kind, name, "removed", json_array ());
+        add_change (changes, kind, name, "removed", json_array ());
     }
 }
 
--- a/options/node.c
+++ b/options/node.c
@@ -64,7 +64,7 @@
 
 void
 ash_node_report_unused (const struct ash_node *table,
-                        const char *place,
+                        const char *key_path,
                         struct ash_findings *findings)
 {
   char path[128];
@@ -73,7 +73,7 @@
     {
       if (child->used)
         continue;
-      snprintf (path, sizeof path, "%s%s%s", place, *place ? "." : "", child->key);
+      snprintf (path, sizeof path, "%s%s%s", key_path, *key_path ? "." : "", child->key);
       ash_findings_add (findings, child->line, path, "unknown key");
     }
 }
--- a/options/node.h
+++ b/options/node.h
@@ -23,7 +23,7 @@
   ASH_NODE_BOOL,
 };
 
-/** A value with its place. Children are a list; an array's have an empty key. */
+/** A value with its key_path. Children are a list; an array's have an empty key. */
 struct ash_node
 {
   enum ash_node_kind kind;
@@ -68,7 +68,7 @@
 
 /** Adds a finding for each key of @p table that nobody asked for. */
 void ash_node_report_unused (const struct ash_node *table,
-                             const char *place,
+                             const char *key_path,
                              struct ash_findings *findings);
 
 #endif
--- a/options/option.c
+++ b/options/option.c
@@ -7,24 +7,24 @@
 
 #define MS_PER_S 1000.0
 
-struct reader
+struct option_context
 {
   const struct ash_option *option;
   uint32_t line;
-  char place[128];
+  char key_path[128];
   struct ash_findings *findings;
 };
 
 static void
-store_number (const struct reader *reader, double value, void *field)
+store_number (const struct option_context *option_context, double value, void *field)
 {
-  const struct ash_option *option = reader->option;
+  const struct ash_option *option = option_context->option;
 
   if (!(value >= option->min && value <= option->max))
     {
-      ash_findings_add (reader->findings, reader->line, reader->place, "%g is outside %g to %g%s%s",
-                        value, option->min, option->max, option->unit ? " " : "",
-                        option->unit ? option->unit : "");
+      ash_findings_add (option_context->findings, option_context->line, option_context->key_path,
+                        "%g is outside %g to %g%s%s", value, option->min, option->max,
+                        option->unit ? " " : "", option->unit ? option->unit : "");
       return;
     }
   if (option->type == ASH_OPTION_UINT)
@@ -36,110 +36,113 @@
 }
 
 static void
-store_text (const struct reader *reader, const char *value, void *field)
+store_text (const struct option_context *option_context, const char *value, void *field)
 {
-  if (strlen (value) >= (size_t) reader->option->max)
-    ash_findings_add (reader->findings, reader->line, reader->place, "longer than %g characters",
-                      reader->option->max - 1);
+  if (strlen (value) >= (size_t) option_context->option->max)
+    ash_findings_add (option_context->findings, option_context->line, option_context->key_path,
+                      "longer than %g characters", option_context->option->max - 1);
   else
     strcpy (field, value);
 }
 
 static void
-store_hex (const struct reader *reader, const char *value, void *field)
+store_hex (const struct option_context *option_context, const char *value, void *field)
 {
-  if (!ash_hex_decode (value, field, (size_t) reader->option->max))
-    ash_findings_add (reader->findings, reader->line, reader->place, "must be %g hex digits",
-                      2 * reader->option->max);
+  if (!ash_hex_decode (value, field, (size_t) option_context->option->max))
+    ash_findings_add (option_context->findings, option_context->line, option_context->key_path,
+                      "must be %g hex digits", 2 * option_context->option->max);
 }
 
 static void
-store_choice (const struct reader *reader, const char *value, void *field)
+store_choice (const struct option_context *option_context, const char *value, void *field)
 {
   char known[160] = "";
 
-  for (int i = 0; reader->option->choices[i]; i++)
+  for (int i = 0; option_context->option->choices[i]; i++)
     {
-      if (strcmp (value, reader->option->choices[i]) == 0)
+      if (strcmp (value, option_context->option->choices[i]) == 0)
         {
           *(int *) field = i;
           return;
         }
       strncat (known, i ? ", " : "", sizeof known - strlen (known) - 1);
-      strncat (known, reader->option->choices[i], sizeof known - strlen (known) - 1);
+      strncat (known, option_context->option->choices[i], sizeof known - strlen (known) - 1);
     }
-  ash_findings_add (reader->findings, reader->line, reader->place, "'%s' is none of %s", value,
-                    known);
+  ash_findings_add (option_context->findings, option_context->line, option_context->key_path,
+                    "'%s' is none of %s", value, known);
 }
 
 static void
-store_fallback (const struct reader *reader, void *field)
+store_default (const struct option_context *option_context, void *field)
 {
-  const char *text = reader->option->fallback;
+  const char *text = option_context->option->default_value;
 
-  switch (reader->option->type)
+  switch (option_context->option->type)
     {
     case ASH_OPTION_TEXT:
-      store_text (reader, text, field);
+      store_text (option_context, text, field);
       break;
     case ASH_OPTION_HEX:
-      store_hex (reader, text, field);
+      store_hex (option_context, text, field);
       break;
     case ASH_OPTION_UINT:
     case ASH_OPTION_NUMBER:
     case ASH_OPTION_SECONDS:
-      store_number (reader, strtod (text, NULL), field);
+      store_number (option_context, strtod (text, NULL), field);
       break;
     case ASH_OPTION_BOOL:
       *(bool *) field = strcmp (text, "true") == 0;
       break;
     case ASH_OPTION_CHOICE:
-      store_choice (reader, text, field);
+      store_choice (option_context, text, field);
       break;
     }
 }
 
 static bool
-check_kind (const struct reader *reader, const struct ash_node *node, enum ash_node_kind wanted)
+check_kind (const struct option_context *option_context,
+            const struct ash_node *node,
+            enum ash_node_kind wanted)
 {
   if (node->kind == wanted)
     return true;
-  ash_findings_add (reader->findings, reader->line, reader->place, "expected a %s, found a %s",
-                    ash_node_kind_name (wanted), ash_node_kind_name (node->kind));
+  ash_findings_add (option_context->findings, option_context->line, option_context->key_path,
+                    "expected a %s, found a %s", ash_node_kind_name (wanted),
+                    ash_node_kind_name (node->kind));
   return false;
 }
 
 static void
-store_node (const struct reader *reader, const struct ash_node *node, void *field)
+store_node (const struct option_context *option_context, const struct ash_node *node, void *field)
 {
-  switch (reader->option->type)
+  switch (option_context->option->type)
     {
     case ASH_OPTION_TEXT:
-      if (check_kind (reader, node, ASH_NODE_STRING))
-        store_text (reader, node->string, field);
+      if (check_kind (option_context, node, ASH_NODE_STRING))
+        store_text (option_context, node->string, field);
       break;
     case ASH_OPTION_HEX:
-      if (check_kind (reader, node, ASH_NODE_STRING))
-        store_hex (reader, node->string, field);
+      if (check_kind (option_context, node, ASH_NODE_STRING))
+        store_hex (option_context, node->string, field);
       break;
     case ASH_OPTION_UINT:
-      if (check_kind (reader, node, ASH_NODE_INTEGER))
-        store_number (reader, (double) node->integer, field);
+      if (check_kind (option_context, node, ASH_NODE_INTEGER))
+        store_number (option_context, (double) node->integer, field);
       break;
     case ASH_OPTION_NUMBER:
     case ASH_OPTION_SECONDS:
       if (node->kind == ASH_NODE_INTEGER)
-        store_number (reader, (double) node->integer, field);
-      else if (check_kind (reader, node, ASH_NODE_FLOAT))
-        store_number (reader, node->number, field);
+        store_number (option_context, (double) node->integer, field);
+      else if (check_kind (option_context, node, ASH_NODE_FLOAT))
+        store_number (option_context, node->number, field);
       break;
     case ASH_OPTION_BOOL:
-      if (check_kind (reader, node, ASH_NODE_BOOL))
+      if (check_kind (option_context, node, ASH_NODE_BOOL))
         *(bool *) field = node->boolean;
       break;
     case ASH_OPTION_CHOICE:
-      if (check_kind (reader, node, ASH_NODE_STRING))
-        store_choice (reader, node->string, field);
+      if (check_kind (option_context, node, ASH_NODE_STRING))
+        store_choice (option_context, node->string, field);
       break;
     }
 }
@@ -147,25 +150,28 @@
 void
 ash_options_read (const struct ash_option *options,
                   struct ash_node *table,
-                  const char *place,
+                  const char *key_path,
                   void *target,
                   struct ash_findings *findings)
 {
   for (const struct ash_option *option = options; option->key; option++)
     {
-      struct reader reader = { .option = option, .line = table->line, .findings = findings };
+      struct option_context option_context = { .option = option,
+                                               .line = table->line,
+                                               .findings = findings };
       struct ash_node *node = ash_node_get (table, option->key);
       void *field = (char *) target + option->offset;
 
-      snprintf (reader.place, sizeof reader.place, "%s%s%s", place, *place ? "." : "", option->key);
+      snprintf (option_context.key_path, sizeof option_context.key_path, "%s%s%s", key_path,
+                *key_path ? "." : "", option->key);
       if (node)
-        reader.line = node->line;
+        option_context.line = node->line;
       if (node)
-        store_node (&reader, node, field);
-      else if (option->fallback)
-        store_fallback (&reader, field);
+        store_node (&option_context, node, field);
+      else if (option->default_value)
+        store_default (&option_context, field);
       else
-        ash_findings_add (findings, table->line, reader.place, "must be given");
+        ash_findings_add (findings, table->line, option_context.key_path, "must be given");
     }
 }
 
@@ -189,8 +195,8 @@
         fprintf (out, "%s%s", i ? " | " : " (", option->choices[i]);
       if (option->choices)
         fprintf (out, ")");
-      if (option->fallback)
-        fprintf (out, ", default %s\n", *option->fallback ? option->fallback : "none");
+      if (option->default_value)
+        fprintf (out, ", default %s\n", *option->default_value ? option->default_value : "none");
       else
         fprintf (out, ", required\n");
       fprintf (out, "    %s\n", option->help);
--- a/options/option.h
+++ b/options/option.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Options as one declarative table: key, type, place in a struct, range,
+ * Options as one declarative table: key, type, key_path in a struct, range,
  * default, unit and help. Reading a table of the file against it gives all
  * findings at once, unknown keys included.
  */
@@ -37,7 +37,7 @@
   const char *key; /**< NULL ends a table */
   enum ash_option_type type;
   size_t offset;
-  const char *fallback; /**< default as text; NULL: the key must be given */
+  const char *default_value; /**< default as text; NULL: the key must be given */
   double min;
   double max;
   const char *const *choices; /**< ends with NULL */
@@ -47,13 +47,13 @@
 
 /**
  * Fills @p target from @p table, with defaults for what is missing.
- * @param place path of the table, for findings; empty for the file itself.
+ * @param key_path path of the table, for findings; empty for the file itself.
  * Keys that no option names are reported by ash_node_report_unused(), so that
  * several tables of options can read one table of the file.
  */
 void ash_options_read (const struct ash_option *options,
                        struct ash_node *table,
-                       const char *place,
+                       const char *key_path,
                        void *target,
                        struct ash_findings *findings);
 
--- a/options/router_settings.c
+++ b/options/router_settings.c
@@ -8,20 +8,20 @@
 static const char *const log_formats[] = { "text", "json", NULL };
 static const char *const log_levels[] = { "debug", "info", "warn", "error", NULL };
 
-#define AT(field) offsetof (struct ash_router_settings, field)
+#define FIELD_OFFSET(field) offsetof (struct ash_router_settings, field)
 /* clang-format off */
-#define TEXT(name, fallback, help) \
-  { #name, ASH_OPTION_TEXT, AT (name), fallback, 0, ASH_OPTION_TEXT_BYTES, NULL, NULL, help }
-#define CHOICE(name, fallback, list, help) \
-  { #name, ASH_OPTION_CHOICE, AT (name), fallback, 0, 0, list, NULL, help }
-#define MS(name, fallback, min, max, help) \
-  { #name, ASH_OPTION_UINT, AT (name), fallback, min, max, NULL, "ms", help }
-#define SECONDS(name, fallback, min, max, help) \
-  { #name "_s", ASH_OPTION_SECONDS, AT (name##_ms), fallback, min, max, NULL, "s", help }
-#define COUNT(name, fallback, min, max, unit, help) \
-  { #name, ASH_OPTION_UINT, AT (name), fallback, min, max, NULL, unit, help }
-#define NUMBER(name, fallback, min, max, unit, help) \
-  { #name, ASH_OPTION_NUMBER, AT (name), fallback, min, max, NULL, unit, help }
+#define TEXT(name, default_value, help) \
+  { #name, ASH_OPTION_TEXT, FIELD_OFFSET (name), default_value, 0, ASH_OPTION_TEXT_BYTES, NULL, NULL, help }
+#define CHOICE(name, default_value, list, help) \
+  { #name, ASH_OPTION_CHOICE, FIELD_OFFSET (name), default_value, 0, 0, list, NULL, help }
+#define MS(name, default_value, min, max, help) \
+  { #name, ASH_OPTION_UINT, FIELD_OFFSET (name), default_value, min, max, NULL, "ms", help }
+#define SECONDS(name, default_value, min, max, help) \
+  { #name "_s", ASH_OPTION_SECONDS, FIELD_OFFSET (name##_ms), default_value, min, max, NULL, "s", help }
+#define COUNT(name, default_value, min, max, unit, help) \
+  { #name, ASH_OPTION_UINT, FIELD_OFFSET (name), default_value, min, max, NULL, unit, help }
+#define NUMBER(name, default_value, min, max, unit, help) \
+  { #name, ASH_OPTION_NUMBER, FIELD_OFFSET (name), default_value, min, max, NULL, unit, help }
 /* clang-format on */
 
 const struct ash_option ash_router_options[] = {
@@ -111,9 +111,9 @@
 };
 
 static void
-check_together (const struct ash_router_settings *settings,
-                struct ash_node *root,
-                struct ash_findings *findings)
+check_combinations (const struct ash_router_settings *settings,
+                    struct ash_node *root,
+                    struct ash_findings *findings)
 {
   const struct
   {
@@ -152,7 +152,7 @@
   settings->seed_count =
       ash_settings_read_addresses (root, "seeds", settings->seeds, ASH_ROUTER_SEEDS_MAX, findings);
   ash_node_report_unused (root, "", findings);
-  check_together (settings, root, findings);
+  check_combinations (settings, root, findings);
   ash_node_free (root);
 }
 
--- a/options/settings.c
+++ b/options/settings.c
@@ -15,16 +15,16 @@
 static const char *const log_formats[] = { "text", "json", NULL };
 static const char *const log_levels[] = { "debug", "info", "warn", "error", NULL };
 
-#define AT(field) offsetof (struct ash_settings, field)
+#define FIELD_OFFSET(field) offsetof (struct ash_settings, field)
 /* clang-format off */
-#define TEXT(name, fallback, help) \
-  { #name, ASH_OPTION_TEXT, AT (name), fallback, 0, ASH_OPTION_TEXT_BYTES, NULL, NULL, help }
-#define CHOICE(name, fallback, list, help) \
-  { #name, ASH_OPTION_CHOICE, AT (name), fallback, 0, 0, list, NULL, help }
-#define MS(name, fallback, min, max, help) \
-  { #name, ASH_OPTION_UINT, AT (name), fallback, min, max, NULL, "ms", help }
-#define COUNT(name, fallback, min, max, unit, help) \
-  { #name, ASH_OPTION_UINT, AT (name), fallback, min, max, NULL, unit, help }
+#define TEXT(name, default_value, help) \
+  { #name, ASH_OPTION_TEXT, FIELD_OFFSET (name), default_value, 0, ASH_OPTION_TEXT_BYTES, NULL, NULL, help }
+#define CHOICE(name, default_value, list, help) \
+  { #name, ASH_OPTION_CHOICE, FIELD_OFFSET (name), default_value, 0, 0, list, NULL, help }
+#define MS(name, default_value, min, max, help) \
+  { #name, ASH_OPTION_UINT, FIELD_OFFSET (name), default_value, min, max, NULL, "ms", help }
+#define COUNT(name, default_value, min, max, unit, help) \
+  { #name, ASH_OPTION_UINT, FIELD_OFFSET (name), default_value, min, max, NULL, unit, help }
 /* clang-format on */
 
 const struct ash_option ash_settings_options[] = {
@@ -156,9 +156,9 @@
 
 /* What no single option's range can say. */
 static void
-check_together (const struct ash_settings *settings,
-                struct ash_node *root,
-                struct ash_findings *findings)
+check_combinations (const struct ash_settings *settings,
+                    struct ash_node *root,
+                    struct ash_findings *findings)
 {
   ash_settings_check_fleet_key (settings->fleet_key, findings);
   if (*settings->peer_listen)
@@ -215,7 +215,7 @@
   settings->peer_count = ash_settings_read_addresses (root, "peers", settings->peers,
                                                       ASH_SETTINGS_PEERS_MAX, findings);
   ash_node_report_unused (root, "", findings);
-  check_together (settings, root, findings);
+  check_combinations (settings, root, findings);
   ash_node_free (root);
 }
 
--- a/proto/event.c
+++ b/proto/event.c
@@ -5,14 +5,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WORD_BYTES 64
+#define TOKEN_BYTES 64
 
 struct Ash__Event
-ash_event_of (const char *peer, Ash__Event__KindCase kind, const void *message)
+ash_event_wrap (const char *peer, Ash__Event__KindCase kind, const void *message)
 {
   struct Ash__Event event = ASH__EVENT__INIT;
 
-  event.peer = ash_text (peer);
+  event.peer = ash_proto_text (peer);
   event.kind_case = kind;
   /* All members of the union are pointers to a message; kind tells which. */
   event.heartbeat = (void *) (uintptr_t) message;
@@ -25,7 +25,7 @@
           Ash__Event__KindCase kind,
           const void *message)
 {
-  struct Ash__Event event = ash_event_of (peer, kind, message);
+  struct Ash__Event event = ash_event_wrap (peer, kind, message);
 
   sink->emit (sink->data, &event);
 }
@@ -155,14 +155,14 @@
 /* ---- reading ---- */
 
 static bool
-read_word (const char **text, char word[WORD_BYTES])
+read_token (const char **text, char word[TOKEN_BYTES])
 {
   size_t length = 0;
 
   *text += strspn (*text, " ");
   while ((*text)[length] && !strchr (" =", (*text)[length]))
     length++;
-  if (length == 0 || length >= WORD_BYTES)
+  if (length == 0 || length >= TOKEN_BYTES)
     return false;
   memcpy (word, *text, length);
   word[length] = '\0';
@@ -240,7 +240,7 @@
 read_value (const ProtobufCFieldDescriptor *field, const char **text, void *value)
 {
   ProtobufCBinaryData *data = value;
-  char word[WORD_BYTES];
+  char word[TOKEN_BYTES];
 
   switch (field->type)
     {
@@ -258,7 +258,7 @@
       data->data = read_quoted (text, &data->len);
       return data->data != NULL;
     default:
-      return read_word (text, word) && read_scalar (field, word, value);
+      return read_token (text, word) && read_scalar (field, word, value);
     }
 }
 
@@ -283,9 +283,9 @@
 read_field (ProtobufCMessage *message, const char **text)
 {
   const ProtobufCFieldDescriptor *field;
-  char name[WORD_BYTES];
+  char name[TOKEN_BYTES];
 
-  if (!read_word (text, name) || **text != '=')
+  if (!read_token (text, name) || **text != '=')
     return false;
   (*text)++;
   field = protobuf_c_message_descriptor_get_field_by_name (message->descriptor, name);
@@ -314,18 +314,18 @@
 {
   struct Ash__Event *event = (struct Ash__Event *) (void *) new_message (&ash__event__descriptor);
   const ProtobufCFieldDescriptor *kind;
-  char word[WORD_BYTES];
+  char word[TOKEN_BYTES];
 
   *error = "out of memory";
   if (!event)
     return NULL;
   *error = "no box or '-'";
-  if (!read_word (&text, word))
+  if (!read_token (&text, word))
     goto fail;
   if (strcmp (word, "-") != 0)
     event->peer = strdup (word);
   *error = "unknown message";
-  if (!read_word (&text, word))
+  if (!read_token (&text, word))
     goto fail;
   kind = protobuf_c_message_descriptor_get_field_by_name (&ash__event__descriptor, word);
   if (!kind || kind->type != PROTOBUF_C_TYPE_MESSAGE)
--- a/proto/event.h
+++ b/proto/event.h
@@ -25,7 +25,7 @@
 };
 
 /** @return an event that holds @p message, of the type that @p kind names. */
-struct Ash__Event ash_event_of (const char *peer, Ash__Event__KindCase kind, const void *message);
+struct Ash__Event ash_event_wrap (const char *peer, Ash__Event__KindCase kind, const void *message);
 
 /** Gives @p message, of the type that @p kind names, to @p sink for box @p peer. */
 void ash_emit (const struct ash_sink *sink,
@@ -45,7 +45,7 @@
 
 /** Protobuf strings are not const; ours are only read. */
 static inline char *
-ash_text (const char *text)
+ash_proto_text (const char *text)
 {
   return (char *) (uintptr_t) text;
 }
--- a/test/bounds.c
+++ b/test/bounds.c
@@ -183,7 +183,7 @@
   struct Ash__Event event = ASH__EVENT__INIT;
   uint8_t proof[ASH_PROOF_BYTES];
 
-  hello.box = ash_text ("stranger");
+  hello.box = ash_proto_text ("stranger");
   hello.role = ASH__ROLE__ENTRY;
   hello.incarnation = 5;
   hello.nonce.data = (uint8_t *) (uintptr_t) nonces->dial;
--- a/test/expert_schedule.c
+++ b/test/expert_schedule.c
@@ -121,7 +121,7 @@
 static void
 trace (const struct world *world, const char *to, Ash__Event__KindCase kind, const void *message)
 {
-  struct Ash__Event event = ash_event_of (to, kind, message);
+  struct Ash__Event event = ash_event_wrap (to, kind, message);
 
   if (!world->traced)
     return;
@@ -155,7 +155,7 @@
     case ASH_EXPERT_WAIT:
       return;
     case ASH_EXPERT_REFUSE:
-      state.group = ash_text ("g");
+      state.group = ash_proto_text ("g");
       state.rank = (uint32_t) frame->to_rank;
       ash_expert_guard_refusal (guard, &frame->order, &state);
       ash_emit (&sink, names[frame->coordinator], ASH__EVENT__KIND_RANK_STATE, &state);
--- a/test/schedule.c
+++ b/test/schedule.c
@@ -221,7 +221,7 @@
                 Ash__Event__KindCase kind,
                 const void *message)
 {
-  struct Ash__Event event = ash_event_of (peer, kind, message);
+  struct Ash__Event event = ash_event_wrap (peer, kind, message);
 
   append (wire, queue, INT64_MAX, &event);
 }
@@ -376,7 +376,7 @@
         run->active = false;
       return;
     }
-  copy.peer = ash_text (agent_names[a]);
+  copy.peer = ash_proto_text (agent_names[a]);
   for (int e = 0; e < ENTRIES; e++)
     if (strcmp (event->peer, entry_names[e]) == 0 && knows (&world->wires[e][a], false))
       append (&world->wires[e][a], &world->wires[e][a].to_entry, world->now.ms, &copy);
@@ -498,7 +498,7 @@
     default:
       break;
     }
-  copy.peer = ash_text (entry_names[e]);
+  copy.peer = ash_proto_text (entry_names[e]);
   for (int a = 0; a < AGENTS; a++)
     if (strcmp (event->peer, agent_names[a]) == 0 && knows (&world->wires[e][a], true))
       {
@@ -703,9 +703,9 @@
     return;
   ash_key_hash ("key", 3, hash);
   message.call = index + 1;
-  message.service = ash_text ("s");
-  message.method = ash_text ("POST");
-  message.path = ash_text ("/");
+  message.service = ash_proto_text ("s");
+  message.method = ash_proto_text ("POST");
+  message.path = ash_proto_text ("/");
   message.key_hash.data = hash;
   message.key_hash.len = sizeof hash;
   message.body.data = &body;
--- a/test/session.c
+++ b/test/session.c
@@ -107,7 +107,7 @@
                       Ash__Event__KindCase kind,
                       const void *message)
 {
-  struct Ash__Event event = ash_event_of (peer, kind, message);
+  struct Ash__Event event = ash_event_wrap (peer, kind, message);
 
   session_give (session, now, &event);
 }
--- a/test/unit.c
+++ b/test/unit.c
@@ -41,10 +41,10 @@
 /* ---- settings and documents ---- */
 
 static bool
-has_finding (const struct ash_findings *findings, uint32_t line, const char *place)
+has_finding (const struct ash_findings *findings, uint32_t line, const char *key_path)
 {
   for (uint32_t i = 0; i < findings->count; i++)
-    if (findings->items[i].line == line && strcmp (findings->items[i].place, place) == 0)
+    if (findings->items[i].line == line && strcmp (findings->items[i].key_path, key_path) == 0)
       return true;
   return false;
 }
@@ -241,7 +241,7 @@
 {
   struct ash_membership membership;
   struct Ash__Heartbeat heartbeat = ASH__HEARTBEAT__INIT;
-  char *boxes[] = { ash_text ("m1") };
+  char *boxes[] = { ash_proto_text ("m1") };
   uint64_t incarnations[] = { 11 };
   const struct ash_box *box;
 
@@ -507,7 +507,7 @@
   struct ash_frame_key accept;
   uint8_t proof[ASH_PROOF_BYTES];
 
-  hello.box = ash_text ("e1");
+  hello.box = ash_proto_text ("e1");
   hello.incarnation = 5;
   ash_handshake_prove (fleet_key, &nonces, ASH_SIDE_DIAL, &hello, proof);
   hello.proof.data = proof;
@@ -664,14 +664,14 @@
   ash_metrics_add (&metrics, "ash_a_total", "class=\"c\"", 2);
   ash_metrics_observe (&metrics, "ash_b_ms", "", 3);
   ash_metrics_observe (&metrics, "ash_b_ms", "", 1000000);
-  for (int i = 0; i < 2 * ASH_METRICS_MAX; i++)
+  for (int i = 0; i < 2 * ASH_METRICS_SERIES_MAX; i++)
     {
       char labels[32];
 
       snprintf (labels, sizeof labels, "n=\"%d\"", i);
       ash_metrics_add (&metrics, "ash_c_total", labels, 1);
     }
-  CU_ASSERT_EQUAL (metrics.count, ASH_METRICS_MAX);
+  CU_ASSERT_EQUAL (metrics.count, ASH_METRICS_SERIES_MAX);
   ash_metrics_print (&metrics, out);
   fclose (out);
   CU_ASSERT_PTR_NOT_NULL (
--- a/test/unit_config.c
+++ b/test/unit_config.c
@@ -300,7 +300,7 @@
   ash_findings_init (&findings, "test");
   ash_settings_read (&settings, start, strlen (start), &findings);
   CU_ASSERT_EQUAL (findings.count, 1);
-  CU_ASSERT (findings.count && strcmp (findings.items[0].place, "suspect_ms") == 0);
+  CU_ASSERT (findings.count && strcmp (findings.items[0].key_path, "suspect_ms") == 0);
   ash_findings_finish (&findings);
   ash_findings_init (&findings, "test");
   snprintf (text, sizeof text, "%ssuspect_ms = 2000\n", start);
@@ -311,7 +311,7 @@
 
 /* Tells where the first finding in an entry's settings is, with that much more in them. */
 static void
-find_in_entry (const char *more, char place[128])
+find_in_entry (const char *more, char key_path[128])
 {
   static const char start[] =
       "box = 'e'\nrole = 'entry'\nhall = 'h'\npeer_listen = '127.0.0.1:1'\n"
@@ -324,7 +324,7 @@
   ash_findings_init (&findings, "test");
   snprintf (text, sizeof text, "%s%s", start, more);
   ash_settings_read (&settings, text, strlen (text), &findings);
-  snprintf (place, 128, "%s", findings.count ? findings.items[0].place : "");
+  snprintf (key_path, 128, "%s", findings.count ? findings.items[0].key_path : "");
   ash_findings_finish (&findings);
 }
 
@@ -335,7 +335,7 @@
   static const struct
   {
     const char *more;
-    const char *place;
+    const char *key_path;
   } cases[] = {
     { "", "" },
     { "grace_ms = 0\naddress_keep_ms = 20000\n", "" },
@@ -345,12 +345,12 @@
     { "address_keep_ms = 8000\n", "" },
     { "grace_ms = 8000\naddress_keep_ms = 8000\n", "grace_ms" },
   };
-  char place[128];
+  char key_path[128];
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      find_in_entry (cases[i].more, place);
-      CU_ASSERT_STRING_EQUAL (place, cases[i].place);
+      find_in_entry (cases[i].more, key_path);
+      CU_ASSERT_STRING_EQUAL (key_path, cases[i].key_path);
     }
 }
 
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -951,13 +951,13 @@
   for (int i = 0; i < LOG_LINES; i++)
     ash_log_event (&log, ASH_EV_FORWARD_FAILED, "id=%d", i);
   /* The second may have turned while the lines were written, once. */
-  CU_ASSERT (bound.left_out_total >= 8 * LOG_LINES);
+  CU_ASSERT (bound.dropped_total >= 8 * LOG_LINES);
   CU_ASSERT (drain_lines (ends[0], &whole) >= 2 * LOG_LINES && whole);
   /* Nobody reads: no line waits, those that find no room are counted, none is torn. */
-  bound.left_out_total = 0;
+  bound.dropped_total = 0;
   for (int i = 0; i < 5000; i++)
     ash_log_event (&log, ASH_EV_FORWARD_FAILED, "id=%d text=\"%s\"", i, "a line of some length");
-  CU_ASSERT (bound.left_out_total > 1000);
+  CU_ASSERT (bound.dropped_total > 1000);
   drain_lines (ends[0], &whole);
   CU_ASSERT (whole);
   fclose (sink.out);
