--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -94,13 +94,13 @@
         abort ();
     }
   sim->pending[sim->pending_count++] =
-      (struct sim_event){ .box = box, .event = session_copy (&event) };
+      (struct sim_event){ .box = box, .event = session_copy_event (&event) };
 }
 
 static void
 deliver (struct sim *sim, uint32_t box, const struct Ash__Event *event)
 {
-  session_give (&sim->boxes[box].session, sim_time (sim), event);
+  session_deliver (&sim->boxes[box].session, sim_time (sim), event);
 }
 
 static void
@@ -121,8 +121,8 @@
 deliver_message (
     struct sim *sim, uint32_t box, uint32_t peer, Ash__Event__KindCase kind, const void *message)
 {
-  session_give_message (&sim->boxes[box].session, sim_time (sim),
-                        sim->boxes[peer].session.settings.box, kind, message);
+  session_deliver_message (&sim->boxes[box].session, sim_time (sim),
+                           sim->boxes[peer].session.settings.box, kind, message);
 }
 
 /* ---- engines ---- */
@@ -308,7 +308,7 @@
   message.unix_s = sim->setup->event ? EVENT_START_UNIX_S : 1;
   event_queue_push (&sim->queue,
                     (struct sim_event){ sim->now_us + sim->setup->client_latency_us, 0, KIND_FRAME,
-                                        (uint32_t) e, (uint32_t) e, session_copy (&event) });
+                                        (uint32_t) e, (uint32_t) e, session_copy_event (&event) });
 }
 
 /* ---- output of the cores ---- */
@@ -320,7 +320,7 @@
 
   if (is_partitioned (sim, from, to) || sim->boxes[to].down)
     return;
-  copy = session_copy (event);
+  copy = session_copy_event (event);
   /* In a received message, peer is the sender. */
   if (copy->peer != protobuf_c_empty_string)
     free (copy->peer);
@@ -413,8 +413,8 @@
   struct Ash__Tick message = ASH__TICK__INIT;
 
   if (!sim->boxes[index].down && !sim->boxes[index].paused)
-    session_give_message (&sim->boxes[index].session, sim_time (sim), "", ASH__EVENT__KIND_TICK,
-                          &message);
+    session_deliver_message (&sim->boxes[index].session, sim_time (sim), "", ASH__EVENT__KIND_TICK,
+                             &message);
   event_queue_push (&sim->queue,
                     (struct sim_event){ sim->now_us + TICK_US, 0, KIND_TICK, index, 0, NULL });
 }
@@ -711,8 +711,8 @@
     box->session.settings.prefix_bytes = 0;
   session_init (&box->session, index + 1000 * box->incarnation, sim_time (sim));
   box->incarnation = is_entry ? box->incarnation : index + 1000 * box->incarnation;
-  if (session_offer (&box->session, sim_time (sim), 1, sim->document, strlen (sim->document)) !=
-      ASH_CONFIG_ACCEPTED)
+  if (session_offer_config (&box->session, sim_time (sim), 1, sim->document,
+                            strlen (sim->document)) != ASH_CONFIG_ACCEPTED)
     abort ();
 }
 
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -113,15 +113,15 @@
   session_settings (&session->settings, "e0", true);
   session->emitted = on_emitted;
   session_init (session, 1, (struct ash_time){ 1000 });
-  session_offer (session, (struct ash_time){ 1000 }, 1, text, length);
+  session_offer_config (session, (struct ash_time){ 1000 }, 1, text, length);
   free (text);
   up.role = ASH__ROLE__ENDPOINT;
   for (uint32_t i = 0; i < endpoints; i++)
     {
       snprintf (name, sizeof name, "m%u", i);
       up.incarnation = i + 1;
-      session_give_message (session, (struct ash_time){ 1000 }, name, ASH__EVENT__KIND_LINK_UP,
-                            &up);
+      session_deliver_message (session, (struct ash_time){ 1000 }, name, ASH__EVENT__KIND_LINK_UP,
+                               &up);
     }
 }
 
@@ -148,7 +148,7 @@
       message.caller_attempt = 1;
       message.no_repeat = true;
     }
-  session_give_message (session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_CALL, &message);
+  session_deliver_message (session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_CALL, &message);
 }
 
 static void
@@ -157,8 +157,8 @@
   struct Ash__CallerGone gone = ASH__CALLER_GONE__INIT;
 
   gone.call = number;
-  session_give_message (session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_CALLER_GONE,
-                        &gone);
+  session_deliver_message (session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_CALLER_GONE,
+                           &gone);
 }
 
 static void
@@ -210,7 +210,7 @@
     call (&session, i + 1, NULL);
   bytes = used_bytes () - before;
   start_us = ash_clock_now_us ();
-  session_give_message (&session, (struct ash_time){ 2050 }, "", ASH__EVENT__KIND_TICK, &tick);
+  session_deliver_message (&session, (struct ash_time){ 2050 }, "", ASH__EVENT__KIND_TICK, &tick);
   printf ("| request in an entry | %u | %.0f | %.3f a tick |\n", count, (double) bytes / count,
           (double) (ash_clock_now_us () - start_us) / count);
   session_finish (&session);
@@ -241,7 +241,8 @@
   submit.service = ash_proto_text ("s3");
   submit.method = ash_proto_text ("POST");
   submit.path = ash_proto_text ("/v1/chat/completions");
-  session_give_message (session, (struct ash_time){ 2000 }, "e0", ASH__EVENT__KIND_SUBMIT, &submit);
+  session_deliver_message (session, (struct ash_time){ 2000 }, "e0", ASH__EVENT__KIND_SUBMIT,
+                           &submit);
 }
 
 static void
@@ -261,8 +262,8 @@
     {
       submit_one (&session, i);
       end.run = i;
-      session_give_message (&session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_ENGINE_END,
-                            &end);
+      session_deliver_message (&session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_ENGINE_END,
+                               &end);
     }
   took_us = (double) (ash_clock_now_us () - start_us) / count;
   printf ("| ledger entry, ended, no answer kept | %u | %.0f | %.2f submit to end |\n", count,
@@ -291,16 +292,16 @@
     {
       submit_one (&session, i);
       head.run = i;
-      session_give_message (&session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_ENGINE_HEAD,
-                            &head);
+      session_deliver_message (&session, (struct ash_time){ 2000 }, "",
+                               ASH__EVENT__KIND_ENGINE_HEAD, &head);
     }
   start_us = ash_clock_now_us ();
   for (uint32_t t = 0; t < tokens; t++)
     for (uint32_t i = 1; i <= streams; i++)
       {
         data.run = i;
-        session_give_message (&session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_ENGINE_DATA,
-                              &data);
+        session_deliver_message (&session, (struct ash_time){ 2000 }, "",
+                                 ASH__EVENT__KIND_ENGINE_DATA, &data);
       }
   printf ("| stream in an agent, 15 kB kept | %u | %.0f | %.2f a token |\n", streams,
           (double) (used_bytes () - before) / streams,
--- a/test/golden.c
+++ b/test/golden.c
@@ -82,7 +82,7 @@
   length = fread (text, 1, sizeof text, file);
   fclose (file);
   player->error = NULL;
-  if (session_offer (&player->session, player->session.now, revision, text, length) !=
+  if (session_offer_config (&player->session, player->session.now, revision, text, length) !=
       ASH_CONFIG_ACCEPTED)
     fprintf (player->out, "# not accepted\n");
 }
@@ -102,7 +102,7 @@
   event = ash_event_parse (text + 3, &player->error);
   if (!event)
     return;
-  session_give (&player->session, (struct ash_time){ ms }, event);
+  session_deliver (&player->session, (struct ash_time){ ms }, event);
   ash__event__free_unpacked (event, NULL);
 }
 
--- a/test/schedule.c
+++ b/test/schedule.c
@@ -198,7 +198,8 @@
 static void
 offer (struct world *world, struct process *process)
 {
-  session_offer (&process->session, world->now, world->revision, published, strlen (published));
+  session_offer_config (&process->session, world->now, world->revision, published,
+                        strlen (published));
 }
 
 /* ---- links ---- */
@@ -210,7 +211,7 @@
 
   frame->session = wire->session;
   frame->sent_ms = sent_ms;
-  frame->event = session_copy (event);
+  frame->event = session_copy_event (event);
   DL_APPEND (*queue, frame);
 }
 
@@ -465,7 +466,7 @@
 remember_submit (struct world *world, struct wire *wire, const struct Ash__Event *event)
 {
   ash__event__free_unpacked (wire->last_submit, NULL);
-  wire->last_submit = session_copy (event);
+  wire->last_submit = session_copy_event (event);
   wire->last_submit_ms = world->now.ms;
 }
 
@@ -601,7 +602,7 @@
   if (!process->alive || process->paused || process->stop_ms)
     return;
   process->stop_ms = world->now.ms;
-  session_give_message (&process->session, world->now, "", ASH__EVENT__KIND_STOP, &stop);
+  session_deliver_message (&process->session, world->now, "", ASH__EVENT__KIND_STOP, &stop);
 }
 
 /* Whether a process that stops ends now: when nothing is in its hands, at the latest when its
@@ -648,9 +649,9 @@
       close_wire (world, e, a);
       clear_queue (is_entry ? &wire->to_entry : &wire->to_agent);
       *(is_entry ? &wire->entry_session : &wire->agent_session) = 0;
-      session_give_message (&process->session, world->now,
-                            is_entry ? agent_names[other] : entry_names[other],
-                            ASH__EVENT__KIND_LINK_DOWN, &down);
+      session_deliver_message (&process->session, world->now,
+                               is_entry ? agent_names[other] : entry_names[other],
+                               ASH__EVENT__KIND_LINK_DOWN, &down);
     }
 }
 
@@ -721,7 +722,7 @@
       snprintf (key, sizeof key, "k%d", call->key);
       message.idempotency_key = key;
     }
-  session_give_message (&process->session, world->now, "", ASH__EVENT__KIND_CALL, &message);
+  session_deliver_message (&process->session, world->now, "", ASH__EVENT__KIND_CALL, &message);
 }
 
 /* ---- steps ---- */
@@ -756,9 +757,9 @@
       drop_frame (queue, frame);
       return;
     }
-  session_give (&process->session, world->now, frame->event);
+  session_deliver (&process->session, world->now, frame->event);
   if (doubled && kind != ASH__EVENT__KIND_LINK_UP && kind != ASH__EVENT__KIND_LINK_DOWN)
-    session_give (&process->session, world->now, frame->event);
+    session_deliver (&process->session, world->now, frame->event);
   drop_frame (queue, frame);
 }
 
@@ -804,24 +805,24 @@
       run->active = false;
       end.whole = !run->refused;
       end.not_started = run->refused;
-      session_give_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_END, &end);
+      session_deliver_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_END, &end);
     }
   else if (run->step++ == 0)
     {
       head.status = 200;
-      session_give_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_HEAD, &head);
+      session_deliver_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_HEAD, &head);
     }
   else if (pick (world, 25) == 0)
     {
       run->active = false;
-      session_give_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_END, &end);
+      session_deliver_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_END, &end);
     }
   else
     {
       piece_text (run->id, run->serial, run->step - 2, text);
       data.bytes.data = (uint8_t *) text;
       data.bytes.len = strlen (text);
-      session_give_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_DATA, &data);
+      session_deliver_message (session, world->now, "", ASH__EVENT__KIND_ENGINE_DATA, &data);
     }
 }
 
@@ -831,7 +832,7 @@
   struct Ash__Tick message = ASH__TICK__INIT;
 
   if (process->alive && !process->paused)
-    session_give_message (&process->session, world->now, "", ASH__EVENT__KIND_TICK, &message);
+    session_deliver_message (&process->session, world->now, "", ASH__EVENT__KIND_TICK, &message);
 }
 
 /* Frames are never later than a silent link is kept, nor a caller's request
--- a/test/session.c
+++ b/test/session.c
@@ -82,7 +82,7 @@
 }
 
 void
-session_give (struct session *session, struct ash_time now, const struct Ash__Event *event)
+session_deliver (struct session *session, struct ash_time now, const struct Ash__Event *event)
 {
   session->now = now;
   write_line (session, '<', event);
@@ -101,23 +101,23 @@
 }
 
 void
-session_give_message (struct session *session,
-                      struct ash_time now,
-                      const char *peer,
-                      Ash__Event__KindCase kind,
-                      const void *message)
+session_deliver_message (struct session *session,
+                         struct ash_time now,
+                         const char *peer,
+                         Ash__Event__KindCase kind,
+                         const void *message)
 {
   struct Ash__Event event = ash_event_wrap (peer, kind, message);
 
-  session_give (session, now, &event);
+  session_deliver (session, now, &event);
 }
 
 enum ash_config_result
-session_offer (struct session *session,
-               struct ash_time now,
-               uint64_t revision,
-               const char *text,
-               size_t text_bytes)
+session_offer_config (struct session *session,
+                      struct ash_time now,
+                      uint64_t revision,
+                      const char *text,
+                      size_t text_bytes)
 {
   struct ash_config *config =
       session->core == SESSION_ENTRY ? &session->entry.config : &session->agent.config;
@@ -135,7 +135,7 @@
 }
 
 struct Ash__Event *
-session_copy (const struct Ash__Event *event)
+session_copy_event (const struct Ash__Event *event)
 {
   size_t size = ash__event__get_packed_size (event);
   uint8_t *packed = malloc (size ? size : 1);
--- a/test/session.h
+++ b/test/session.h
@@ -38,26 +38,26 @@
 void session_finish (struct session *session);
 
 /** Gives a message to the core. */
-void session_give (struct session *session, struct ash_time now, const struct Ash__Event *event);
+void session_deliver (struct session *session, struct ash_time now, const struct Ash__Event *event);
 
 /** Offers a published document. */
-enum ash_config_result session_offer (struct session *session,
-                                      struct ash_time now,
-                                      uint64_t revision,
-                                      const char *text,
-                                      size_t text_bytes);
+enum ash_config_result session_offer_config (struct session *session,
+                                             struct ash_time now,
+                                             uint64_t revision,
+                                             const char *text,
+                                             size_t text_bytes);
 
 /** Gives a message that is on the stack. */
-void session_give_message (struct session *session,
-                           struct ash_time now,
-                           const char *peer,
-                           Ash__Event__KindCase kind,
-                           const void *message);
+void session_deliver_message (struct session *session,
+                              struct ash_time now,
+                              const char *peer,
+                              Ash__Event__KindCase kind,
+                              const void *message);
 
 /** Fills settings with defaults and a fleet key. */
 void session_settings (struct ash_settings *settings, const char *box, bool is_entry);
 
 /** @return a new copy, freed by ash__event__free_unpacked(). */
-struct Ash__Event *session_copy (const struct Ash__Event *event);
+struct Ash__Event *session_copy_event (const struct Ash__Event *event);
 
 #endif
--- a/test/workers.c
+++ b/test/workers.c
@@ -40,7 +40,7 @@
 }
 
 static void
-end_others (pid_t pids[WORKERS])
+kill_others (pid_t pids[WORKERS])
 {
   for (int i = 0; i < WORKERS; i++)
     if (pids[i] > 0)
@@ -67,7 +67,7 @@
         continue;
       failures++;
       if (stop)
-        end_others (pids);
+        kill_others (pids);
       ended = stop;
     }
   return failures;
