--- a/test/fault_tests.c
+++ b/test/fault_tests.c
@@ -53,7 +53,7 @@
 void
 expect_streams (struct fleet_call *calls, int tokens)
 {
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     {
       fleet_wait (&calls[i]);
       CU_ASSERT (fleet_stream_ok (&calls[i].answer, tokens));
--- a/test/fault_tests.h
+++ b/test/fault_tests.h
@@ -12,15 +12,15 @@
 
 /* Short times, so that the tests wait little; the guard is off where the case
  * is not about it. */
-#define LINKS                                                                                      \
+#define LINK_SETTINGS                                                                              \
   "heartbeat_ms = 100\nlink_silence_ms = 800\ndial_retry_ms = 50\naddress_keep_ms = 400\n"         \
   "log_level = \"debug\"\norphan_ms = 400\nkeyed_orphan_ms = 5000\npause_ms = 500\nresume_ms = "   \
   "2000\n"
-#define NO_GUARD LINKS "id_life_ms = 20000\nguard_ms = 0\n"
+#define NO_GUARD_SETTINGS LINK_SETTINGS "id_life_ms = 20000\nguard_ms = 0\n"
 
 /* A life is old enough to know of all attempts after this. */
-#define OLD_MS 2200
-#define SHORT_LIFE LINKS "id_life_ms = 1700\nkey_life_ms = 2000\nguard_ms = 0\n"
+#define ID_TTL_PASSED_MS 2200
+#define SHORT_TTL_SETTINGS LINK_SETTINGS "id_life_ms = 1700\nkey_life_ms = 2000\nguard_ms = 0\n"
 
 /** A test. */
 struct fault_test
@@ -39,7 +39,7 @@
 int run_fault_tables (const char *suite, const struct fault_test *const *tables, const char *part);
 
 /** Streams of a load. */
-#define LOAD 24
+#define LOAD_STREAMS 24
 
 /** Waits for a load's streams and checks that they come whole, with that many tokens. */
 void expect_streams (struct fleet_call *calls, int tokens);
--- a/test/faults.c
+++ b/test/faults.c
@@ -53,8 +53,8 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, SHORT_LIFE);
-  fleet_sleep (OLD_MS);
+  fleet_start (&fleet, SHORT_TTL_SETTINGS);
+  fleet_sleep (ID_TTL_PASSED_MS);
   fleet_order (&fleet, &calls[0], 0, "order-1", 1, 300, 0);
   fleet_order (&fleet, &calls[1], 1, "order-1", 2, 300, 0);
   for (int i = 0; i < 2; i++)
@@ -76,7 +76,7 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   wait_guard ();
   fleet_order (&fleet, &calls[0], 0, "order-1", 1, 600, 0);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
@@ -100,7 +100,7 @@
   struct fleet fleet;
   struct fleet_call calls[3];
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   wait_guard ();
   fleet_order (&fleet, &calls[0], 0, "order-1", 1, 5000, 8000);
   fleet_order (&fleet, &calls[1], 1, NULL, 0, 5000, 8000);
@@ -131,7 +131,7 @@
   struct fleet fleet;
   struct fleet_call call;
 
-  fleet_start (&fleet, LINKS "id_life_ms = 20000\nguard_ms = 60000\n");
+  fleet_start (&fleet, LINK_SETTINGS "id_life_ms = 20000\nguard_ms = 60000\n");
   fleet_order (&fleet, &call, 0, "order-1", 1, 1, 0);
   fleet_wait (&call);
   CU_ASSERT (told (&call, "not-run"));
@@ -151,7 +151,7 @@
   struct fleet_call calls[3];
   char key[256];
 
-  fleet_start (&fleet, LINKS "id_life_ms = 20000\nguard_ms = 60000\n");
+  fleet_start (&fleet, LINK_SETTINGS "id_life_ms = 20000\nguard_ms = 60000\n");
   CU_ASSERT (fleet_mint (&fleet, 0, "stock", key));
   for (int i = 0; i < 2; i++)
     {
@@ -177,8 +177,8 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, SHORT_LIFE);
-  fleet_sleep (OLD_MS);
+  fleet_start (&fleet, SHORT_TTL_SETTINGS);
+  fleet_sleep (ID_TTL_PASSED_MS);
   kill (fleet.entries[0].pid, SIGSTOP);
   /* Waits in the paused entry's socket for longer than its deadline. */
   fleet_order (&fleet, &calls[0], 0, "order-1", 1, 1, 1000);
@@ -209,7 +209,7 @@
   struct fleet fleet;
   int whole = 0;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int i = 0; i < STREAMS; i++)
     fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 150);
   CU_ASSERT (wait_model_run (&fleet));
@@ -237,7 +237,7 @@
   struct fleet fleet;
   struct fleet_call call;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   wait_guard ();
   fleet_order (&fleet, &call, 0, "order-1", 1, 300, 8000);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
@@ -259,7 +259,7 @@
   struct fleet_call calls[2];
   const char *text;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int a = 0; a < FLEET_MODELS; a++)
     fleet_control (fleet.endpoints[a].http_port, "/control?break_after=3");
   fleet_chat (&fleet, &calls[0], 0, true, 10);
@@ -284,7 +284,7 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_order (&fleet, &calls[0], 0, NULL, 0, 1, 0);
   fleet_wait (&calls[0]);
   CU_ASSERT (told (&calls[0], "ran"));
@@ -304,7 +304,7 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_end (&fleet.endpoints[FLEET_STOCK].engine, SIGKILL);
   fleet_end (&fleet.endpoints[0].engine, SIGKILL);
   fleet_order (&fleet, &calls[0], 0, NULL, 0, 1, 0);
@@ -326,7 +326,7 @@
   struct fleet fleet;
   struct fleet_call call;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   if (kill_the_entry)
     {
       fleet_chat (&fleet, &call, 0, true, 2000);
@@ -383,13 +383,13 @@
   volatile bool *stop = ((void **) data)[1];
   int *bad = ((void **) data)[2];
   int entry = *(int *) ((void **) data)[3];
-  struct fleet_call calls[LOAD];
+  struct fleet_call calls[LOAD_STREAMS];
 
   while (!*stop)
     {
-      for (int i = 0; i < LOAD; i++)
+      for (int i = 0; i < LOAD_STREAMS; i++)
         fleet_chat (fleet, &calls[i], entry < 0 ? i % FLEET_ENTRIES : entry, i % 2, 5);
-      for (int i = 0; i < LOAD; i++)
+      for (int i = 0; i < LOAD_STREAMS; i++)
         {
           fleet_wait (&calls[i]);
           if (calls[i].answer.status != 200 || !calls[i].answer.whole)
@@ -416,7 +416,7 @@
   void *data[] = { &fleet, (void *) (uintptr_t) &stop, &bad, &entry };
   pthread_t thread;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   pthread_create (&thread, NULL, keep_calling, data);
   for (int a = 0; a < FLEET_MODELS; a++)
     {
@@ -437,12 +437,12 @@
 test_planned_stop_of_entry (void)
 {
   struct fleet fleet;
-  struct fleet_call calls[LOAD];
+  struct fleet_call calls[LOAD_STREAMS];
   struct fleet_call late;
   pid_t pid;
 
-  fleet_start (&fleet, NO_GUARD);
-  for (int i = 0; i < LOAD; i++)
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_chat (&fleet, &calls[i], 0, true, 200);
   CU_ASSERT (wait_model_run (&fleet));
   pid = fleet.entries[0].pid;
@@ -472,7 +472,7 @@
   int late;
   int fd;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   port = fleet.entries[0].http_port;
   fd = open_raw (port);
   kill (fleet.entries[0].pid, SIGTERM);
@@ -493,7 +493,7 @@
 /* ---- planned stop with an end ---- */
 
 /* Short, so that the tests wait little; what is in hand would take 20 s. */
-#define SHORT_GRACE NO_GUARD "grace_ms = 1500\n"
+#define SHORT_GRACE NO_GUARD_SETTINGS "grace_ms = 1500\n"
 #define LONG_TOKENS 4000
 #define LONG_WORK_MS 20000
 #define ALL_DAY_MS 600000
@@ -531,18 +531,18 @@
 test_stop_of_agents_ends (void)
 {
   struct fleet fleet;
-  struct fleet_call calls[LOAD];
+  struct fleet_call calls[LOAD_STREAMS];
   struct fleet_call order;
 
   fleet_start (&fleet, SHORT_GRACE);
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, false, LONG_TOKENS / 8);
   fleet_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, ALL_DAY_MS);
   CU_ASSERT (wait_runs (&fleet, 0, "runs", 1));
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
   CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[0].pid, SIGTERM), 0);
   CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGTERM), 0);
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     {
       fleet_wait (&calls[i]);
       CU_ASSERT_EQUAL (calls[i].answer.status, 200);
@@ -598,15 +598,15 @@
 test_leaving_by_the_list (void)
 {
   struct fleet fleet;
-  struct fleet_call calls[LOAD];
+  struct fleet_call calls[LOAD_STREAMS];
   int before;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_control (fleet.platform_port, "/control/box?box=model-1&state=leaving");
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS - 1));
   before = fleet_runs (&fleet, 0, NULL, "runs");
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
   expect_streams (calls, 3);
   CU_ASSERT_EQUAL (fleet_runs (&fleet, 0, NULL, "runs"), before);
@@ -621,7 +621,7 @@
   struct fleet_call slow;
   struct fleet_call order;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_control (fleet.platform_port, "/control/mode?lag_ms=30000");
   fleet_order (&fleet, &slow, 0, NULL, 0, 1000, 0);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
@@ -646,7 +646,7 @@
 {
   struct fleet fleet;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_end (&fleet.entries[1].pid, SIGKILL);
   fleet.entries[1].platform_port = fleet.endpoints[0].peer_port;
   fleet_start_entry (&fleet, 1);
@@ -711,7 +711,7 @@
   struct callers callers[4] = { 0 };
   int bad = 0;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int i = 0; i < 4; i++)
     {
       callers[i].fleet = &fleet;
@@ -746,11 +746,11 @@
 static void
 test_engine_stands_still (void)
 {
-  static struct fleet_call calls[LOAD];
+  static struct fleet_call calls[LOAD_STREAMS];
   struct fleet fleet;
   struct fleet_call begun;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   do
     {
       fleet_chat (&fleet, &begun, 0, true, 400);
@@ -762,7 +762,7 @@
     }
   while (true);
   kill (fleet.endpoints[0].engine, SIGSTOP);
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 5);
   expect_streams (calls, 5);
   CU_ASSERT (fleet_log_count (&fleet, "model-1", " 505 stalled ") > 0);
@@ -778,14 +778,14 @@
 static void
 test_flapping_box (void)
 {
-  static struct fleet_call orders[LOAD];
-  static struct fleet_call calls[LOAD];
+  static struct fleet_call orders[LOAD_STREAMS];
+  static struct fleet_call calls[LOAD_STREAMS];
   struct fleet fleet;
   int told_ran = 0;
   int told_unknown = 0;
 
-  fleet_start (&fleet, NO_GUARD);
-  for (int i = 0; i < LOAD; i++)
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  for (int i = 0; i < LOAD_STREAMS; i++)
     {
       char key[16];
 
@@ -798,7 +798,7 @@
       fleet_order (&fleet, &orders[i], i % FLEET_ENTRIES, key, 1, 20, 3000);
       fleet_sleep (40);
     }
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     {
       fleet_wait (&orders[i]);
       told_ran += told (&orders[i], "ran");
@@ -813,7 +813,7 @@
   CU_ASSERT (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs") <= told_ran + told_unknown);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS));
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
   expect_streams (calls, 3);
   fleet_stop (&fleet);
@@ -832,7 +832,7 @@
   struct fleet fleet;
   int runs;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int a = 0; a < FLEET_MODELS; a++)
     fleet_control (fleet.endpoints[a].http_port, "/control?drop=1");
   for (int i = 0; i < CALLS; i++)
@@ -857,7 +857,7 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   wait_guard ();
   fleet_order (&fleet, &calls[0], 0, "order-1", 1, 800, 0);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
@@ -885,7 +885,7 @@
   struct fleet_call call;
   const char *body;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_order (&fleet, &call, 0, NULL, 0, 0, 0);
   fleet_wait (&call);
   ash_cli_answer_finish (&call.answer);
--- a/test/operators.c
+++ b/test/operators.c
@@ -19,7 +19,7 @@
 {
   struct fleet fleet;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_publish (&fleet, "[[hall]]\nname = \"h2\"\n", 2);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (wait_revision (&fleet, e, 2));
@@ -54,7 +54,7 @@
 {
   struct fleet fleet;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_publish (&fleet, "[[hall]]\nname = \"h2\"\n", 2);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (wait_revision (&fleet, e, 2));
@@ -92,7 +92,7 @@
   struct fleet fleet;
   char more[64];
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   CU_ASSERT (count_lines (&fleet, " 205 config_sent ") >= FLEET_ENDPOINTS);
   CU_ASSERT_EQUAL (count_lines (&fleet, " deltas=1"), 0);
   for (int i = 2; i < 6; i++)
@@ -116,7 +116,8 @@
 #define OPERATOR_HASH "5604e62b81938269c7bce4225f8735eff69f4cd4ab5e2db275456a74285a173c"
 #define READER_HASH "ff441166ff333af23597d85f9f9816c3383491817c383c90cc400abe097cda82"
 #define OPERATORS                                                                                  \
-  NO_GUARD "operator_key_hash = \"" OPERATOR_HASH "\"\nreader_key_hash = \"" READER_HASH "\"\n"
+  NO_GUARD_SETTINGS "operator_key_hash = \"" OPERATOR_HASH "\"\nreader_key_hash = \"" READER_HASH  \
+                    "\"\n"
 
 /* Asks an operators' path of an entry. @return the answer as JSON. */
 static json_t *
@@ -312,7 +313,7 @@
 {
   struct fleet fleet;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_publish (&fleet, "[[hall]]\nname = \"h2\"\n", 2);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (wait_revision (&fleet, e, 2));
@@ -346,7 +347,7 @@
   char path[128];
   pid_t alone;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_free_ports (&alone_port, 1);
   sprintf (port, "%u", alone_port);
   snprintf (path, sizeof path, "%s/published.toml", fleet.folder);
@@ -407,14 +408,14 @@
 static void
 test_endpoint_removed (void)
 {
-  static struct fleet_call calls[LOAD];
+  static struct fleet_call calls[LOAD_STREAMS];
   struct fleet fleet;
   json_t *plan;
   long status = 0;
   int runs;
 
   fleet_start (&fleet, OPERATORS);
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 300);
   CU_ASSERT (wait_runs (&fleet, 0, "runs", 1));
   plan =
@@ -425,7 +426,7 @@
     CU_ASSERT (wait_revision (&fleet, e, 2));
   expect_streams (calls, 300);
   runs = fleet_runs (&fleet, 0, NULL, "runs");
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
   expect_streams (calls, 3);
   CU_ASSERT_EQUAL (fleet_runs (&fleet, 0, NULL, "runs"), runs);
--- a/test/router.c
+++ b/test/router.c
@@ -17,7 +17,7 @@
 
 /* Whether either server's log holds the text. */
 static bool
-in_logs (const char *text)
+server_logs_contain (const char *text)
 {
   bool first = strstr (server_log (0), text) != NULL;
 
@@ -30,21 +30,21 @@
 test_path (void)
 {
   start ();
-  world_call (&world, "a1", "/once/x?q=%20a;b", NULL,
-              "Ashspindle-Tenant: forged\r\nX-Hop: gone\r\nConnection: X-Hop\r\n", &answer);
+  testbed_call (&testbed, "a1", "/once/x?q=%20a;b", NULL,
+                "Ashspindle-Tenant: forged\r\nX-Hop: gone\r\nConnection: X-Hop\r\n", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  CU_ASSERT (answer.whole && has ("Ashspindle-Server-Seal: seal-i-"));
+  CU_ASSERT (answer.complete && answer_has ("Ashspindle-Server-Seal: seal-i-"));
   CU_ASSERT_STRING_EQUAL (answer.body, "whole answer");
   /* Byte for byte, with the system's own fields and without the key or what is hop by hop. */
-  CU_ASSERT (in_logs ("a1 POST /once/x?q=%20a;b body=5 "));
-  CU_ASSERT (in_logs ("tenant=shop last=- urgency=- authorization=- connection=-"));
-  CU_ASSERT (in_logs ("expect=i-"));
-  CU_ASSERT_FALSE (in_logs ("deadline=4000"));
-  CU_ASSERT_FALSE (in_logs ("deadline=-"));
-  world_stop (&world);
+  CU_ASSERT (server_logs_contain ("a1 POST /once/x?q=%20a;b body=5 "));
+  CU_ASSERT (server_logs_contain ("tenant=shop last=- urgency=- authorization=- connection=-"));
+  CU_ASSERT (server_logs_contain ("expect=i-"));
+  CU_ASSERT_FALSE (server_logs_contain ("deadline=4000"));
+  CU_ASSERT_FALSE (server_logs_contain ("deadline=-"));
+  testbed_stop (&testbed);
 }
 
-/* An answer without a body is whole without it, here and towards the server. */
+/* An answer without a body is complete without it, here and towards the server. */
 static void
 test_head (void)
 {
@@ -54,29 +54,29 @@
   int fd;
 
   start ();
-  fd = world_connect (&world, 0);
-  world_send (fd, "HEAD /safe/x HTTP/1.1\r\n" HEAD "head-1\r\n\r\n"
-                  "HEAD /safe/x HTTP/1.1\r\n" HEAD "head-2\r\n\r\n"
-                  "GET /safe/x HTTP/1.1\r\nConnection: close\r\n" HEAD "get-1\r\n\r\n");
+  fd = testbed_connect (&testbed, 0);
+  testbed_send (fd, "HEAD /safe/x HTTP/1.1\r\n" HEAD "head-1\r\n\r\n"
+                    "HEAD /safe/x HTTP/1.1\r\n" HEAD "head-2\r\n\r\n"
+                    "GET /safe/x HTTP/1.1\r\nConnection: close\r\n" HEAD "get-1\r\n\r\n");
   while ((got = recv (fd, text + length, sizeof text - 1 - length, 0)) > 0)
     length += (size_t) got;
   close (fd);
   CU_ASSERT_EQUAL (count_of (text, "HTTP/1.1 200 OK\r\n"), 3);
   CU_ASSERT_EQUAL (count_of (text, "Content-Length: 12\r\n"), 3);
   CU_ASSERT_EQUAL (count_of (text, "whole answer"), 1);
-  CU_ASSERT (in_logs ("head-1 HEAD /safe/x"));
-  world_stop (&world);
+  CU_ASSERT (server_logs_contain ("head-1 HEAD /safe/x"));
+  testbed_stop (&testbed);
 }
 
 /* What a log holds can't be made up by a caller. */
 static void
-test_odd_id (void)
+test_invalid_id (void)
 {
   start ();
-  world_call (&world, "x status=200 reason=forged", "/safe/x", NULL, "", &answer);
-  CU_ASSERT (world_logged (&world, 0, "id=(odd) "));
-  CU_ASSERT_FALSE (world_logged (&world, 0, "forged"));
-  world_stop (&world);
+  testbed_call (&testbed, "x status=200 reason=forged", "/safe/x", NULL, "", &answer);
+  CU_ASSERT (testbed_logged (&testbed, 0, "id=(odd) "));
+  CU_ASSERT_FALSE (testbed_logged (&testbed, 0, "forged"));
+  testbed_stop (&testbed);
 }
 
 /* More callers than the settings allow wait for their turn. */
@@ -87,28 +87,28 @@
 
   start ();
   for (int i = 0; i < 14; i++)
-    fds[i] = world_connect (&world, 0);
+    fds[i] = testbed_connect (&testbed, 0);
   for (int i = 0; i < 8; i++)
     close (fds[i]);
   for (int i = 8; i < 14; i++)
     {
-      world_send (fds[i], "GET /safe/x HTTP/1.1\r\n" HEAD "many-1\r\n\r\n");
-      world_read (fds[i], &answer);
+      testbed_send (fds[i], "GET /safe/x HTTP/1.1\r\n" HEAD "many-1\r\n\r\n");
+      testbed_read (fds[i], &answer);
       CU_ASSERT_EQUAL (answer.status, 200);
       close (fds[i]);
     }
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 static void
 test_stream (void)
 {
   start ();
-  world_call (&world, "s1", "/stream/x", "*=stream", "", &answer);
-  CU_ASSERT (answer.status == 200 && answer.whole);
+  testbed_call (&testbed, "s1", "/stream/x", "*=stream", "", &answer);
+  CU_ASSERT (answer.status == 200 && answer.complete);
   CU_ASSERT (strstr (answer.body, "id: 1\n") && strstr (answer.body, "id: 6\n"));
-  CU_ASSERT_EQUAL (world_runs (&world, "s1"), 1);
-  world_stop (&world);
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "s1"), 1);
+  testbed_stop (&testbed);
 }
 
 static void
@@ -117,22 +117,22 @@
   char other[32];
 
   start ();
-  world_start_router (&world, 1);
-  CU_ASSERT (world_wait_ready (&world, 1, true));
-  snprintf (other, sizeof other, "127.0.0.1:%u", world.routers[1].frontend);
-  for (int i = 0; i < 200 && !strstr (world_get (world.routers[0].directory, "GET",
-                                                 "/resolution?Name=shop.example", ""),
+  testbed_start_router (&testbed, 1);
+  CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
+  snprintf (other, sizeof other, "127.0.0.1:%u", testbed.routers[1].frontend_port);
+  for (int i = 0; i < 200 && !strstr (testbed_fetch (testbed.routers[0].directory_port, "GET",
+                                                     "/resolution?Name=shop.example", ""),
                                       other);
        i++)
     fleet_sleep (20);
   CU_ASSERT_PTR_NOT_NULL (
-      strstr (world_get (world.routers[0].directory, "GET", "/resolution", ""), other));
+      strstr (testbed_fetch (testbed.routers[0].directory_port, "GET", "/resolution", ""), other));
   /* One that stops is no longer named. */
-  kill (world.routers[1].pid, SIGTERM);
+  kill (testbed.routers[1].pid, SIGTERM);
   fleet_sleep (300);
   CU_ASSERT_FALSE (
-      strstr (world_get (world.routers[0].directory, "GET", "/resolution", ""), other));
-  world_stop (&world);
+      strstr (testbed_fetch (testbed.routers[0].directory_port, "GET", "/resolution", ""), other));
+  testbed_stop (&testbed);
 }
 
 /* ---- who may ask for what ---- */
@@ -141,61 +141,62 @@
 test_keys (void)
 {
   start ();
-  world_call (&world, "k1", "/safe/x", NULL, "", &answer);
+  testbed_call (&testbed, "k1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   /* Taken away: refused soon, and not run. */
-  world.has_key = false;
-  world_publish (&world);
+  testbed.has_key = false;
+  testbed_publish (&testbed);
   fleet_sleep (200);
-  world_call (&world, "k2", "/safe/x", NULL, "", &answer);
+  testbed_call (&testbed, "k2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 401);
-  CU_ASSERT_EQUAL (world_runs (&world, "k2"), 0);
-  world.has_key = true;
-  world_publish (&world);
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "k2"), 0);
+  testbed.has_key = true;
+  testbed_publish (&testbed);
   fleet_sleep (200);
-  world_call (&world, "k3", "/safe/x", NULL, "", &answer);
+  testbed_call (&testbed, "k3", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_call (&world, "k4", "/nowhere/x", NULL, "", &answer);
+  testbed_call (&testbed, "k4", "/nowhere/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 404);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 static void
 test_no_configuration (void)
 {
-  world_start (&world);
-  CU_ASSERT (world_wait_ready (&world, 0, false));
-  world_call (&world, "n1", "/safe/x", NULL, "", &answer);
+  testbed_start (&testbed);
+  CU_ASSERT (testbed_wait_ready (&testbed, 0, false));
+  testbed_call (&testbed, "n1", "/safe/x", NULL, "", &answer);
   /* Nothing is known: neither denied nor not found. */
   CU_ASSERT_EQUAL (answer.status, 503);
-  CU_ASSERT (has ("Retry-After:"));
-  world_publish (&world);
-  CU_ASSERT (world_wait_ready (&world, 0, true));
-  world_call (&world, "n2", "/safe/x", NULL, "", &answer);
+  CU_ASSERT (answer_has ("Retry-After:"));
+  testbed_publish (&testbed);
+  CU_ASSERT (testbed_wait_ready (&testbed, 0, true));
+  testbed_call (&testbed, "n2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 static void
 test_bad_configuration (void)
 {
   start ();
-  world_publish_text (&world, "{\"Version\":900,\"Routes\":[{\"Host\":\"h\",\"RouteKind\":\"odd\","
-                              "\"Service\":\"none\"}],\"Services\":[{}]}");
+  testbed_publish_text (&testbed,
+                        "{\"Version\":900,\"Routes\":[{\"Host\":\"h\",\"RouteKind\":\"odd\","
+                        "\"Service\":\"none\"}],\"Services\":[{}]}");
   fleet_sleep (200);
-  CU_ASSERT (world_logged (&world, 0, "place=Services[0] why=\"has no Name\""));
-  CU_ASSERT (world_logged (&world, 0, "place=Routes[0] why=\"has a RouteKind"));
-  CU_ASSERT (world_logged (&world, 0, "place=Routes[0] why=\"names a service"));
-  world_publish_text (&world, "no JSON");
+  CU_ASSERT (testbed_logged (&testbed, 0, "place=Services[0] why=\"has no Name\""));
+  CU_ASSERT (testbed_logged (&testbed, 0, "place=Routes[0] why=\"has a RouteKind"));
+  CU_ASSERT (testbed_logged (&testbed, 0, "place=Routes[0] why=\"names a service"));
+  testbed_publish_text (&testbed, "no JSON");
   fleet_sleep (100);
   /* The last good one stays, and an older one never comes back. */
-  world_call (&world, "b1", "/safe/x", NULL, "", &answer);
+  testbed_call (&testbed, "b1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_publish_text (&world, "{\"Version\":1,\"Routes\":[],\"Services\":[]}");
+  testbed_publish_text (&testbed, "{\"Version\":1,\"Routes\":[],\"Services\":[]}");
   fleet_sleep (200);
-  world_call (&world, "b2", "/safe/x", NULL, "", &answer);
+  testbed_call (&testbed, "b2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* ---- odd framing ---- */
@@ -204,11 +205,11 @@
 static void
 expect_refused (const char *text, int status)
 {
-  int fd = world_connect (&world, 0);
+  int fd = testbed_connect (&testbed, 0);
 
-  world_send (fd, text);
-  world_send (fd, "POST /safe/smuggled HTTP/1.1\r\n" HEAD "smuggled\r\n\r\n");
-  world_read (fd, &answer);
+  testbed_send (fd, text);
+  testbed_send (fd, "POST /safe/smuggled HTTP/1.1\r\n" HEAD "smuggled\r\n\r\n");
+  testbed_read (fd, &answer);
   CU_ASSERT_EQUAL (answer.status, status);
   if (answer.status != status)
     printf ("\n%s\n%s\n", text, answer.text);
@@ -233,21 +234,21 @@
   expect_refused ("POST /safe/x HTTP/1.1\r\n" HEAD "f7\r\nContent-Length: +5\r\n\r\nhello", 400);
   expect_refused ("POST /safe/x HTTP/1.1\r\n" HEAD "f8\r\nContent-Length: 200000\r\n\r\n", 413);
   expect_refused ("no request at all\r\n\r\n", 400);
-  CU_ASSERT_FALSE (in_logs ("smuggled"));
-  CU_ASSERT_EQUAL (world_runs (&world, "f1") + world_runs (&world, "f2"), 0);
+  CU_ASSERT_FALSE (server_logs_contain ("smuggled"));
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "f1") + testbed_count_runs (&testbed, "f2"), 0);
   /* A chunked body is one body, with a length of its own towards the server. */
   {
-    int fd = world_connect (&world, 0);
+    int fd = testbed_connect (&testbed, 0);
 
-    world_send (fd,
-                "POST /safe/x HTTP/1.1\r\n" HEAD
-                "f9\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\n\r\n");
-    world_read (fd, &answer);
+    testbed_send (fd,
+                  "POST /safe/x HTTP/1.1\r\n" HEAD
+                  "f9\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\n\r\n");
+    testbed_read (fd, &answer);
     CU_ASSERT_EQUAL (answer.status, 200);
     close (fd);
   }
-  CU_ASSERT (in_logs ("f9 POST /safe/x body=7"));
-  world_stop (&world);
+  CU_ASSERT (server_logs_contain ("f9 POST /safe/x body=7"));
+  testbed_stop (&testbed);
 }
 
 static void
@@ -255,29 +256,29 @@
 {
   start ();
   /* Another request's answer comes first on the connection: ours is the one after it. */
-  world_call (&world, "o1", "/once/x", "*=foreign", "", &answer);
+  testbed_call (&testbed, "o1", "/once/x", "*=foreign", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_STRING_EQUAL (answer.body, "whole answer");
   /* No answer of ours: the caller must not take it for one. */
-  world_call (&world, "o2", "/once/x", "*=noid", "", &answer);
+  testbed_call (&testbed, "o2", "/once/x", "*=noid", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
-  world_call (&world, "o3", "/once/x", "*=unsigned", "", &answer);
+  testbed_call (&testbed, "o3", "/once/x", "*=unsigned", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
-  world_call (&world, "o4", "/once/x", "*=encoded", "", &answer);
+  testbed_call (&testbed, "o4", "/once/x", "*=encoded", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
-  world_call (&world, "o5", "/once/x", "*=cut", "", &answer);
+  testbed_call (&testbed, "o5", "/once/x", "*=cut", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
-  world_call (&world, "o6", "/once/x", "*=unframed", "", &answer);
-  CU_ASSERT (answer.status == 200 && answer.whole);
+  testbed_call (&testbed, "o6", "/once/x", "*=unframed", "", &answer);
+  CU_ASSERT (answer.status == 200 && answer.complete);
   CU_ASSERT_STRING_EQUAL (answer.body, "whole answer");
   /* A second answer to the same request belongs to nobody. */
   for (int i = 0; i < 4; i++)
     {
-      world_call (&world, "o7", "/once/x", "*=extra", "", &answer);
+      testbed_call (&testbed, "o7", "/once/x", "*=extra", "", &answer);
       CU_ASSERT_STRING_EQUAL (answer.body, "whole answer");
     }
-  CU_ASSERT_EQUAL (world_runs (&world, "o2"), 1);
-  world_stop (&world);
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "o2"), 1);
+  testbed_stop (&testbed);
 }
 
 /* ---- at most once, and a true "not run" ---- */
@@ -287,24 +288,24 @@
 {
   start ();
   /* It was sent and no answer came: nobody can say that it did not run. */
-  world_call (&world, "u1", "/once/x", "*=reset", "", &answer);
+  testbed_call (&testbed, "u1", "/once/x", "*=reset", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
-  CU_ASSERT_EQUAL (world_runs (&world, "u1"), 1);
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "u1"), 1);
   /* The servers vouch that it did not run. */
-  world_call (&world, "u2", "/once/x", "*=shed", "", &answer);
+  testbed_call (&testbed, "u2", "/once/x", "*=shed", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
-  CU_ASSERT (has ("Retry-After:"));
+  CU_ASSERT (answer_has ("Retry-After:"));
   /* A server's own failure is passed on as it made it. */
-  world_call (&world, "u3", "/once/x", "*=fail", "", &answer);
+  testbed_call (&testbed, "u3", "/once/x", "*=fail", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 500);
-  CU_ASSERT (has ("Server-Seal"));
-  CU_ASSERT_EQUAL (world_runs (&world, "u3"), 1);
+  CU_ASSERT (answer_has ("Server-Seal"));
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "u3"), 1);
   /* One server turns it away, the other runs it: once. */
-  world_call (&world, "u4", "/once/x", "A=shed B=ok", "", &answer);
+  testbed_call (&testbed, "u4", "/once/x", "A=shed B=ok", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_call (&world, "u5", "/once/x", "A=ok B=shed", "", &answer);
+  testbed_call (&testbed, "u5", "/once/x", "A=ok B=shed", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 static void
@@ -312,21 +313,21 @@
 {
   start ();
   /* Whichever server breaks, the other one is asked, and no third time. */
-  world_call (&world, "r1", "/safe/x", "A=reset B=ok", "", &answer);
+  testbed_call (&testbed, "r1", "/safe/x", "A=reset B=ok", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_call (&world, "r2", "/safe/x", "A=ok B=cut", "", &answer);
+  testbed_call (&testbed, "r2", "/safe/x", "A=ok B=cut", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_call (&world, "r3", "/safe/x", "A=fail B=ok", "", &answer);
+  testbed_call (&testbed, "r3", "/safe/x", "A=fail B=ok", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_call (&world, "r4", "/safe/x", "*=reset", "", &answer);
+  testbed_call (&testbed, "r4", "/safe/x", "*=reset", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
-  CU_ASSERT (world_runs (&world, "r4") <= 2);
+  CU_ASSERT (testbed_count_runs (&testbed, "r4") <= 2);
   /* Silence counts after some time; the answer still comes within the caller's. */
-  world_call (&world, "r5", "/safe/x", "A=mute B=ok", "", &answer);
+  testbed_call (&testbed, "r5", "/safe/x", "A=mute B=ok", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_call (&world, "r6", "/safe/x", "A=ok B=mute", "", &answer);
+  testbed_call (&testbed, "r6", "/safe/x", "A=ok B=mute", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* A server ends while its kept connections wait: what is sent next must not run twice. */
@@ -337,18 +338,18 @@
 
   start ();
   for (int i = 0; i < 6; i++)
-    world_call (&world, "d0", "/once/x", NULL, "", &answer);
-  for (int s = 0; s < WORLD_SERVERS; s++)
+    testbed_call (&testbed, "d0", "/once/x", NULL, "", &answer);
+  for (int s = 0; s < TESTBED_SERVERS; s++)
     {
       char name[8];
       char id[16];
 
-      fleet_end (&world.servers[s].pid, SIGKILL);
-      snprintf (port, sizeof port, "%u", world.servers[s].port);
-      snprintf (name, sizeof name, "%s", world.servers[s].name);
-      snprintf (id, sizeof id, "%s", world.servers[s].id);
-      world.servers[s].pid =
-          fleet_spawn (world.folder, name, "standin-server", port, name, id, (char *) NULL);
+      fleet_end (&testbed.servers[s].pid, SIGKILL);
+      snprintf (port, sizeof port, "%u", testbed.servers[s].port);
+      snprintf (name, sizeof name, "%s", testbed.servers[s].name);
+      snprintf (id, sizeof id, "%s", testbed.servers[s].id);
+      testbed.servers[s].pid =
+          fleet_spawn (testbed.folder, name, "standin-server", port, name, id, (char *) NULL);
     }
   fleet_sleep (300);
   for (int i = 0; i < 8; i++)
@@ -356,13 +357,13 @@
       char request[8];
 
       snprintf (request, sizeof request, "d%d", i + 1);
-      world_call (&world, request, "/once/x", NULL, "", &answer);
+      testbed_call (&testbed, request, "/once/x", NULL, "", &answer);
       CU_ASSERT (answer.status == 200 || answer.status == 502 || answer.status == 503);
-      CU_ASSERT (world_runs (&world, request) <= 1);
+      CU_ASSERT (testbed_count_runs (&testbed, request) <= 1);
       if (answer.status == 503)
-        CU_ASSERT_EQUAL (world_runs (&world, request), 0);
+        CU_ASSERT_EQUAL (testbed_count_runs (&testbed, request), 0);
     }
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 static void
@@ -372,22 +373,22 @@
 
   start ();
   /* Another life at the address of A, before the list tells: it turns requests away. */
-  fleet_end (&world.servers[0].pid, SIGKILL);
-  snprintf (port, sizeof port, "%u", world.servers[0].port);
-  world.servers[0].pid =
-      fleet_spawn (world.folder, "A", "standin-server", port, "A", "i-A2", (char *) NULL);
+  fleet_end (&testbed.servers[0].pid, SIGKILL);
+  snprintf (port, sizeof port, "%u", testbed.servers[0].port);
+  testbed.servers[0].pid =
+      fleet_spawn (testbed.folder, "A", "standin-server", port, "A", "i-A2", (char *) NULL);
   fleet_sleep (200);
   for (int i = 0; i < 6; i++)
     {
       char request[8];
 
       snprintf (request, sizeof request, "m%d", i);
-      world_call (&world, request, "/once/x", NULL, "", &answer);
+      testbed_call (&testbed, request, "/once/x", NULL, "", &answer);
       CU_ASSERT_EQUAL (answer.status, 200);
-      CU_ASSERT_EQUAL (world_runs (&world, request), 1);
+      CU_ASSERT_EQUAL (testbed_count_runs (&testbed, request), 1);
     }
   CU_ASSERT_PTR_NULL (strstr (server_log (0), "m"));
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* ---- streams ---- */
@@ -414,41 +415,42 @@
 {
   start ();
   /* Cut in the middle of an event by whichever server is asked first, if it is A. */
-  for (int i = 0; i < 30 && !in_logs ("last=2"); i++)
+  for (int i = 0; i < 30 && !server_logs_contain ("last=2"); i++)
     {
-      world_call (&world, "t1", "/stream/x", "A=streamcut B=stream", "", &answer);
-      CU_ASSERT (answer.status == 200 && answer.whole);
+      testbed_call (&testbed, "t1", "/stream/x", "A=streamcut B=stream", "", &answer);
+      CU_ASSERT (answer.status == 200 && answer.complete);
       expect_events (1, 6);
     }
-  CU_ASSERT (in_logs ("last=2"));
-  /* Both cut it: the caller sees that it is not whole. */
-  world_call (&world, "t3", "/stream/x", "*=streamcut", "", &answer);
-  CU_ASSERT_FALSE (answer.whole);
-  world_stop (&world);
+  CU_ASSERT (server_logs_contain ("last=2"));
+  /* Both cut it: the caller sees that it is not complete. */
+  testbed_call (&testbed, "t3", "/stream/x", "*=streamcut", "", &answer);
+  CU_ASSERT_FALSE (answer.complete);
+  testbed_stop (&testbed);
 }
 
 static void
-test_caller_leaves (void)
+test_caller_disconnects (void)
 {
   int fd;
 
   start ();
-  fd = world_connect (&world, 0);
-  world_send (fd,
-              "POST /stream/x HTTP/1.1\r\n" HEAD "l1\r\nX-Do: *=mute\r\nContent-Length: 0\r\n\r\n");
+  fd = testbed_connect (&testbed, 0);
+  testbed_send (fd, "POST /stream/x HTTP/1.1\r\n" HEAD
+                    "l1\r\nX-Do: *=mute\r\nContent-Length: 0\r\n\r\n");
   wait_arrived ("l1");
   close (fd);
   /* The server sees it soon: its connection is closed. */
-  for (int i = 0; i < 40 && atoi (world_get (world.servers[0].port, "GET", "/gone", "")) +
-                                    atoi (world_get (world.servers[1].port, "GET", "/gone", "")) ==
-                                0;
+  for (int i = 0;
+       i < 40 && atoi (testbed_fetch (testbed.servers[0].port, "GET", "/gone", "")) +
+                         atoi (testbed_fetch (testbed.servers[1].port, "GET", "/gone", "")) ==
+                     0;
        i++)
     fleet_sleep (10);
-  CU_ASSERT_EQUAL (atoi (world_get (world.servers[0].port, "GET", "/gone", "")) +
-                       atoi (world_get (world.servers[1].port, "GET", "/gone", "")),
+  CU_ASSERT_EQUAL (atoi (testbed_fetch (testbed.servers[0].port, "GET", "/gone", "")) +
+                       atoi (testbed_fetch (testbed.servers[1].port, "GET", "/gone", "")),
                    1);
-  CU_ASSERT (world_logged (&world, 0, "forward_gone"));
-  world_stop (&world);
+  CU_ASSERT (testbed_logged (&testbed, 0, "forward_gone"));
+  testbed_stop (&testbed);
 }
 
 static void
@@ -458,11 +460,11 @@
 
   start ();
   began = fleet_now ();
-  world_call (&world, "x1", "/once/x", "*=mute", "", &answer);
+  testbed_call (&testbed, "x1", "/once/x", "*=mute", "", &answer);
   /* The route's time ends it, long before the caller's. */
   CU_ASSERT_EQUAL (answer.status, 504);
   CU_ASSERT (fleet_now () - began < 3500);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* ---- the process itself ---- */
@@ -496,18 +498,18 @@
 }
 
 static void
-test_figures (void)
+test_metrics (void)
 {
-  const char *figures;
+  const char *metrics_port;
 
   start ();
-  world_call (&world, "q1", "/safe/x", NULL, "", &answer);
-  figures = world_get (world.routers[0].figures, "GET", "/metrics", "");
+  testbed_call (&testbed, "q1", "/safe/x", NULL, "", &answer);
+  metrics_port = testbed_fetch (testbed.routers[0].metrics_port, "GET", "/metrics", "");
   CU_ASSERT_PTR_NOT_NULL (
-      strstr (figures, "ash_requests_total{route=\"r-safe\",outcome=\"served\"} 1"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (figures, "ash_answer_ms_count{account=\"shop\"} 1"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (figures, "ash_config_version{} 3"));
-  world_stop (&world);
+      strstr (metrics_port, "ash_requests_total{route=\"r-safe\",outcome=\"served\"} 1"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (metrics_port, "ash_answer_ms_count{account=\"shop\"} 1"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (metrics_port, "ash_config_version{} 3"));
+  testbed_stop (&testbed);
 }
 
 /* What a trace of the routers' logs says of a request. */
@@ -518,11 +520,11 @@
   char path[160];
 
   ash_trace_init (&trace, id);
-  for (int r = 0; r < WORLD_ROUTERS; r++)
+  for (int r = 0; r < TESTBED_ROUTERS; r++)
     {
       FILE *log;
 
-      snprintf (path, sizeof path, "%s/router-%d.log", world.folder, r);
+      snprintf (path, sizeof path, "%s/router-%d.log", testbed.folder, r);
       log = fopen (path, "r");
       if (log)
         {
@@ -551,27 +553,27 @@
 test_trace (void)
 {
   start ();
-  world_call (&world, "n1", "/once/x", "*=shed", "", &answer);
+  testbed_call (&testbed, "n1", "/once/x", "*=shed", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
   check_trace ("n1", "each endpoint that was asked said that it has no room", "It did not run");
-  world_call (&world, "n2", "/once/x", "*=reset", "", &answer);
+  testbed_call (&testbed, "n2", "/once/x", "*=reset", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
   check_trace ("n2", "the endpoint broke off", "may have run");
-  world_call (&world, "n3", "/stream/x", "*=streamcut", "", &answer);
-  CU_ASSERT_FALSE (answer.whole);
+  testbed_call (&testbed, "n3", "/stream/x", "*=streamcut", "", &answer);
+  CU_ASSERT_FALSE (answer.complete);
   check_trace ("n3", "the endpoint broke off", "It was last at i-");
-  world_call (&world, "n4", "/safe/x", NULL, "", &answer);
+  testbed_call (&testbed, "n4", "/safe/x", NULL, "", &answer);
   check_trace ("n4", "Answered with 200 by i-", " ms after it came");
   /* An id that only begins alike is another request. */
   check_trace ("n", "No line among", "tells of it");
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
-/* Requests that routers other than this one have, by its figures. */
+/* Requests that routers other than this one have, by its metrics_port. */
 static int
-elsewhere (int r)
+requests_elsewhere (int r)
 {
-  const char *at = world_get (world.routers[r].figures, "GET", "/metrics", "");
+  const char *at = testbed_fetch (testbed.routers[r].metrics_port, "GET", "/metrics", "");
   int sum = 0;
 
   while ((at = strstr (at, "ash_endpoint_elsewhere{")))
@@ -580,27 +582,27 @@
 }
 
 static bool
-comes_to_have_elsewhere (int r, int wanted)
+wait_elsewhere (int r, int wanted)
 {
-  for (int i = 0; i < 200 && elsewhere (r) != wanted; i++)
+  for (int i = 0; i < 200 && requests_elsewhere (r) != wanted; i++)
     fleet_sleep (20);
-  return elsewhere (r) == wanted;
+  return requests_elsewhere (r) == wanted;
 }
 
 /* @return the connection of a request at the first router that gets no answer. */
 static int
-begin_mute (int i)
+begin_unanswered (int i)
 {
-  int fd = world_connect (&world, 0);
+  int fd = testbed_connect (&testbed, 0);
   char request[256];
 
   snprintf (request, sizeof request,
             "GET /any/x HTTP/1.1\r\n" HEAD "load-%d\r\nX-Do: *=mute\r\n\r\n", i);
-  world_send (fd, request);
+  testbed_send (fd, request);
   return fd;
 }
 
-/* A router that starts has its links before its list of endpoints where the store is slow to
+/* A router that starts answer_has its links before its list of endpoints where the store is slow to
  * answer. It was told of its peers' work as the links came up, dropped what concerned endpoints
  * that it did not know yet, and then sent as many requests again to endpoints that had them
  * already, until that work changed. */
@@ -611,51 +613,52 @@
 
   start ();
   for (int i = 0; i < 4; i++)
-    fds[i] = begin_mute (i);
-  /* Each has gone to its second endpoint, the last: nothing changes from now on. */
+    fds[i] = begin_unanswered (i);
+  /* Each answer_has gone to its second endpoint, the last: nothing changes from now on. */
   for (int i = 0; i < 4; i++)
     {
       char resent[64];
 
       snprintf (resent, sizeof resent, "forward_resent box=router-0 module=router id=load-%d ", i);
-      CU_ASSERT (world_wait_logged (&world, 0, resent));
+      CU_ASSERT (testbed_wait_logged (&testbed, 0, resent));
     }
-  kill (world.store, SIGSTOP);
+  kill (testbed.store, SIGSTOP);
   /* No seed: there is one link to it. */
-  world_start_router (&world, 2);
-  CU_ASSERT (world_wait_ready (&world, 2, true));
-  CU_ASSERT (comes_to_have_elsewhere (2, 4));
-  kill (world.store, SIGCONT);
+  testbed_start_router (&testbed, 2);
+  CU_ASSERT (testbed_wait_ready (&testbed, 2, true));
+  CU_ASSERT (wait_elsewhere (2, 4));
+  kill (testbed.store, SIGCONT);
   for (int i = 0; i < 4; i++)
     close (fds[i]);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
-/* Peers are told what has changed since the message before: what they add up must be what there is,
- * after requests have ended in another order, and for a peer that has forgotten all. */
+/* Peers are told what answer_has changed since the message before: what they add up must be what
+ * there is, after requests have ended in another order, and for a peer that answer_has forgotten
+ * all. */
 static void
 test_peer_loads (void)
 {
   int fds[4];
 
   start ();
-  world_start_router (&world, 1);
-  CU_ASSERT (world_wait_ready (&world, 1, true));
+  testbed_start_router (&testbed, 1);
+  CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
   for (int i = 0; i < 4; i++)
-    fds[i] = begin_mute (i);
-  CU_ASSERT (comes_to_have_elsewhere (1, 4));
-  CU_ASSERT_EQUAL (elsewhere (0), 0);
+    fds[i] = begin_unanswered (i);
+  CU_ASSERT (wait_elsewhere (1, 4));
+  CU_ASSERT_EQUAL (requests_elsewhere (0), 0);
   close (fds[1]);
   close (fds[2]);
-  CU_ASSERT (comes_to_have_elsewhere (1, 2));
-  fleet_end (&world.routers[1].pid, SIGKILL);
-  world_start_router (&world, 1);
-  CU_ASSERT (world_wait_ready (&world, 1, true));
-  CU_ASSERT (comes_to_have_elsewhere (1, 2));
+  CU_ASSERT (wait_elsewhere (1, 2));
+  fleet_end (&testbed.routers[1].pid, SIGKILL);
+  testbed_start_router (&testbed, 1);
+  CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
+  CU_ASSERT (wait_elsewhere (1, 2));
   close (fds[0]);
   close (fds[3]);
-  CU_ASSERT (comes_to_have_elsewhere (1, 0));
-  world_stop (&world);
+  CU_ASSERT (wait_elsewhere (1, 0));
+  testbed_stop (&testbed);
 }
 
 static const struct fault_test path_tests[] = {
@@ -664,7 +667,7 @@
   { "peers know each other's loads", test_peer_loads },
   { "peers' loads told before the list", test_peer_loads_before_list },
   { "HEAD", test_head },
-  { "odd attempt id", test_odd_id },
+  { "odd attempt id", test_invalid_id },
   { "more callers than allowed", test_many_callers },
   { "stream passed on", test_stream },
   { "directory names who is ready", test_directory },
@@ -678,20 +681,23 @@
   { "kept connection dies", test_kept_connection_dies },
   { "address reused by another life", test_address_reused },
   { "stream cut inside an event goes on elsewhere", test_stream_resumed },
-  { "caller leaves", test_caller_leaves },
+  { "caller leaves", test_caller_disconnects },
   { "route's time-out", test_timeout },
   { NULL, NULL },
 };
 
 static const struct fault_test process_tests[] = {
   { "bad settings", test_settings },
-  { "figures", test_figures },
+  { "figures", test_metrics },
   { NULL, NULL },
 };
 
 static const struct fault_test *const tables[] = {
-  path_tests,        router_stop_tests,  router_store_tests, router_end_tests, router_era_tests,
-  router_woke_tests, router_terms_tests, router_map_tests,   process_tests,    NULL,
+  path_tests,         router_stop_tests,
+  router_store_tests, router_quarantine_tests,
+  router_era_tests,   router_suspended_tests,
+  router_terms_tests, router_map_tests,
+  process_tests,      NULL,
 };
 
 int
--- a/test/router_era.c
+++ b/test/router_era.c
@@ -11,23 +11,23 @@
 #include <string.h>
 
 /* What the stand-in's revisions are once start() is through: two servers, one configuration. */
-#define LISTED_ONE 1
-#define LISTED_TWO 2
-#define PUBLISHED 3
+#define SERVER_A_REVISION 1
+#define SERVER_B_REVISION 2
+#define CONFIG_REVISION 3
 
 static void
 store (const char *target)
 {
-  world_get (world.store_port, "PUT", target, "");
+  testbed_fetch (testbed.store_port, "PUT", target, "");
 }
 
 static void
 start_in_era (void)
 {
-  world_start (&world);
+  testbed_start (&testbed);
   store ("/era?7");
-  world_publish (&world);
-  CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 0, true));
+  testbed_publish (&testbed);
+  CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
   /* The era is known before anything goes wrong. */
   fleet_sleep (1100);
 }
@@ -44,7 +44,7 @@
 static int
 status_of (const char *id, const char *action)
 {
-  world_call (&world, id, "/safe/x", action, "", &answer);
+  testbed_call (&testbed, id, "/safe/x", action, "", &answer);
   return answer.status;
 }
 
@@ -52,38 +52,38 @@
  * up to; by the time it asks again the store is past that. It asked from where it was on and missed
  * the change: the key worked on without end. */
 static void
-test_revision_given_again (void)
+test_revision_reused (void)
 {
   start_in_era ();
   for (int i = 0; i < 4; i++)
     store ("/put?op/other");
   fleet_sleep (200);
   store ("/mode?silent");
-  restore (PUBLISHED);
-  world.has_key = false;
-  world_publish (&world);
+  restore (CONFIG_REVISION);
+  testbed.has_key = false;
+  testbed_publish (&testbed);
   for (int i = 0; i < 6; i++)
     store ("/put?op/other");
   store ("/mode?ok");
   for (int i = 0; i < 100 && status_of ("given", NULL) != 401; i++)
     fleet_sleep (30);
   CU_ASSERT_EQUAL (answer.status, 401);
-  CU_ASSERT (world_logged (&world, 0, " store_era "));
-  world_stop (&world);
+  CU_ASSERT (testbed_logged (&testbed, 0, " store_era "));
+  testbed_stop (&testbed);
 }
 
-/* The copy has the configuration before the last one. */
+/* The copy answer_has the configuration before the last one. */
 static void
-test_configuration_stays (void)
+test_configuration_kept (void)
 {
   start_in_era ();
-  world.has_key = false;
-  world_publish (&world);
+  testbed.has_key = false;
+  testbed_publish (&testbed);
   for (int i = 0; i < 100 && status_of ("stays", NULL) != 401; i++)
     fleet_sleep (20);
   for (int twice = 0; twice < 2; twice++)
     {
-      restore (PUBLISHED);
+      restore (CONFIG_REVISION);
       for (int i = 0; i < 20; i++)
         {
           CU_ASSERT_EQUAL (status_of ("stays", NULL), 401);
@@ -91,25 +91,25 @@
         }
     }
   /* Written again as it was, it is the same; what comes after it is new. */
-  world.version -= 3;
-  world_publish (&world);
-  world.has_key = true;
-  world_publish (&world);
+  testbed.version -= 3;
+  testbed_publish (&testbed);
+  testbed.has_key = true;
+  testbed_publish (&testbed);
   for (int i = 0; i < 100 && status_of ("stays", NULL) != 200; i++)
     fleet_sleep (20);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* A server that left since the copy stands in it as if it were ready. */
 static void
-test_left_since (void)
+test_removed_since_copy (void)
 {
   start_in_era ();
-  world_list (&world, 0, "draining");
+  testbed_list_server (&testbed, 0, "draining");
   fleet_sleep (300);
-  restore (PUBLISHED);
-  CU_ASSERT (world_wait_logged (&world, 0, " store_era "));
+  restore (CONFIG_REVISION);
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, " store_era "));
   fleet_sleep (300);
   for (int i = 0; i < 20; i++)
     {
@@ -118,13 +118,13 @@
     }
   CU_ASSERT_PTR_NULL (strstr (server_log (0), "drained"));
   /* The other one left without a word. The first one's next life may be used. */
-  kill (world.servers[0].pid, SIGKILL);
-  while (!world_revive (&world))
+  kill (testbed.servers[0].pid, SIGKILL);
+  while (!testbed_restart_servers (&testbed))
     fleet_sleep (10);
   store ("/remove?servers/i-B1");
   fleet_sleep (2500);
-  restore (PUBLISHED);
-  world_list (&world, 0, "ready");
+  restore (CONFIG_REVISION);
+  testbed_list_server (&testbed, 0, "ready");
   fleet_sleep (300);
   for (int i = 0; i < 20; i++)
     {
@@ -139,7 +139,7 @@
       fleet_sleep (20);
     }
   CU_ASSERT_PTR_NOT_NULL (strstr (server_log (1), "lives"));
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* A server that came after the copy is missing in it until it writes its entry again. */
@@ -147,17 +147,17 @@
 test_missing_in_copy (void)
 {
   start_in_era ();
-  restore (LISTED_ONE);
-  CU_ASSERT (world_wait_logged (&world, 0, " store_era "));
-  world_publish (&world);
+  restore (SERVER_A_REVISION);
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, " store_era "));
+  testbed_publish (&testbed);
   fleet_sleep (300);
   CU_ASSERT_EQUAL (status_of ("missing", "A=shed"), 200);
-  CU_ASSERT (has ("seal-i-B1"));
-  world_list (&world, 1, "ready");
+  CU_ASSERT (answer_has ("seal-i-B1"));
+  testbed_list_server (&testbed, 1, "ready");
   fleet_sleep (3000);
   CU_ASSERT_EQUAL (status_of ("back", "A=shed"), 200);
-  CU_ASSERT (has ("seal-i-B1"));
-  world_stop (&world);
+  CU_ASSERT (answer_has ("seal-i-B1"));
+  testbed_stop (&testbed);
 }
 
 /* What can't be read changes nothing; no header at all is the era before. */
@@ -168,26 +168,26 @@
   int begun;
 
   start_in_era ();
-  /* A router whose first answer came before the store had an era has seen that begin. */
-  begun = world_count_logged (&world, 0, " store_era ");
+  /* A router whose first answer came before the store had an era answer_has seen that begin. */
+  begun = testbed_count_logged (&testbed, 0, " store_era ");
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
     {
       char target[64];
 
       snprintf (target, sizeof target, "/era?%s", bad[i]);
       store (target);
-      world_list (&world, 0, "ready");
-      CU_ASSERT (world_wait_logged (&world, 0, "its era can't be read"));
+      testbed_list_server (&testbed, 0, "ready");
+      CU_ASSERT (testbed_wait_logged (&testbed, 0, "its era can't be read"));
       CU_ASSERT_EQUAL (status_of ("bad", NULL), 200);
     }
   store ("/era?");
-  world.has_key = false;
-  world_publish (&world);
+  testbed.has_key = false;
+  testbed_publish (&testbed);
   for (int i = 0; i < 100 && status_of ("none", NULL) != 401; i++)
     fleet_sleep (20);
   CU_ASSERT_EQUAL (answer.status, 401);
-  CU_ASSERT_EQUAL (world_count_logged (&world, 0, " store_era "), begun);
-  world_stop (&world);
+  CU_ASSERT_EQUAL (testbed_count_logged (&testbed, 0, " store_era "), begun);
+  testbed_stop (&testbed);
 }
 
 /* One router asks the store in the former era's time, another starts in the new one: what they tell
@@ -200,27 +200,27 @@
     store ("/put?servers/none");
   fleet_sleep (300);
   /* The first router is away while the store comes back. */
-  kill (world.routers[0].pid, SIGSTOP);
-  restore (PUBLISHED);
-  world_list (&world, 0, "draining");
-  world_start_router (&world, 1);
-  CU_ASSERT (world_wait_ready (&world, 1, true));
-  kill (world.routers[0].pid, SIGCONT);
+  kill (testbed.routers[0].pid, SIGSTOP);
+  restore (CONFIG_REVISION);
+  testbed_list_server (&testbed, 0, "draining");
+  testbed_start_router (&testbed, 1);
+  CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
+  kill (testbed.routers[0].pid, SIGCONT);
   fleet_sleep (1500);
   for (int i = 0; i < 10; i++)
     for (int r = 0; r < 2; r++)
       {
-        world_call_at (&world, r, "two", "/safe/x", NULL, "", &answer);
+        testbed_call_at (&testbed, r, "two", "/safe/x", NULL, "", &answer);
         CU_ASSERT_EQUAL (answer.status, 200);
       }
   CU_ASSERT_PTR_NULL (strstr (server_log (0), "two"));
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 const struct fault_test router_era_tests[] = {
-  { "older copy: a revision given out again", test_revision_given_again },
-  { "older copy: the configuration stays", test_configuration_stays },
-  { "older copy: servers that left since", test_left_since },
+  { "older copy: a revision given out again", test_revision_reused },
+  { "older copy: the configuration stays", test_configuration_kept },
+  { "older copy: servers that left since", test_removed_since_copy },
   { "older copy: a server that it lacks", test_missing_in_copy },
   { "older copy: an era that can't be read", test_bad_era },
   { "older copy: routers of two eras", test_routers_of_two_eras },
--- a/test/router_stop.c
+++ b/test/router_stop.c
@@ -22,30 +22,30 @@
   start ();
   for (int i = 0; i < 4; i++)
     {
-      fd[i] = world_connect (&world, 0);
-      world_send (fd[i], "POST /safe/x HTTP/1.1\r\n" HEAD
-                         "p1\r\nX-Do: *=slow\r\nContent-Length: 0\r\n\r\n");
+      fd[i] = testbed_connect (&testbed, 0);
+      testbed_send (fd[i], "POST /safe/x HTTP/1.1\r\n" HEAD
+                           "p1\r\nX-Do: *=slow\r\nContent-Length: 0\r\n\r\n");
     }
-  for (int i = 0; i < 100 && world_runs (&world, "p1") < 4; i++)
+  for (int i = 0; i < 100 && testbed_count_runs (&testbed, "p1") < 4; i++)
     fleet_sleep (10);
-  kill (world.routers[0].pid, SIGTERM);
-  CU_ASSERT (world_wait_ready (&world, 0, false));
-  /* A caller that still has the address is served too. */
-  world_call (&world, "p2", "/safe/x", NULL, "", &answer);
+  kill (testbed.routers[0].pid, SIGTERM);
+  CU_ASSERT (testbed_wait_ready (&testbed, 0, false));
+  /* A caller that still answer_has the address is served too. */
+  testbed_call (&testbed, "p2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  CU_ASSERT (has ("Connection: close"));
+  CU_ASSERT (answer_has ("Connection: close"));
   for (int i = 0; i < 4; i++)
     {
-      world_read (fd[i], &answer);
-      CU_ASSERT (answer.status == 200 && answer.whole);
+      testbed_read (fd[i], &answer);
+      CU_ASSERT (answer.status == 200 && answer.complete);
       close (fd[i]);
     }
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
-  world_start_router (&world, 0);
-  CU_ASSERT (world_wait_ready (&world, 0, true));
-  world_call (&world, "p3", "/safe/x", NULL, "", &answer);
+  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  testbed_start_router (&testbed, 0);
+  CU_ASSERT (testbed_wait_ready (&testbed, 0, true));
+  testbed_call (&testbed, "p3", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* Writes a request. @return its connection. */
@@ -53,12 +53,12 @@
 begin_request (const char *path, const char *version, const char *id, const char *action)
 {
   char text[512];
-  int fd = world_connect (&world, 0);
+  int fd = testbed_connect (&testbed, 0);
 
   snprintf (text, sizeof text,
             "POST %s %s\r\n" HEAD "%s\r\nX-Do: *=%s\r\nContent-Length: 0\r\n\r\n", path, version,
             id, action);
-  world_send (fd, text);
+  testbed_send (fd, text);
   return fd;
 }
 
@@ -86,32 +86,32 @@
 
   start ();
   held[0] = hold_request ("p1");
-  kill (world.routers[0].pid, SIGTERM);
-  CU_ASSERT (world_wait_ready (&world, 0, false));
+  kill (testbed.routers[0].pid, SIGTERM);
+  CU_ASSERT (testbed_wait_ready (&testbed, 0, false));
   fleet_sleep (500);
   held[1] = hold_request ("p2");
   /* A request may last 1.5 s here, of the 3 s that the stop may take: first they are taken. */
   do
     {
       snprintf (id, sizeof id, "l%d", served);
-      world_call (&world, id, path, action, "", &answer);
-      served += answer.status == 200 && answer.whole;
+      testbed_call (&testbed, id, path, action, "", &answer);
+      served += answer.status == 200 && answer.complete;
       fleet_sleep (20);
     }
-  while (answer.status == 200 && answer.whole);
+  while (answer.status == 200 && answer.complete);
   CU_ASSERT (served > 0);
   /* With less time left they go elsewhere, and have not run. */
   CU_ASSERT_EQUAL (answer.status, 503);
-  CU_ASSERT (has ("Retry-After:"));
-  CU_ASSERT_EQUAL (world_runs (&world, id), 0);
-  CU_ASSERT (world_logged (&world, 0, "reason=leaving"));
+  CU_ASSERT (answer_has ("Retry-After:"));
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, id), 0);
+  CU_ASSERT (testbed_logged (&testbed, 0, "reason=leaving"));
   /* What was taken in time gets its final answer. */
-  world_read (held[1], &answer);
-  CU_ASSERT (answer.status == 504 && answer.whole);
+  testbed_read (held[1], &answer);
+  CU_ASSERT (answer.status == 504 && answer.complete);
   close (held[0]);
   close (held[1]);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
-  world_stop (&world);
+  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  testbed_stop (&testbed);
 }
 
 static void
@@ -126,30 +126,30 @@
   check_late_in_stop ("/safe/x", NULL);
 }
 
-/* The first router has other settings. */
+/* The first router answer_has other settings. */
 static void
-start_with (const char *grace, uint32_t wait_ms)
+start_with_settings (const char *grace, uint32_t wait_ms)
 {
   start ();
-  world.grace = grace;
-  world.wait_ms = wait_ms;
-  restart ();
+  testbed.grace = grace;
+  testbed.wait_ms = wait_ms;
+  restart_router ();
 }
 
-/* Writes a request. @return its connection, once a server has the request. */
+/* Writes a request. @return its connection, once a server answer_has the request. */
 static int
 run_request (const char *path, const char *version, const char *id, const char *action)
 {
   int fd = begin_request (path, version, id, action);
 
   wait_arrived (id);
-  CU_ASSERT (world_runs (&world, id) > 0);
+  CU_ASSERT (testbed_count_runs (&testbed, id) > 0);
   return fd;
 }
 
-/* Waits until a stream's first event has come to the caller, and leaves it to be read. */
+/* Waits until a stream's first event answer_has come to the caller, and leaves it to be read. */
 static void
-wait_begun (int fd)
+wait_first_event (int fd)
 {
   char text[4096];
   bool begun = false;
@@ -184,13 +184,13 @@
 {
   char line[96];
 
-  world_read (fd, &answer);
+  testbed_read (fd, &answer);
   close (fd);
-  CU_ASSERT (answer.status == 503 && answer.whole);
-  CU_ASSERT (has ("Retry-After:"));
-  CU_ASSERT_EQUAL (world_runs (&world, id), 0);
+  CU_ASSERT (answer.status == 503 && answer.complete);
+  CU_ASSERT (answer_has ("Retry-After:"));
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, id), 0);
   snprintf (line, sizeof line, "forward_refused box=router-0 module=router id=%s ", id);
-  CU_ASSERT (world_logged (&world, 0, line));
+  CU_ASSERT (testbed_logged (&testbed, 0, line));
 }
 
 static void
@@ -198,32 +198,32 @@
 {
   char line[96];
 
-  world_read (fd, &answer);
+  testbed_read (fd, &answer);
   close (fd);
-  CU_ASSERT (answer.status == 502 && answer.whole);
-  CU_ASSERT_EQUAL (world_runs (&world, id), 1);
+  CU_ASSERT (answer.status == 502 && answer.complete);
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, id), 1);
   snprintf (line, sizeof line, "forward_failed box=router-0 module=router id=%s ", id);
-  CU_ASSERT (world_logged (&world, 0, line));
+  CU_ASSERT (testbed_logged (&testbed, 0, line));
 }
 
 /* Begun: what came stays, and that it ended too soon shows. */
 static void
-expect_broken_off (int fd, const char *id)
+expect_truncated (int fd, const char *id)
 {
   char line[96];
 
-  world_read (fd, &answer);
+  testbed_read (fd, &answer);
   close (fd);
-  CU_ASSERT (answer.status == 200 && !answer.whole);
-  CU_ASSERT (has ("id: 1\n"));
-  CU_ASSERT_EQUAL (world_runs (&world, id), 1);
+  CU_ASSERT (answer.status == 200 && !answer.complete);
+  CU_ASSERT (answer_has ("id: 1\n"));
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, id), 1);
   snprintf (line, sizeof line, "forward_failed box=router-0 module=router id=%s ", id);
-  CU_ASSERT (world_logged (&world, 0, line));
+  CU_ASSERT (testbed_logged (&testbed, 0, line));
 }
 
 /* The requests that are under way when a stop comes to its end, each of another kind. */
 static void
-end_with_work (bool by_signal)
+check_stop_with_requests (bool by_signal)
 {
   int held[2];
   int streams[2];
@@ -231,41 +231,42 @@
   int partly;
   int idle;
 
-  /* The model's service has no endpoints: what asks for it waits. */
-  start_with (by_signal ? "grace_s = 3" : "grace_s = 1.2", 10000);
-  idle = world_connect (&world, 0);
+  /* The model's service answer_has no endpoints: what asks for it waits. */
+  start_with_settings (by_signal ? "grace_s = 3" : "grace_s = 1.2", 10000);
+  idle = testbed_connect (&testbed, 0);
   waiting = begin_request ("/model/x", "HTTP/1.1", "e-waits", "mute");
-  partly = world_connect (&world, 0);
-  world_send (partly, "POST /once/x HTTP/1.1\r\n" HEAD "e-partly\r\nContent-Length: 9\r\n\r\nhel");
+  partly = testbed_connect (&testbed, 0);
+  testbed_send (partly,
+                "POST /once/x HTTP/1.1\r\n" HEAD "e-partly\r\nContent-Length: 9\r\n\r\nhel");
   streams[0] = run_request ("/stream/x", "HTTP/1.1", "e-stream", "streamhang");
   streams[1] = run_request ("/stream/x", "HTTP/1.0", "e-old", "streamhang");
-  wait_begun (streams[0]);
-  wait_begun (streams[1]);
+  wait_first_event (streams[0]);
+  wait_first_event (streams[1]);
   held[0] = run_request ("/once/x", "HTTP/1.1", "e-once", "mute");
   held[1] = run_request ("/safe/x", "HTTP/1.1", "e-safe", "mute");
-  kill (world.routers[0].pid, SIGTERM);
+  kill (testbed.routers[0].pid, SIGTERM);
   if (by_signal)
     {
-      CU_ASSERT (world_wait_logged (&world, 0, " stopping "));
-      kill (world.routers[0].pid, SIGTERM);
+      CU_ASSERT (testbed_wait_logged (&testbed, 0, " stopping "));
+      kill (testbed.routers[0].pid, SIGTERM);
     }
   expect_not_run (waiting, "e-waits");
   expect_may_have_run (held[0], "e-once");
   expect_may_have_run (held[1], "e-safe");
-  expect_broken_off (streams[0], "e-stream");
-  expect_broken_off (streams[1], "e-old");
-  world_read (partly, &answer);
-  CU_ASSERT (answer.status == 503 && answer.whole && has ("Retry-After:"));
+  expect_truncated (streams[0], "e-stream");
+  expect_truncated (streams[1], "e-old");
+  testbed_read (partly, &answer);
+  CU_ASSERT (answer.status == 503 && answer.complete && answer_has ("Retry-After:"));
   close (partly);
   close (idle);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
-  CU_ASSERT_FALSE (world_logged (&world, 0, "forward_resent"));
-  CU_ASSERT (world_logged (&world, 0, " stopped "));
-  world_stop (&world);
+  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  CU_ASSERT_FALSE (testbed_logged (&testbed, 0, "forward_resent"));
+  CU_ASSERT (testbed_logged (&testbed, 0, " stopped "));
+  testbed_stop (&testbed);
 }
 
 /* Callers that keep an address come just after the signal. A plain request that states no deadline
- * may take as long as its route allows, 6 s here, as long as the whole stop; it seldom takes a
+ * may take as long as its route allows, 6 s here, as long as the complete stop; it seldom takes a
  * tenth of that, so it is served. */
 static void
 test_early_in_stop (void)
@@ -274,19 +275,19 @@
   int fd;
 
   start ();
-  world.grace = "grace_s = 6";
-  restart ();
+  testbed.grace = "grace_s = 6";
+  restart_router ();
   held = hold_request ("q1");
-  kill (world.routers[0].pid, SIGTERM);
-  CU_ASSERT (world_wait_ready (&world, 0, false));
-  fd = world_connect (&world, 0);
-  world_send (fd, "GET /any/x HTTP/1.1\r\nHost: shop.example\r\nAuthorization: Bearer key-1\r\n"
-                  "Ashspindle-Attempt-Id: q2\r\n\r\n");
-  world_read (fd, &answer);
-  CU_ASSERT (answer.status == 200 && answer.whole);
+  kill (testbed.routers[0].pid, SIGTERM);
+  CU_ASSERT (testbed_wait_ready (&testbed, 0, false));
+  fd = testbed_connect (&testbed, 0);
+  testbed_send (fd, "GET /any/x HTTP/1.1\r\nHost: shop.example\r\nAuthorization: Bearer key-1\r\n"
+                    "Ashspindle-Attempt-Id: q2\r\n\r\n");
+  testbed_read (fd, &answer);
+  CU_ASSERT (answer.status == 200 && answer.complete);
   close (fd);
   close (held);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* What users saw: a router that got a second SIGTERM, or whose time to stop was over, closed what
@@ -296,15 +297,15 @@
  * lines of forward_resent after that of stopped; a heap-use-after-free in the exchange's answer,
  * below the end of its call. Cause: no request was ended before what it stands on. */
 static void
-test_stop_cut_short (void)
+test_second_signal (void)
 {
-  end_with_work (true);
+  check_stop_with_requests (true);
 }
 
 static void
-test_stop_time_over (void)
+test_stop_time_expired (void)
 {
-  end_with_work (false);
+  check_stop_with_requests (false);
 }
 
 /* An address that takes no connection and refuses none: its queue is full. */
@@ -343,7 +344,8 @@
     close (full->waiting[i]);
 }
 
-/* A request whose connection is not up yet has surely not run, though an endpoint was chosen. */
+/* A request whose connection is not up yet answer_has surely not run, though an endpoint was
+ * chosen. */
 static void
 test_stop_while_connecting (void)
 {
@@ -351,53 +353,54 @@
   char value[160];
   int fd;
 
-  start_with ("grace_s = 3", 10000);
+  start_with_settings ("grace_s = 3", 10000);
   open_full (&full);
   snprintf (value, sizeof value,
             "{\"Service\":\"stock\",\"Address\":\"127.0.0.1:%u\",\"Zone\":\"hall-a\",\"Slots\":8,"
             "\"State\":\"ready\"}",
             full.port);
-  world_get (world.store_port, "PUT", "/put?servers/i-full", value);
-  world_list (&world, 0, "draining");
-  world_list (&world, 1, "draining");
-  CU_ASSERT (world_wait_logged (&world, 0, "endpoint=i-full"));
-  for (int s = 0; s < WORLD_SERVERS; s++)
+  testbed_fetch (testbed.store_port, "PUT", "/put?servers/i-full", value);
+  testbed_list_server (&testbed, 0, "draining");
+  testbed_list_server (&testbed, 1, "draining");
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, "endpoint=i-full"));
+  for (int s = 0; s < TESTBED_SERVERS; s++)
     {
       char line[96];
 
       snprintf (line, sizeof line, "endpoint_leaving box=router-0 module=router endpoint=%s",
-                world.servers[s].id);
-      CU_ASSERT (world_wait_logged (&world, 0, line));
+                testbed.servers[s].id);
+      CU_ASSERT (testbed_wait_logged (&testbed, 0, line));
     }
   fd = begin_request ("/once/x", "HTTP/1.1", "e-up", "ok");
-  CU_ASSERT (world_wait_logged (&world, 0, "forward_sent box=router-0 module=router id=e-up "));
-  kill (world.routers[0].pid, SIGTERM);
-  CU_ASSERT (world_wait_logged (&world, 0, " stopping "));
-  kill (world.routers[0].pid, SIGTERM);
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, "forward_sent box=router-0 module=router id=e-up "));
+  kill (testbed.routers[0].pid, SIGTERM);
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, " stopping "));
+  kill (testbed.routers[0].pid, SIGTERM);
   expect_not_run (fd, "e-up");
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
   close_full (&full);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
-/* Two requests in one write. @return their connection, once a server has the first. */
+/* Two requests in one write. @return their connection, once a server answer_has the first. */
 static int
 send_two (const char *first, const char *action, const char *second)
 {
   char text[1024];
-  int fd = world_connect (&world, 0);
+  int fd = testbed_connect (&testbed, 0);
 
   snprintf (text, sizeof text,
             "POST /once/x HTTP/1.1\r\n" HEAD "%s\r\nX-Do: *=%s\r\nContent-Length: 0\r\n\r\n"
             "POST /once/x HTTP/1.1\r\n" HEAD "%s\r\nX-Do: *=%s\r\nContent-Length: 0\r\n\r\n",
             first, action, second, action);
-  world_send (fd, text);
+  testbed_send (fd, text);
   wait_arrived (first);
   return fd;
 }
 
 /* Two requests were written at once. The first one's answer said that the connection closes, and
- * the second, read whole by then, got none: a caller that sent it ahead can't tell whether it ran.
+ * the second, read complete by then, got none: a caller that sent it ahead can't tell whether it
+ * ran.
  */
 static void
 test_stop_pipelined (void)
@@ -406,49 +409,49 @@
 
   start ();
   fd = send_two ("q-first", "slow", "q-second");
-  kill (world.routers[0].pid, SIGTERM);
+  kill (testbed.routers[0].pid, SIGTERM);
   read_to_end (fd);
   CU_ASSERT_EQUAL (count_of (answer.text, "HTTP/1.1 200 OK\r\n"), 2);
   CU_ASSERT_EQUAL (count_of (answer.text, "Connection: close\r\n"), 1);
-  CU_ASSERT_EQUAL (world_runs (&world, "q-second"), 1);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
-  world_stop (&world);
-  /* At the stop's end: the first may have run, the second has not. */
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "q-second"), 1);
+  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  testbed_stop (&testbed);
+  /* At the stop's end: the first may have run, the second answer_has not. */
   start ();
   fd = send_two ("q-third", "mute", "q-fourth");
-  kill (world.routers[0].pid, SIGTERM);
-  CU_ASSERT (world_wait_logged (&world, 0, " stopping "));
-  kill (world.routers[0].pid, SIGTERM);
+  kill (testbed.routers[0].pid, SIGTERM);
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, " stopping "));
+  kill (testbed.routers[0].pid, SIGTERM);
   read_to_end (fd);
   CU_ASSERT_EQUAL (count_of (answer.text, "HTTP/1.1 502 "), 1);
   CU_ASSERT_EQUAL (count_of (answer.text, "HTTP/1.1 503 "), 1);
-  CU_ASSERT_EQUAL (world_runs (&world, "q-fourth"), 0);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
-  world_stop (&world);
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "q-fourth"), 0);
+  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  testbed_stop (&testbed);
 }
 
 /* Answered, and with 503 only if it did not run: whether it was read before the
  * signal or after is the loop's choice. */
 static void
-expect_true_end (int fd, const char *id)
+expect_truthful_answer (int fd, const char *id)
 {
-  world_read (fd, &answer);
+  testbed_read (fd, &answer);
   close (fd);
-  CU_ASSERT (answer.whole);
+  CU_ASSERT (answer.complete);
   CU_ASSERT (answer.status == 200 || answer.status == 502 || answer.status == 503);
   if (answer.status == 503)
-    CU_ASSERT_EQUAL (world_runs (&world, id), 0);
+    CU_ASSERT_EQUAL (testbed_count_runs (&testbed, id), 0);
 }
 
 /* A connection that rests after a request. */
 static int
 connect_kept (void)
 {
-  int fd = world_connect (&world, 0);
+  int fd = testbed_connect (&testbed, 0);
 
-  world_send (fd, "GET /safe/x HTTP/1.1\r\n" HEAD "c-before\r\n\r\n");
-  world_read (fd, &answer);
-  CU_ASSERT (answer.status == 200 && !has ("Connection: close"));
+  testbed_send (fd, "GET /safe/x HTTP/1.1\r\n" HEAD "c-before\r\n\r\n");
+  testbed_read (fd, &answer);
+  CU_ASSERT (answer.status == 200 && !answer_has ("Connection: close"));
   return fd;
 }
 
@@ -457,7 +460,7 @@
  * on a new one that was closed just as it was accepted. The router is held while they are written,
  * so that it sees all of it in one turn. */
 static void
-test_stop_crossed (void)
+test_stop_unread_requests (void)
 {
   int kept;
   int idle;
@@ -466,44 +469,44 @@
   start ();
   kept = connect_kept ();
   idle = connect_kept ();
-  kill (world.routers[0].pid, SIGSTOP);
-  world_send (kept, "GET /once/x HTTP/1.1\r\n" HEAD "c-kept\r\n\r\n");
+  kill (testbed.routers[0].pid, SIGSTOP);
+  testbed_send (kept, "GET /once/x HTTP/1.1\r\n" HEAD "c-kept\r\n\r\n");
   fresh = begin_request ("/once/x", "HTTP/1.1", "c-fresh", "ok");
   fleet_sleep (250);
-  kill (world.routers[0].pid, SIGTERM);
-  kill (world.routers[0].pid, SIGCONT);
-  world_read (kept, &answer);
-  CU_ASSERT (answer.status == 200 && answer.whole && has ("Connection: close"));
-  world_read (fresh, &answer);
-  CU_ASSERT (answer.status == 200 && answer.whole && has ("Connection: close"));
+  kill (testbed.routers[0].pid, SIGTERM);
+  kill (testbed.routers[0].pid, SIGCONT);
+  testbed_read (kept, &answer);
+  CU_ASSERT (answer.status == 200 && answer.complete && answer_has ("Connection: close"));
+  testbed_read (fresh, &answer);
+  CU_ASSERT (answer.status == 200 && answer.complete && answer_has ("Connection: close"));
   close (kept);
   close (fresh);
   /* One that rested and that nothing was written on is closed. */
-  world_read (idle, &answer);
+  testbed_read (idle, &answer);
   CU_ASSERT_EQUAL (answer.status, 0);
   close (idle);
   /* One that is new waits for its request, over some turns of the loop. */
-  fresh = world_connect (&world, 0);
+  fresh = testbed_connect (&testbed, 0);
   fleet_sleep (250);
-  world_send (fresh, "GET /once/x HTTP/1.1\r\n" HEAD "c-new\r\n\r\n");
-  world_read (fresh, &answer);
-  CU_ASSERT (answer.status == 200 && answer.whole && has ("Connection: close"));
+  testbed_send (fresh, "GET /once/x HTTP/1.1\r\n" HEAD "c-new\r\n\r\n");
+  testbed_read (fresh, &answer);
+  CU_ASSERT (answer.status == 200 && answer.complete && answer_has ("Connection: close"));
   close (fresh);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
-  world_stop (&world);
+  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  testbed_stop (&testbed);
   /* The same at the end. */
   start ();
   kept = connect_kept ();
-  kill (world.routers[0].pid, SIGSTOP);
-  world_send (kept, "GET /once/x HTTP/1.1\r\n" HEAD "c-late\r\n\r\n");
+  kill (testbed.routers[0].pid, SIGSTOP);
+  testbed_send (kept, "GET /once/x HTTP/1.1\r\n" HEAD "c-late\r\n\r\n");
   fresh = begin_request ("/once/x", "HTTP/1.1", "c-last", "ok");
-  kill (world.routers[0].pid, SIGTERM);
-  kill (world.routers[0].pid, SIGINT);
-  kill (world.routers[0].pid, SIGCONT);
-  expect_true_end (kept, "c-late");
-  expect_true_end (fresh, "c-last");
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
-  world_stop (&world);
+  kill (testbed.routers[0].pid, SIGTERM);
+  kill (testbed.routers[0].pid, SIGINT);
+  kill (testbed.routers[0].pid, SIGCONT);
+  expect_truthful_answer (kept, "c-late");
+  expect_truthful_answer (fresh, "c-last");
+  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  testbed_stop (&testbed);
 }
 
 /* Signals at odd moments: none leaves a caller without an answer or ends the process badly. */
@@ -513,35 +516,35 @@
   int fd;
 
   /* Before there is a configuration. */
-  world_start (&world);
+  testbed_start (&testbed);
   fd = begin_request ("/safe/x", "HTTP/1.1", "n-1", "ok");
-  world_read (fd, &answer);
+  testbed_read (fd, &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
   close (fd);
-  kill (world.routers[0].pid, SIGTERM);
-  CU_ASSERT (world_wait_logged (&world, 0, " stopping "));
-  world_call (&world, "n-2", "/safe/x", NULL, "", &answer);
-  CU_ASSERT (answer.status == 503 && answer.whole);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  kill (testbed.routers[0].pid, SIGTERM);
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, " stopping "));
+  testbed_call (&testbed, "n-2", "/safe/x", NULL, "", &answer);
+  CU_ASSERT (answer.status == 503 && answer.complete);
+  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
   /* Twice, before anything else. */
-  world_start_router (&world, 0);
-  kill (world.routers[0].pid, SIGTERM);
-  kill (world.routers[0].pid, SIGINT);
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
+  testbed_start_router (&testbed, 0);
+  kill (testbed.routers[0].pid, SIGTERM);
+  kill (testbed.routers[0].pid, SIGINT);
+  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
   /* New settings while it stops. */
-  world_publish (&world);
-  world_start_router (&world, 0);
-  CU_ASSERT (world_wait_ready (&world, 0, true));
+  testbed_publish (&testbed);
+  testbed_start_router (&testbed, 0);
+  CU_ASSERT (testbed_wait_ready (&testbed, 0, true));
   fd = run_request ("/once/x", "HTTP/1.1", "n-3", "slow");
-  kill (world.routers[0].pid, SIGTERM);
-  kill (world.routers[0].pid, SIGHUP);
-  CU_ASSERT (world_wait_logged (&world, 0, " reloaded "));
-  world_read (fd, &answer);
-  CU_ASSERT (answer.status == 200 && answer.whole);
+  kill (testbed.routers[0].pid, SIGTERM);
+  kill (testbed.routers[0].pid, SIGHUP);
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, " reloaded "));
+  testbed_read (fd, &answer);
+  CU_ASSERT (answer.status == 200 && answer.complete);
   close (fd);
-  CU_ASSERT (world_wait_ready (&world, 0, false));
-  CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
-  world_stop (&world);
+  CU_ASSERT (testbed_wait_ready (&testbed, 0, false));
+  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  testbed_stop (&testbed);
 }
 
 /* Told to stop as soon as it could be connected to, a router was ended by the signal instead, 193
@@ -550,15 +553,15 @@
 static void
 test_stop_at_start (void)
 {
-  world_start (&world);
+  testbed_start (&testbed);
   for (int i = 0; i < 20; i++)
     {
-      kill (world.routers[0].pid, SIGTERM);
-      kill (world.routers[0].pid, SIGINT);
-      CU_ASSERT_EQUAL (fleet_end (&world.routers[0].pid, 0), 0);
-      world_start_router (&world, 0);
+      kill (testbed.routers[0].pid, SIGTERM);
+      kill (testbed.routers[0].pid, SIGINT);
+      CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+      testbed_start_router (&testbed, 0);
     }
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 const struct fault_test router_stop_tests[] = {
@@ -566,11 +569,11 @@
   { "early in a planned stop", test_early_in_stop },
   { "late in a planned stop", test_late_in_stop },
   { "late in a planned stop: plain requests", test_plain_late_in_stop },
-  { "stop cut short by a second signal", test_stop_cut_short },
-  { "stop whose time is over", test_stop_time_over },
+  { "stop cut short by a second signal", test_second_signal },
+  { "stop whose time is over", test_stop_time_expired },
   { "stop while a connection comes up", test_stop_while_connecting },
   { "stop with requests sent ahead", test_stop_pipelined },
-  { "stop crossed by requests", test_stop_crossed },
+  { "stop crossed by requests", test_stop_unread_requests },
   { "stop: signals at odd moments", test_stop_signals },
   { "stop as soon as it has started", test_stop_at_start },
   { NULL, NULL },
--- a/test/router_store.c
+++ b/test/router_store.c
@@ -15,60 +15,60 @@
 test_draining (void)
 {
   start ();
-  world_list (&world, 0, "draining");
+  testbed_list_server (&testbed, 0, "draining");
   fleet_sleep (200);
   for (int i = 0; i < 6; i++)
     {
-      world_call (&world, "g1", "/safe/x", NULL, "", &answer);
+      testbed_call (&testbed, "g1", "/safe/x", NULL, "", &answer);
       CU_ASSERT_EQUAL (answer.status, 200);
     }
   CU_ASSERT_PTR_NULL (strstr (server_log (0), "g1"));
   /* Gone from the list without a word: gone too. */
-  world_get (world.store_port, "PUT", "/remove?servers/i-B1", "");
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
   fleet_sleep (200);
-  world_call (&world, "g2", "/safe/x", NULL, "", &answer);
+  testbed_call (&testbed, "g2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
-  CU_ASSERT_EQUAL (world_runs (&world, "g2"), 0);
-  world_stop (&world);
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "g2"), 0);
+  testbed_stop (&testbed);
 }
 
 static void
-test_store_away (void)
+test_store_unavailable (void)
 {
   start ();
-  world_get (world.store_port, "PUT", "/mode?busy", "");
+  testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
   fleet_sleep (1500);
-  CU_ASSERT (world_logged (&world, 0, "platform_down"));
-  world_call (&world, "w1", "/safe/x", NULL, "", &answer);
+  CU_ASSERT (testbed_logged (&testbed, 0, "platform_down"));
+  testbed_call (&testbed, "w1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   /* While it is away the servers' entries lapse, though they live; they are used on. */
-  world_get (world.store_port, "PUT", "/remove?servers/i-A1", "");
-  world_get (world.store_port, "PUT", "/remove?servers/i-B1", "");
-  world_get (world.store_port, "PUT", "/mode?ok", "");
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-A1", "");
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
+  testbed_fetch (testbed.store_port, "PUT", "/mode?ok", "");
   fleet_sleep (700);
-  world_call (&world, "w2", "/safe/x", NULL, "", &answer);
+  testbed_call (&testbed, "w2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_list (&world, 0, "ready");
+  testbed_list_server (&testbed, 0, "ready");
   fleet_sleep (2500);
   /* The one that did not come back is gone, the other is not. */
-  world_call (&world, "w3", "/safe/x", NULL, "", &answer);
+  testbed_call (&testbed, "w3", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_PTR_NULL (strstr (server_log (1), "w3"));
-  /* What is missing from now on has not lapsed: it is gone at once. */
-  world_get (world.store_port, "PUT", "/remove?servers/i-A1", "");
+  /* What is missing from now on answer_has not lapsed: it is gone at once. */
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-A1", "");
   fleet_sleep (200);
-  world_call (&world, "w4", "/safe/x", NULL, "", &answer);
+  testbed_call (&testbed, "w4", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
-  CU_ASSERT_EQUAL (world_runs (&world, "w4"), 0);
-  world_stop (&world);
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "w4"), 0);
+  testbed_stop (&testbed);
 }
 
-/* @return the value of a figure without labels. */
+/* @return the value of a metric_value without labels. */
 static long
-figure (int r, const char *name)
+metric_value (int r, const char *name)
 {
-  const char *figures = world_get (world.routers[r].figures, "GET", "/metrics", "");
-  const char *line = figures ? strstr (figures, name) : NULL;
+  const char *metrics_port = testbed_fetch (testbed.routers[r].metrics_port, "GET", "/metrics", "");
+  const char *line = metrics_port ? strstr (metrics_port, name) : NULL;
 
   return line ? strtol (line + strlen (name), NULL, 10) : -1;
 }
@@ -86,21 +86,21 @@
   long before;
 
   start ();
-  before = figure (0, "\nash_store_calls_total{} ");
+  before = metric_value (0, "\nash_store_calls_total{} ");
   CU_ASSERT (before > 0);
   for (int i = 0; i < STARTS; i++)
     {
       snprintf (target, sizeof target, "/put?servers/i-burst%d", i);
-      world_get (world.store_port, "PUT", target,
-                 "{\"Service\":\"other\",\"Address\":\"127.0.0.1:1\",\"Zone\":\"hall-a\","
-                 "\"Slots\":8,\"State\":\"ready\"}");
+      testbed_fetch (testbed.store_port, "PUT", target,
+                     "{\"Service\":\"other\",\"Address\":\"127.0.0.1:1\",\"Zone\":\"hall-a\","
+                     "\"Slots\":8,\"State\":\"ready\"}");
       fleet_sleep (15);
     }
-  for (int i = 0; i < 100 && !world_logged (&world, 0, "endpoint=i-burst59"); i++)
+  for (int i = 0; i < 100 && !testbed_logged (&testbed, 0, "endpoint=i-burst59"); i++)
     fleet_sleep (10);
-  CU_ASSERT (world_logged (&world, 0, "endpoint=i-burst59"));
-  CU_ASSERT (figure (0, "\nash_store_calls_total{} ") - before < STARTS / 2);
-  world_stop (&world);
+  CU_ASSERT (testbed_logged (&testbed, 0, "endpoint=i-burst59"));
+  CU_ASSERT (metric_value (0, "\nash_store_calls_total{} ") - before < STARTS / 2);
+  testbed_stop (&testbed);
 }
 
 /* The store takes questions and says nothing; the entries lapse, and that is the first that
@@ -109,17 +109,17 @@
 test_store_silent (void)
 {
   start ();
-  world_call (&world, "v1", "/safe/x", NULL, "", &answer);
-  world_get (world.store_port, "PUT", "/mode?silent", "");
+  testbed_call (&testbed, "v1", "/safe/x", NULL, "", &answer);
+  testbed_fetch (testbed.store_port, "PUT", "/mode?silent", "");
   fleet_sleep (1300);
-  world_get (world.store_port, "PUT", "/remove?servers/i-A1", "");
-  world_get (world.store_port, "PUT", "/remove?servers/i-B1", "");
-  world_get (world.store_port, "PUT", "/mode?ok", "");
-  for (int i = 0; i < 100 && !world_logged (&world, 0, "endpoint_missing"); i++)
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-A1", "");
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
+  testbed_fetch (testbed.store_port, "PUT", "/mode?ok", "");
+  for (int i = 0; i < 100 && !testbed_logged (&testbed, 0, "endpoint_missing"); i++)
     fleet_sleep (10);
-  world_call (&world, "v2", "/safe/x", NULL, "", &answer);
+  testbed_call (&testbed, "v2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* Waits until a round of requests passes server @p s by. @return false after some 10 s. */
@@ -132,7 +132,7 @@
 
       snprintf (id, sizeof id, "unused%d", round);
       for (int i = 0; i < 16; i++)
-        world_call (&world, id, "/safe/x", NULL, "", &answer);
+        testbed_call (&testbed, id, "/safe/x", NULL, "", &answer);
       strncat (id, " ", sizeof id - strlen (id) - 1);
       if (!strstr (server_log (s), id))
         return true;
@@ -147,7 +147,7 @@
 {
   for (int i = 0; i < 100; i++)
     {
-      world_call (&world, "unused", "/safe/x", NULL, "", &answer);
+      testbed_call (&testbed, "unused", "/safe/x", NULL, "", &answer);
       if (answer.status == 503)
         return true;
       fleet_sleep (100);
@@ -156,63 +156,63 @@
 }
 
 static void
-test_history_gone (void)
+test_history_lost (void)
 {
   start ();
-  world_get (world.store_port, "PUT", "/mode?busy", "");
+  testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
   fleet_sleep (300);
-  world_list (&world, 0, "draining");
-  world_get (world.store_port, "PUT", "/mode?forget", "");
-  world_get (world.store_port, "PUT", "/mode?ok", "");
+  testbed_list_server (&testbed, 0, "draining");
+  testbed_fetch (testbed.store_port, "PUT", "/mode?forget", "");
+  testbed_fetch (testbed.store_port, "PUT", "/mode?ok", "");
   fleet_sleep (800);
   for (int i = 0; i < 4; i++)
-    world_call (&world, "h1", "/safe/x", NULL, "", &answer);
+    testbed_call (&testbed, "h1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_PTR_NULL (strstr (server_log (0), "h1"));
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* What a review saw: an endpoint that left while the store's history was lost was never noticed
  * and went on getting requests. Events: the endpoint's entry was removed; the watch was answered
- * with 410; the whole listing lacked the entry. Evidence: no endpoint_missing, and a use after
+ * with 410; the complete listing lacked the entry. Evidence: no endpoint_missing, and a use after
  * free under the address sanitizer. Cause: the entry of the old listing was freed before the
  * endpoint of that name was looked up by the entry's own id. */
 static void
-test_history_gone_removal (void)
+test_history_lost_removal (void)
 {
   start ();
-  world_get (world.store_port, "PUT", "/mode?busy", "");
+  testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
   fleet_sleep (300);
-  world_get (world.store_port, "PUT", "/remove?servers/i-B1", "");
-  world_get (world.store_port, "PUT", "/mode?forget", "");
-  world_get (world.store_port, "PUT", "/mode?ok", "");
-  CU_ASSERT (
-      world_wait_logged (&world, 0, "endpoint_missing box=router-0 module=router endpoint=i-B1 "));
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
+  testbed_fetch (testbed.store_port, "PUT", "/mode?forget", "");
+  testbed_fetch (testbed.store_port, "PUT", "/mode?ok", "");
+  CU_ASSERT (testbed_wait_logged (&testbed, 0,
+                                  "endpoint_missing box=router-0 module=router endpoint=i-B1 "));
   CU_ASSERT (wait_unused (1));
   for (int i = 0; i < 4; i++)
     {
-      world_call (&world, "h2", "/safe/x", NULL, "", &answer);
+      testbed_call (&testbed, "h2", "/safe/x", NULL, "", &answer);
       CU_ASSERT_EQUAL (answer.status, 200);
     }
   CU_ASSERT_PTR_NULL (strstr (server_log (1), "h2"));
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 static void
-test_peer_helps (void)
+test_start_from_peer (void)
 {
   start ();
-  world_start_router (&world, 1);
-  CU_ASSERT (world_wait_ready (&world, 1, true));
+  testbed_start_router (&testbed, 1);
+  CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
   /* A router that starts while the store is away learns all from its peer. */
-  world_get (world.store_port, "PUT", "/mode?busy", "");
-  fleet_end (&world.routers[0].pid, SIGKILL);
-  world_start_router (&world, 0);
-  CU_ASSERT (world_wait_ready (&world, 0, true));
-  world_call (&world, "e1", "/safe/x", NULL, "", &answer);
+  testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
+  fleet_end (&testbed.routers[0].pid, SIGKILL);
+  testbed_start_router (&testbed, 0);
+  CU_ASSERT (testbed_wait_ready (&testbed, 0, true));
+  testbed_call (&testbed, "e1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  CU_ASSERT (world_logged (&world, 0, "source=router-1"));
-  world_stop (&world);
+  CU_ASSERT (testbed_logged (&testbed, 0, "source=router-1"));
+  testbed_stop (&testbed);
 }
 
 /* Longer than the test's patience: only what notices the silence by itself ends these waits. */
@@ -220,56 +220,57 @@
 
 /* The first router's questions wait long at the store, and are there. */
 static void
-start_patient (void)
+start_with_long_polls (void)
 {
   start ();
-  world.store_wait_ms = LONG_WAIT_MS;
-  world.list_wait_ms = LONG_WAIT_MS;
-  restart ();
+  testbed.store_wait_ms = LONG_WAIT_MS;
+  testbed.list_wait_ms = LONG_WAIT_MS;
+  restart_router ();
   fleet_sleep (200);
 }
 
 /* The first router's questions wait for good, the second one asks anew after a second at most. */
 static void
-start_deaf (void)
+start_with_lost_polls (void)
 {
-  start_patient ();
-  world.short_wait_ms = LONG_WAIT_MS;
-  restart ();
+  start_with_long_polls ();
+  testbed.short_wait_ms = LONG_WAIT_MS;
+  restart_router ();
   fleet_sleep (200);
-  world_get (world.store_port, "PUT", "/deafen", "");
-  world.short_wait_ms = 300;
-  world_start_router (&world, 1);
-  CU_ASSERT (world_wait_ready (&world, 1, true));
+  testbed_fetch (testbed.store_port, "PUT", "/deafen", "");
+  testbed.short_wait_ms = 300;
+  testbed_start_router (&testbed, 1);
+  CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
 }
 
-/* The first router is stopped; the second one has not heard that a server has left. */
+/* The first router is stopped; the second one answer_has not heard that a server answer_has left.
+ */
 static void
-start_behind_peer (void)
+start_with_stale_peer (void)
 {
   start ();
-  world.store_wait_ms = world.list_wait_ms = world.short_wait_ms = LONG_WAIT_MS;
-  world_start_router (&world, 1);
-  CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 1, true));
+  testbed.store_wait_ms = testbed.list_wait_ms = testbed.short_wait_ms = LONG_WAIT_MS;
+  testbed_start_router (&testbed, 1);
+  CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 1, true));
   fleet_sleep (300);
-  fleet_end (&world.routers[0].pid, SIGKILL);
-  world_get (world.store_port, "PUT", "/deafen", "");
-  world_get (world.store_port, "PUT", "/remove?servers/i-B1", "");
+  fleet_end (&testbed.routers[0].pid, SIGKILL);
+  testbed_fetch (testbed.store_port, "PUT", "/deafen", "");
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
 }
 
 /* Publishes a configuration and that a server leaves. @return whether the first router takes both.
  */
 static bool
-follows_changes (void)
+applies_changes (void)
 {
   char accepted[64];
   bool has_version;
 
-  world_publish (&world);
-  world_list (&world, 0, "draining");
-  snprintf (accepted, sizeof accepted, "version=%u before=", world.version);
-  has_version = world_wait_logged (&world, 0, accepted);
-  return world_wait_logged (&world, 0, "endpoint_leaving") && has_version;
+  testbed_publish (&testbed);
+  testbed_list_server (&testbed, 0, "draining");
+  snprintf (accepted, sizeof accepted, "version=%u before=", testbed.version);
+  has_version = testbed_wait_logged (&testbed, 0, accepted);
+  return testbed_wait_logged (&testbed, 0, "endpoint_leaving") && has_version;
 }
 
 /* What users saw: for 20 s one router denied their new keys and routes (401, 404) although the
@@ -285,14 +286,14 @@
 test_store_watch_silent (void)
 {
   /* Nobody else reads: the question itself must not be trusted for long. */
-  start_patient ();
-  world_get (world.store_port, "PUT", "/deafen", "");
-  CU_ASSERT (follows_changes ());
-  world_stop (&world);
-  /* A peer has what did not come here, and nobody asks often. */
-  start_deaf ();
-  CU_ASSERT (follows_changes ());
-  world_stop (&world);
+  start_with_long_polls ();
+  testbed_fetch (testbed.store_port, "PUT", "/deafen", "");
+  CU_ASSERT (applies_changes ());
+  testbed_stop (&testbed);
+  /* A peer answer_has what did not come here, and nobody asks often. */
+  start_with_lost_polls ();
+  CU_ASSERT (applies_changes ());
+  testbed_stop (&testbed);
 }
 
 /* What a review saw: two servers that left at the same moment got requests from a router whose
@@ -300,13 +301,13 @@
  * Evidence: no endpoint_leaving within 10 s, and no behind_peers. Cause: the digests of the lists
  * were equal, since an even number of complements cancels out in an XOR. */
 static void
-test_two_leave (void)
+test_two_drain (void)
 {
-  start_deaf ();
-  world_list (&world, 0, "draining");
-  world_list (&world, 1, "draining");
-  CU_ASSERT (world_wait_logged (&world, 0, "endpoint_leaving"));
-  world_stop (&world);
+  start_with_lost_polls ();
+  testbed_list_server (&testbed, 0, "draining");
+  testbed_list_server (&testbed, 1, "draining");
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, "endpoint_leaving"));
+  testbed_stop (&testbed);
 }
 
 /* What users saw: callers with new keys were told 401, which nobody tries again, by a router that
@@ -316,62 +317,62 @@
 static void
 test_denied_by_old_configuration (void)
 {
-  int told_later = 0;
+  int retry_later = 0;
   int denied_after = 0;
 
-  start_deaf ();
-  world.has_key = false;
-  world_publish (&world);
+  start_with_lost_polls ();
+  testbed.has_key = false;
+  testbed_publish (&testbed);
   do
-    world_call (&world, "old-1", "/safe/x", NULL, "", &answer);
+    testbed_call (&testbed, "old-1", "/safe/x", NULL, "", &answer);
   while (answer.status == 200);
   /* The key comes back: once this router knows that there is something newer, it may not say
    * that there is none. Its question for that is at the store by now. */
   fleet_sleep (300);
-  world_get (world.store_port, "PUT", "/deafen", "");
-  world.has_key = true;
-  world_publish (&world);
+  testbed_fetch (testbed.store_port, "PUT", "/deafen", "");
+  testbed.has_key = true;
+  testbed_publish (&testbed);
   for (int i = 0; i < 4000 && answer.status != 200; i++)
     {
-      world_call (&world, "old-2", "/safe/x", NULL, "", &answer);
-      told_later += answer.status == 503 && has ("Retry-After:");
-      denied_after += answer.status == 401 && told_later;
+      testbed_call (&testbed, "old-2", "/safe/x", NULL, "", &answer);
+      retry_later += answer.status == 503 && answer_has ("Retry-After:");
+      denied_after += answer.status == 401 && retry_later;
     }
   CU_ASSERT_EQUAL (answer.status, 200);
-  CU_ASSERT (told_later > 0);
+  CU_ASSERT (retry_later > 0);
   CU_ASSERT_EQUAL (denied_after, 0);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* What a review saw: a server that had left got requests for as long as a router ran that started
- * after it. Events: the new router asked the store for the whole list; before the answer a peer
+ * after it. Events: the new router asked the store for the complete list; before the answer a peer
  * whose own watch was silent gave it an older list that still had the server; the store's answer
  * lacked it. Evidence: no endpoint_missing for the server in 10 s after the store's answer.
  * Cause: what the peer told counted as listed by the store, as both lists went by one number. */
 static void
 test_peer_list_during_listing (void)
 {
-  start_behind_peer ();
-  world_get (world.store_port, "PUT", "/mode?slow250", "");
-  world.list_wait_ms = 600;
-  world_start_router (&world, 0);
-  CU_ASSERT (world_wait_logged (&world, 0, "source=router-1"));
-  world_get (world.store_port, "PUT", "/mode?ok", "");
-  CU_ASSERT (
-      world_wait_logged (&world, 0, "endpoint_missing box=router-0 module=router endpoint=i-B1 "));
+  start_with_stale_peer ();
+  testbed_fetch (testbed.store_port, "PUT", "/mode?slow250", "");
+  testbed.list_wait_ms = 600;
+  testbed_start_router (&testbed, 0);
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, "source=router-1"));
+  testbed_fetch (testbed.store_port, "PUT", "/mode?ok", "");
+  CU_ASSERT (testbed_wait_logged (&testbed, 0,
+                                  "endpoint_missing box=router-0 module=router endpoint=i-B1 "));
   CU_ASSERT (wait_unused (1));
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 static long
 store_calls (int r)
 {
-  return figure (r, "\nash_store_calls_total{} ");
+  return metric_value (r, "\nash_store_calls_total{} ");
 }
 
 /* Waits until a router's questions wait for long. @return false after some 10 s. */
 static bool
-wait_patient (int r)
+wait_polls_pending (int r)
 {
   for (int i = 0; i < 5; i++)
     {
@@ -387,24 +388,24 @@
 /* What a review saw: with one of the few routers gone that ask often, the one that takes its place
  * let its own question wait on, up to 20 s at the store, so for that time one fewer asked often. */
 static void
-test_role_comes (void)
+test_poller_replaced (void)
 {
   long before;
 
   start ();
-  world.store_wait_ms = world.list_wait_ms = LONG_WAIT_MS;
-  for (int r = 1; r < WORLD_ROUTERS; r++)
+  testbed.store_wait_ms = testbed.list_wait_ms = LONG_WAIT_MS;
+  for (int r = 1; r < TESTBED_ROUTERS; r++)
     {
-      world_start_router (&world, r);
-      CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, r, true));
+      testbed_start_router (&testbed, r);
+      CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, r, true));
     }
-  CU_ASSERT_TRUE_FATAL (wait_patient (3));
+  CU_ASSERT_TRUE_FATAL (wait_polls_pending (3));
   before = store_calls (3);
-  fleet_end (&world.routers[0].pid, SIGKILL);
+  fleet_end (&testbed.routers[0].pid, SIGKILL);
   for (int i = 0; i < 500 && store_calls (3) == before; i++)
     fleet_sleep (20);
   CU_ASSERT_NOT_EQUAL (store_calls (3), before);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* What a review saw: a router that was started while the store took more than 300 ms for an answer
@@ -416,32 +417,32 @@
 test_store_slow (void)
 {
   start ();
-  world_get (world.store_port, "PUT", "/mode?slow500", "");
-  fleet_end (&world.routers[0].pid, SIGKILL);
-  world_start_router (&world, 0);
-  CU_ASSERT (world_wait_ready (&world, 0, true));
-  world_call (&world, "sl1", "/safe/x", NULL, "", &answer);
+  testbed_fetch (testbed.store_port, "PUT", "/mode?slow500", "");
+  fleet_end (&testbed.routers[0].pid, SIGKILL);
+  testbed_start_router (&testbed, 0);
+  CU_ASSERT (testbed_wait_ready (&testbed, 0, true));
+  testbed_call (&testbed, "sl1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  CU_ASSERT (follows_changes ());
-  world_stop (&world);
-  /* One that ran has its questions cut off. */
+  CU_ASSERT (applies_changes ());
+  testbed_stop (&testbed);
+  /* One that ran answer_has its questions cut off. */
   start ();
-  world_get (world.store_port, "PUT", "/mode?busy", "");
-  CU_ASSERT (world_wait_logged (&world, 0, "platform_down"));
-  world_get (world.store_port, "PUT", "/mode?slow500", "");
-  CU_ASSERT (follows_changes ());
-  world_stop (&world);
+  testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, "platform_down"));
+  testbed_fetch (testbed.store_port, "PUT", "/mode?slow500", "");
+  CU_ASSERT (applies_changes ());
+  testbed_stop (&testbed);
 }
 
 /* The entries lapse and the store is back. Once the first router knows it, callers are served. */
 static void
-lapse_and_call (void)
+expire_entries_and_call (void)
 {
-  world_get (world.store_port, "PUT", "/remove?servers/i-A1", "");
-  world_get (world.store_port, "PUT", "/remove?servers/i-B1", "");
-  world_get (world.store_port, "PUT", "/mode?ok", "");
-  CU_ASSERT (world_wait_logged (&world, 0, "endpoint_missing"));
-  world_call (&world, "v2", "/safe/x", NULL, "", &answer);
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-A1", "");
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
+  testbed_fetch (testbed.store_port, "PUT", "/mode?ok", "");
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, "endpoint_missing"));
+  testbed_call (&testbed, "v2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
 }
 
@@ -449,8 +450,8 @@
 static void
 silence_store (void)
 {
-  world_get (world.store_port, "PUT", "/mode?silent", "");
-  world_get (world.store_port, "PUT", "/deafen", "");
+  testbed_fetch (testbed.store_port, "PUT", "/mode?silent", "");
+  testbed_fetch (testbed.store_port, "PUT", "/deafen", "");
 }
 
 /* What callers of a trial got: 503 although all servers lived, until they were listed again.
@@ -459,42 +460,42 @@
  * entries. Evidence: the call after endpoint_missing got 503. Cause: only the reader whose own
  * question had been due distrusted what was missing. */
 static void
-test_silence_seen_by_sibling (void)
+test_silence_found_by_other_poll (void)
 {
   start ();
-  world.list_wait_ms = world.short_wait_ms = LONG_WAIT_MS;
-  restart ();
+  testbed.list_wait_ms = testbed.short_wait_ms = LONG_WAIT_MS;
+  restart_router ();
   fleet_sleep (300);
   silence_store ();
-  CU_ASSERT (world_wait_logged (&world, 0, "the other one is silent"));
-  lapse_and_call ();
-  world_stop (&world);
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, "the other one is silent"));
+  expire_entries_and_call ();
+  testbed_stop (&testbed);
 }
 
 /* The same as callers saw it, but a peer noticed the silence: its own questions wait for less
  * long. Events: with the store back the peer took the entries for lapsed, and told in its heartbeat
- * that it has a newer list; this router, whose questions were lost, got it and asked the store.
- * Evidence: the call after endpoint_missing got 503. Cause: both answers were trusted, as no
+ * that it answer_has a newer list; this router, whose questions were lost, got it and asked the
+ * store. Evidence: the call after endpoint_missing got 503. Cause: both answers were trusted, as no
  * question was due here. */
 static void
-test_silence_seen_by_peer (void)
+test_silence_found_by_peer (void)
 {
   start ();
-  world_start_router (&world, 1);
-  CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 1, true));
-  world.store_wait_ms = world.list_wait_ms = world.short_wait_ms = LONG_WAIT_MS;
-  restart ();
+  testbed_start_router (&testbed, 1);
+  CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 1, true));
+  testbed.store_wait_ms = testbed.list_wait_ms = testbed.short_wait_ms = LONG_WAIT_MS;
+  restart_router ();
   fleet_sleep (300);
   silence_store ();
-  CU_ASSERT (world_wait_logged (&world, 1, "no answer in time"));
-  lapse_and_call ();
+  CU_ASSERT (testbed_wait_logged (&testbed, 1, "no answer in time"));
+  expire_entries_and_call ();
   /* Those that do not come back are not used for long. */
   CU_ASSERT (wait_refused ());
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* By name the last router of the hall. */
-#define FOLLOWER (WORLD_ROUTERS - 1)
+#define FOLLOWER (TESTBED_ROUTERS - 1)
 
 static bool
 follower_logged (const char *event, const char *fields)
@@ -502,7 +503,7 @@
   char text[256];
 
   snprintf (text, sizeof text, "%s box=router-%d module=router %s", event, FOLLOWER, fields);
-  return world_wait_logged (&world, FOLLOWER, text);
+  return testbed_wait_logged (&testbed, FOLLOWER, text);
 }
 
 /* Starts four routers of one hall. Three of them ask the store, and the last one follows. */
@@ -510,15 +511,15 @@
 start_hall (void)
 {
   start ();
-  for (int r = 1; r < WORLD_ROUTERS; r++)
+  for (int r = 1; r < TESTBED_ROUTERS; r++)
     {
-      world_start_router (&world, r);
-      CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, r, true));
+      testbed_start_router (&testbed, r);
+      CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, r, true));
     }
   CU_ASSERT (follower_logged ("store_reader", "reads=0"));
   /* Questions that were under way then end with the first change. */
-  world_list (&world, 1, "draining");
-  world_publish (&world);
+  testbed_list_server (&testbed, 1, "draining");
+  testbed_publish (&testbed);
   CU_ASSERT (follower_logged ("endpoint_leaving", "endpoint=i-B1"));
   fleet_sleep (1000);
 }
@@ -533,22 +534,22 @@
 
   start_hall ();
   before = store_calls (FOLLOWER);
-  world_list (&world, 0, "draining");
+  testbed_list_server (&testbed, 0, "draining");
   CU_ASSERT (follower_logged ("endpoint_leaving", "endpoint=i-A1"));
-  world_list (&world, 1, "ready");
+  testbed_list_server (&testbed, 1, "ready");
   CU_ASSERT (follower_logged ("endpoint_listed", "endpoint=i-B1"));
-  world_get (world.store_port, "PUT", "/remove?servers/i-A1", "");
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-A1", "");
   CU_ASSERT (follower_logged ("endpoint_missing", "endpoint=i-A1"));
-  world_publish (&world);
-  snprintf (version, sizeof version, "version=%u ", world.version);
+  testbed_publish (&testbed);
+  snprintf (version, sizeof version, "version=%u ", testbed.version);
   CU_ASSERT (follower_logged ("config_accepted", version));
   CU_ASSERT_EQUAL (store_calls (FOLLOWER), before);
   /* One that asked is gone: this one asks from now on. */
-  fleet_end (&world.routers[0].pid, SIGKILL);
+  fleet_end (&testbed.routers[0].pid, SIGKILL);
   CU_ASSERT (follower_logged ("store_reader", "reads=1"));
   fleet_sleep (300);
   CU_ASSERT (store_calls (FOLLOWER) > before);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* The store is silent, entries lapse though their endpoints live, and this router is told of it by
@@ -557,18 +558,18 @@
 test_follower_of_silence (void)
 {
   start_hall ();
-  world_list (&world, 1, "ready");
+  testbed_list_server (&testbed, 1, "ready");
   CU_ASSERT (follower_logged ("endpoint_listed", "endpoint=i-B1"));
   silence_store ();
   for (int r = 0; r < FOLLOWER; r++)
-    CU_ASSERT (world_wait_logged (&world, r, "platform_down"));
-  world_get (world.store_port, "PUT", "/remove?servers/i-A1", "");
-  world_get (world.store_port, "PUT", "/remove?servers/i-B1", "");
-  world_get (world.store_port, "PUT", "/mode?ok", "");
-  CU_ASSERT (world_wait_logged (&world, FOLLOWER, "endpoint_missing"));
-  world_call_at (&world, FOLLOWER, "v3", "/safe/x", NULL, "", &answer);
+    CU_ASSERT (testbed_wait_logged (&testbed, r, "platform_down"));
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-A1", "");
+  testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
+  testbed_fetch (testbed.store_port, "PUT", "/mode?ok", "");
+  CU_ASSERT (testbed_wait_logged (&testbed, FOLLOWER, "endpoint_missing"));
+  testbed_call_at (&testbed, FOLLOWER, "v3", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* An entry may come from another writer, or be spoiled: it names no endpoint to use, and the others
@@ -590,46 +591,47 @@
   for (size_t i = 0; i < sizeof foreign / sizeof foreign[0]; i++)
     {
       snprintf (target, sizeof target, "/put?servers/i-foreign%zu", i);
-      world_get (world.store_port, "PUT", target, foreign[i]);
+      testbed_fetch (testbed.store_port, "PUT", target, foreign[i]);
     }
-  CU_ASSERT (world_wait_logged (&world, 0, "endpoint=i-foreign2 wrong=\"Service\""));
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, "endpoint=i-foreign2 wrong=\"Service\""));
   for (int i = 0; i < 8; i++)
     {
-      world_call (&world, "f1", "/safe/x", NULL, "", &answer);
+      testbed_call (&testbed, "f1", "/safe/x", NULL, "", &answer);
       CU_ASSERT_EQUAL (answer.status, 200);
     }
   /* The entry of one that is used is spoiled: it gets nothing more. */
-  world_get (world.store_port, "PUT", "/put?servers/i-A1", "{\"State\":\"ready\"}");
-  CU_ASSERT (world_wait_logged (&world, 0, "endpoint=i-A1 wrong=\"Service\""));
+  testbed_fetch (testbed.store_port, "PUT", "/put?servers/i-A1", "{\"State\":\"ready\"}");
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, "endpoint=i-A1 wrong=\"Service\""));
   for (int i = 0; i < 8; i++)
     {
-      world_call (&world, "f2", "/safe/x", NULL, "", &answer);
+      testbed_call (&testbed, "f2", "/safe/x", NULL, "", &answer);
       CU_ASSERT_EQUAL (answer.status, 200);
     }
   CU_ASSERT_PTR_NULL (strstr (server_log (0), "f2"));
-  world_list (&world, 0, "ready");
-  CU_ASSERT (world_wait_logged (&world, 0, "endpoint_listed"));
-  world_stop (&world);
+  testbed_list_server (&testbed, 0, "ready");
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, "endpoint_listed"));
+  testbed_stop (&testbed);
 }
 
 const struct fault_test router_store_tests[] = {
   { "draining, and gone without a word", test_draining },
-  { "store away, entries lapse", test_store_away },
+  { "store away, entries lapse", test_store_unavailable },
   { "endpoints start in a burst", test_endpoints_burst },
   { "store silent, entries lapse", test_store_silent },
-  { "store's history gone", test_history_gone },
-  { "store's history gone, an endpoint left meanwhile", test_history_gone_removal },
+  { "store's history gone", test_history_lost },
+  { "store's history gone, an endpoint left meanwhile", test_history_lost_removal },
   { "store's watches silent", test_store_watch_silent },
-  { "store's watches silent, two servers leave", test_two_leave },
+  { "store's watches silent, two servers leave", test_two_drain },
   { "denied by an old configuration", test_denied_by_old_configuration },
-  { "one that asks the store often is gone", test_role_comes },
+  { "one that asks the store often is gone", test_poller_replaced },
   { "entries of other writers", test_foreign_entries },
   { "others of the hall ask the store", test_follower },
   { "others of the hall ask a silent store", test_follower_of_silence },
   { "store slow after a failure", test_store_slow },
-  { "store silent, entries lapse: its other question is due first", test_silence_seen_by_sibling },
-  { "store silent, entries lapse: a peer notices it first", test_silence_seen_by_peer },
+  { "store silent, entries lapse: its other question is due first",
+    test_silence_found_by_other_poll },
+  { "store silent, entries lapse: a peer notices it first", test_silence_found_by_peer },
   { "peer's older list beside a listing", test_peer_list_during_listing },
-  { "peer helps where the store does not", test_peer_helps },
+  { "peer helps where the store does not", test_start_from_peer },
   { NULL, NULL },
 };
--- a/test/router_woke.c
+++ b/test/router_suspended.c
@@ -18,57 +18,57 @@
 static void
 start_suspendable (void)
 {
-  world_start_suspendable (&world);
-  world_publish (&world);
-  CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 0, true));
+  testbed_start_suspendable (&testbed);
+  testbed_publish (&testbed);
+  CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
 }
 
 /* Stops the first router's process, as if its machine were suspended for so long. */
 static void
 suspend (void)
 {
-  kill (world.routers[0].pid, SIGSTOP);
+  kill (testbed.routers[0].pid, SIGSTOP);
   fleet_sleep (50);
 }
 
 static void
 resume (int64_t away_ms)
 {
-  world_clock_ahead (&world, away_ms);
-  kill (world.routers[0].pid, SIGCONT);
+  testbed_advance_boot_clock (&testbed, away_ms);
+  kill (testbed.routers[0].pid, SIGCONT);
 }
 
 /* What came meanwhile has been read: who comes now has not waited. */
 static void
-wait_awake (void)
+wait_resumed (void)
 {
-  CU_ASSERT (world_wait_logged (&world, 0, " woke "));
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, " woke "));
   fleet_sleep (200);
 }
 
 /* A request on a connection of its own. @return the connection. */
 static int
-begin (const char *id, const char *path, const char *action, const char *more)
+begin_call (const char *id, const char *path, const char *action, const char *more)
 {
   char text[512];
-  int fd = world_connect (&world, 0);
+  int fd = testbed_connect (&testbed, 0);
 
   snprintf (text, sizeof text,
             "POST %s HTTP/1.1\r\n" HEAD "%s\r\nX-Do: %s\r\n%sContent-Length: 5\r\n\r\nhello", path,
             id, action, more);
-  world_send (fd, text);
+  testbed_send (fd, text);
   return fd;
 }
 
 static void
-end (int fd)
+finish_call (int fd)
 {
-  world_read (fd, &answer);
+  testbed_read (fd, &answer);
   close (fd);
 }
 
-/* What a caller sent while the machine was suspended may be as old as that: an endpoint is told of
- * the time that is left, and one whose caller has given up goes nowhere. */
+/* What a caller sent while the machine was suspended may be as old as that: an endpoint is
+ * logged_deadline of the time that is left, and one whose caller has given up goes nowhere. */
 static void
 test_deadlines (void)
 {
@@ -79,54 +79,54 @@
     {
       char id[24];
       char line[64];
-      const char *told;
+      const char *logged_deadline;
       int fd;
 
       snprintf (id, sizeof id, "late-%zu", i);
       suspend ();
-      fd = begin (id, "/any/x", "*=ok", "");
+      fd = begin_call (id, "/any/x", "*=ok", "");
       resume (away_ms[i]);
-      end (fd);
+      finish_call (fd);
       /* The caller waits for 4 s. */
       CU_ASSERT_EQUAL (answer.status, away_ms[i] < 4000 ? 200 : 503);
-      CU_ASSERT_EQUAL (world_runs (&world, id), away_ms[i] < 4000 ? 1 : 0);
+      CU_ASSERT_EQUAL (testbed_count_runs (&testbed, id), away_ms[i] < 4000 ? 1 : 0);
       if (away_ms[i] != 2000)
         continue;
       snprintf (line, sizeof line, "%s POST /any/x body=5 deadline=", id);
-      told = strstr (server_log (0), line);
-      if (!told)
-        told = strstr (server_log (1), line);
-      CU_ASSERT (told && atoi (told + strlen (line)) <= 2000);
+      logged_deadline = strstr (server_log (0), line);
+      if (!logged_deadline)
+        logged_deadline = strstr (server_log (1), line);
+      CU_ASSERT (logged_deadline && atoi (logged_deadline + strlen (line)) <= 2000);
     }
-  wait_awake ();
+  wait_resumed ();
   /* All is as before for who comes now. */
-  end (begin ("now", "/any/x", "*=ok", ""));
+  finish_call (begin_call ("now", "/any/x", "*=ok", ""));
   CU_ASSERT_EQUAL (answer.status, 200);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* What was under way: its caller's time is over on waking, not when a timer of the loop has run for
  * as long as it had left. One that is asked then, with 1.5 s, is answered later. */
 static void
-test_under_way (void)
+test_requests_in_progress (void)
 {
   char byte;
   int old;
   int fresh;
 
   start_suspendable ();
-  old = begin ("old", "/any/x", "*=mute", "");
+  old = begin_call ("old", "/any/x", "*=mute", "");
   wait_arrived ("old");
   suspend ();
   resume (5000);
-  wait_awake ();
-  fresh = begin ("fresh", "/once/x", "*=mute", "");
-  end (old);
+  wait_resumed ();
+  fresh = begin_call ("fresh", "/once/x", "*=mute", "");
+  finish_call (old);
   CU_ASSERT_EQUAL (answer.status, 504);
   CU_ASSERT (recv (fresh, &byte, 1, MSG_DONTWAIT) < 0 && errno == EAGAIN);
-  end (fresh);
+  finish_call (fresh);
   CU_ASSERT_EQUAL (answer.status, 504);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* Connections that were kept may have ended without a word: what may not be repeated does not find
@@ -136,88 +136,88 @@
 {
   start_suspendable ();
   for (int i = 0; i < 8; i++)
-    end (begin ("warm", "/once/x", "*=ok", ""));
+    finish_call (begin_call ("warm", "/once/x", "*=ok", ""));
   suspend ();
-  for (int s = 0; s < WORLD_SERVERS; s++)
-    world_silence (&world, WORLD_LINK_SERVERS + s, WORLD_SILENT_BOTH);
+  for (int s = 0; s < TESTBED_SERVERS; s++)
+    testbed_silence (&testbed, TESTBED_LINK_SERVERS + s, TESTBED_SILENT_BOTH);
   resume (2000);
-  wait_awake ();
+  wait_resumed ();
   for (int i = 0; i < 4; i++)
     {
-      end (begin ("after", "/once/x", "*=ok", ""));
+      finish_call (begin_call ("after", "/once/x", "*=ok", ""));
       CU_ASSERT_EQUAL (answer.status, 200);
     }
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* A planned stop of 3 s whose machine is suspended for 5 s is over when it wakes. */
 static void
-test_in_a_stop (void)
+test_suspended_in_stop (void)
 {
   int status = 0;
   bool ended = false;
   int fd;
 
   start_suspendable ();
-  fd = begin ("stop", "/long/x", "*=mute", "");
+  fd = begin_call ("stop", "/long/x", "*=mute", "");
   wait_arrived ("stop");
-  kill (world.routers[0].pid, SIGTERM);
-  CU_ASSERT (world_wait_logged (&world, 0, " stopping "));
+  kill (testbed.routers[0].pid, SIGTERM);
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, " stopping "));
   suspend ();
   resume (5000);
-  end (fd);
+  finish_call (fd);
   CU_ASSERT (answer.status == 502 || answer.status == 504);
   for (int i = 0; i < 50 && !ended; i++)
     {
       fleet_sleep (20);
-      ended = waitpid (world.routers[0].pid, &status, WNOHANG) == world.routers[0].pid;
+      ended = waitpid (testbed.routers[0].pid, &status, WNOHANG) == testbed.routers[0].pid;
     }
   CU_ASSERT (ended);
   if (ended)
-    world.routers[0].pid = 0;
-  world_stop (&world);
+    testbed.routers[0].pid = 0;
+  testbed_stop (&testbed);
 }
 
 /* What was changed meanwhile is in force soon after, twice in a row, for routers that were all
  * away. */
 static void
-test_changes_meanwhile (void)
+test_changes_while_suspended (void)
 {
   start_suspendable ();
-  world_start_router (&world, 1);
-  CU_ASSERT (world_wait_ready (&world, 1, true));
+  testbed_start_router (&testbed, 1);
+  CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
   for (int i = 1; i <= 2; i++)
     {
       suspend ();
-      kill (world.routers[1].pid, SIGSTOP);
-      world.has_key = !world.has_key;
-      world_publish (&world);
-      world_list (&world, 0, i == 1 ? "draining" : "ready");
+      kill (testbed.routers[1].pid, SIGSTOP);
+      testbed.has_key = !testbed.has_key;
+      testbed_publish (&testbed);
+      testbed_list_server (&testbed, 0, i == 1 ? "draining" : "ready");
       resume (5000 * i);
-      kill (world.routers[1].pid, SIGCONT);
+      kill (testbed.routers[1].pid, SIGCONT);
       for (int r = 0; r < 2; r++)
         {
-          int wanted = world.has_key ? 200 : 401;
+          int wanted = testbed.has_key ? 200 : 401;
 
           answer.status = 0;
           for (int n = 0; n < 100 && answer.status != wanted; n++)
             {
-              world_call_at (&world, r, "change", "/safe/x", NULL, "", &answer);
+              testbed_call_at (&testbed, r, "change", "/safe/x", NULL, "", &answer);
               fleet_sleep (20);
             }
           CU_ASSERT_EQUAL (answer.status, wanted);
         }
     }
-  CU_ASSERT (world_wait_logged (&world, 0, " woke "));
-  CU_ASSERT (world_wait_logged (&world, 1, " woke "));
-  world_stop (&world);
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, " woke "));
+  CU_ASSERT (testbed_wait_logged (&testbed, 1, " woke "));
+  testbed_stop (&testbed);
 }
 
-const struct fault_test router_woke_tests[] = {
+const struct fault_test router_suspended_tests[] = {
   { "suspended: callers' deadlines", test_deadlines },
-  { "suspended: requests under way", test_under_way },
+  { "suspended: requests under way", test_requests_in_progress },
   { "suspended: kept connections", test_kept_connections },
-  { "suspended: in a planned stop", test_in_a_stop },
-  { "suspended: what changed meanwhile", test_changes_meanwhile },
+  { "suspended: in a planned stop", test_suspended_in_stop },
+  { "suspended: what changed meanwhile", test_changes_while_suspended },
   { NULL, NULL },
 };
--- a/test/router_terms.c
+++ b/test/router_terms.c
@@ -36,7 +36,7 @@
 
   for (int i = 0; i < rounds * ROUTERS; i++)
     {
-      world_call_at (&world, i % ROUTERS, "c", "/safe/x", action, "", &answer);
+      testbed_call_at (&testbed, i % ROUTERS, "c", "/safe/x", action, "", &answer);
       served += answer.status == 200;
     }
   return served;
@@ -48,9 +48,9 @@
 {
   char text[96];
 
-  snprintf (text, sizeof text, "endpoint=%s %s", world.servers[s].id, what);
+  snprintf (text, sizeof text, "endpoint=%s %s", testbed.servers[s].id, what);
   for (int r = 0; r < ROUTERS; r++)
-    CU_ASSERT_TRUE_FATAL (world_wait_logged (&world, r, text));
+    CU_ASSERT_TRUE_FATAL (testbed_wait_logged (&testbed, r, text));
 }
 
 static void
@@ -79,33 +79,33 @@
              LIMIT_FACTOR * LIMIT_PER_S * (double) (ended_ms - began_ms) / MS_PER_S + LIMIT_SLACK);
   /* The other endpoint has room for all. */
   CU_ASSERT_EQUAL (served, calls);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* Routers that the endpoint has told nothing, those that come later among them. */
 static void
-test_limit_told_on (void)
+test_limit_forwarded (void)
 {
   start_routers (2);
-  CU_ASSERT_TRUE_FATAL (world_wait_logged (&world, 1, " link_up "));
+  CU_ASSERT_TRUE_FATAL (testbed_wait_logged (&testbed, 1, " link_up "));
   for (int i = 0; i < 10; i++)
-    world_call (&world, "c", "/safe/x", "A=limit", "", &answer);
-  CU_ASSERT (world_wait_logged (&world, 1, "limit_milli=1000 before_milli=0 source=router"));
-  world_start_router (&world, 2);
-  CU_ASSERT (world_wait_logged (&world, 2, "limit_milli=1000 before_milli=0 source=router"));
-  world_stop (&world);
+    testbed_call (&testbed, "c", "/safe/x", "A=limit", "", &answer);
+  CU_ASSERT (testbed_wait_logged (&testbed, 1, "limit_milli=1000 before_milli=0 source=router"));
+  testbed_start_router (&testbed, 2);
+  CU_ASSERT (testbed_wait_logged (&testbed, 2, "limit_milli=1000 before_milli=0 source=router"));
+  testbed_stop (&testbed);
 }
 
 /* The endpoint gets work as before once it names no rate any more. */
 static void
-test_limit_over (void)
+test_limit_lifted (void)
 {
   int before;
 
   start_routers (ROUTERS);
   call_all ("A=limit", 6);
   wait_known (0, "limit_milli=1000");
-  for (int i = 0; i < 400 && !world_logged (&world, 0, "limit_milli=0 before_milli=1000"); i++)
+  for (int i = 0; i < 400 && !testbed_logged (&testbed, 0, "limit_milli=0 before_milli=1000"); i++)
     {
       call_all (NULL, 1);
       fleet_sleep (ROUTERS * CALL_PAUSE_MS);
@@ -114,37 +114,37 @@
   before = arrived (0);
   CU_ASSERT_EQUAL (call_all (NULL, 10), 10 * ROUTERS);
   CU_ASSERT (arrived (0) - before > LIMIT_SLACK);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* It was away when the others heard, and sends the endpoint nothing that could tell it. */
 static void
-test_limit_over_meanwhile (void)
+test_limit_lifted_while_stopped (void)
 {
   start_routers (ROUTERS);
   call_all ("A=limit", 6);
   wait_known (0, "limit_milli=1000");
-  kill (world.routers[ROUTERS - 1].pid, SIGSTOP);
-  CU_ASSERT (world_wait_logged (&world, 0, " link_down "));
-  for (int i = 0; i < 400 && !world_logged (&world, 0, "limit_milli=0 before_milli=1000"); i++)
+  kill (testbed.routers[ROUTERS - 1].pid, SIGSTOP);
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, " link_down "));
+  for (int i = 0; i < 400 && !testbed_logged (&testbed, 0, "limit_milli=0 before_milli=1000"); i++)
     {
       for (int r = 0; r < ROUTERS - 1; r++)
-        world_call_at (&world, r, "c", "/safe/x", NULL, "", &answer);
+        testbed_call_at (&testbed, r, "c", "/safe/x", NULL, "", &answer);
       fleet_sleep (ROUTERS * CALL_PAUSE_MS);
     }
-  kill (world.routers[ROUTERS - 1].pid, SIGCONT);
+  kill (testbed.routers[ROUTERS - 1].pid, SIGCONT);
   wait_known (0, "limit_milli=0 before_milli=1000");
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* Each router may find out by itself. */
 static void
-test_rest_kept (void)
+test_backoff_kept (void)
 {
   start_routers (ROUTERS);
   CU_ASSERT_EQUAL (call_all ("A=rest", 30), 30 * ROUTERS);
   CU_ASSERT (arrived (0) > 0 && arrived (0) <= ROUTERS);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* The list still has it as ready, and an entry that is written again does not change that. */
@@ -157,35 +157,35 @@
   call_all ("A=leave", 6);
   wait_known (0, "source=");
   before = arrived (0);
-  world_list (&world, 0, "ready");
+  testbed_list_server (&testbed, 0, "ready");
   CU_ASSERT_EQUAL (call_all ("A=leave", 30), 30 * ROUTERS);
   CU_ASSERT_EQUAL (arrived (0), before);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* A router that it has not told hears it from a peer. */
 static void
-test_leaving_told_on (void)
+test_leaving_forwarded (void)
 {
   start ();
   for (int i = 0; i < 10; i++)
-    world_call (&world, "c", "/safe/x", "A=leave", "", &answer);
-  world_start_router (&world, 1);
-  CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 1, true));
-  CU_ASSERT (world_wait_logged (&world, 1, "endpoint_leaving"));
+    testbed_call (&testbed, "c", "/safe/x", "A=leave", "", &answer);
+  testbed_start_router (&testbed, 1);
+  CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 1, true));
+  CU_ASSERT (testbed_wait_logged (&testbed, 1, "endpoint_leaving"));
   for (int i = 0; i < 20; i++)
-    world_call_at (&world, 1, "late", "/safe/x", "A=leave", "", &answer);
+    testbed_call_at (&testbed, 1, "late", "/safe/x", "A=leave", "", &answer);
   CU_ASSERT_EQUAL (count_of (server_log (0), "late POST"), 0);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 const struct fault_test router_terms_tests[] = {
   { "a rate that an endpoint names is kept by all routers together", test_limit_kept },
-  { "a rate that an endpoint names is told on", test_limit_told_on },
-  { "a rate that an endpoint no longer names", test_limit_over },
-  { "a rate that is no longer named while a router is away", test_limit_over_meanwhile },
-  { "an endpoint that asks for rest gets it", test_rest_kept },
+  { "a rate that an endpoint names is told on", test_limit_forwarded },
+  { "a rate that an endpoint no longer names", test_limit_lifted },
+  { "a rate that is no longer named while a router is away", test_limit_lifted_while_stopped },
+  { "an endpoint that asks for rest gets it", test_backoff_kept },
   { "an endpoint that says in an answer that it leaves", test_leaving },
-  { "an endpoint that told another router that it leaves", test_leaving_told_on },
+  { "an endpoint that told another router that it leaves", test_leaving_forwarded },
   { NULL, NULL },
 };
--- a/test/router_world.c
+++ b/test/router_testbed.c
@@ -1,4 +1,4 @@
-#include "test/router_world.h"
+#include "test/router_testbed.h"
 
 #include "test/fleet.h"
 
@@ -17,7 +17,7 @@
 
 #define FLEET_KEY "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"
 #define WAIT_MS 10000
-#define PORTS (1 + WORLD_SERVERS + 5 * WORLD_ROUTERS + WORLD_RANKS + 2 * WORLD_LINKS)
+#define PORTS (1 + TESTBED_SERVERS + 5 * TESTBED_ROUTERS + TESTBED_RANKS + 2 * TESTBED_LINKS)
 
 /* ---- sockets ---- */
 
@@ -40,21 +40,21 @@
 
 /* Where something that has this port is reached. */
 static uint16_t
-reached_at (const struct world *world, int link, uint16_t port)
+reachable_port (const struct testbed *testbed, int link, uint16_t port)
 {
-  return world->linked ? world->links[link].port : port;
+  return testbed->linked ? testbed->links[link].port : port;
 }
 
 int
-world_connect (struct world *world, int r)
+testbed_connect (struct testbed *testbed, int r)
 {
-  uint16_t port = world->routers[r].frontend;
+  uint16_t port = testbed->routers[r].frontend_port;
 
-  return connect_to (r == 0 ? reached_at (world, WORLD_LINK_CALLERS, port) : port);
+  return connect_to (r == 0 ? reachable_port (testbed, TESTBED_LINK_CALLERS, port) : port);
 }
 
 void
-world_send (int fd, const char *text)
+testbed_send (int fd, const char *text)
 {
   size_t length = strlen (text);
 
@@ -91,9 +91,9 @@
   return false;
 }
 
-/* Whether the answer is whole; fills its body. */
+/* Whether the answer is complete; fills its body. */
 static bool
-is_whole (struct world_answer *answer, size_t length)
+is_complete (struct testbed_answer *answer, size_t length)
 {
   char *end = strstr (answer->text, "\r\n\r\n");
   const char *framing;
@@ -119,7 +119,7 @@
 }
 
 void
-world_read (int fd, struct world_answer *answer)
+testbed_read (int fd, struct testbed_answer *answer)
 {
   size_t length = 0;
 
@@ -131,8 +131,8 @@
       if (got <= 0)
         break;
       length += (size_t) got;
-      answer->whole = is_whole (answer, length);
-      if (answer->whole)
+      answer->complete = is_complete (answer, length);
+      if (answer->complete)
         break;
     }
   if (sscanf (answer->text, "HTTP/1.1 %d", &answer->status) != 1)
@@ -140,9 +140,9 @@
 }
 
 const char *
-world_get (uint16_t port, const char *method, const char *target, const char *body)
+testbed_fetch (uint16_t port, const char *method, const char *target, const char *body)
 {
-  static struct world_answer answer;
+  static struct testbed_answer answer;
   int fd = connect_to (port);
   char head[512];
 
@@ -151,56 +151,56 @@
     return "";
   snprintf (head, sizeof head, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %zu\r\n\r\n", method,
             target, strlen (body));
-  world_send (fd, head);
-  world_send (fd, body);
-  world_read (fd, &answer);
+  testbed_send (fd, head);
+  testbed_send (fd, body);
+  testbed_read (fd, &answer);
   close (fd);
   return answer.body;
 }
 
 void
-world_call (struct world *world,
-            const char *id,
-            const char *path,
-            const char *action,
-            const char *more,
-            struct world_answer *answer)
+testbed_call (struct testbed *testbed,
+              const char *id,
+              const char *path,
+              const char *action,
+              const char *more,
+              struct testbed_answer *answer)
 {
-  world_call_at (world, 0, id, path, action, more, answer);
+  testbed_call_at (testbed, 0, id, path, action, more, answer);
 }
 
 void
-world_call_at (struct world *world,
-               int r,
-               const char *id,
-               const char *path,
-               const char *action,
-               const char *more,
-               struct world_answer *answer)
+testbed_call_at (struct testbed *testbed,
+                 int r,
+                 const char *id,
+                 const char *path,
+                 const char *action,
+                 const char *more,
+                 struct testbed_answer *answer)
 {
   char text[2048];
-  int fd = world_connect (world, r);
+  int fd = testbed_connect (testbed, r);
 
   snprintf (text, sizeof text,
             "POST %s HTTP/1.1\r\nHost: shop.example\r\nAshspindle-Attempt-Id: %s\r\n"
             "Ashspindle-Deadline-Ms: 4000\r\nAuthorization: Bearer key-1\r\n"
             "X-Do: %s\r\n%sContent-Length: 5\r\n\r\nhello",
             path, id, action ? action : "", more);
-  world_send (fd, text);
-  world_read (fd, answer);
+  testbed_send (fd, text);
+  testbed_read (fd, answer);
   close (fd);
 }
 
 /* ---- processes ---- */
 
 void
-world_publish_text (struct world *world, const char *text)
+testbed_publish_text (struct testbed *testbed, const char *text)
 {
-  world_get (world->store_port, "PUT", "/put?op/config", text);
+  testbed_fetch (testbed->store_port, "PUT", "/put?op/config", text);
 }
 
 void
-world_publish (struct world *world)
+testbed_publish (struct testbed *testbed)
 {
   static const char *const kinds[] = { "safe", "unsafe", "safe", "streaming", "streaming" };
   static const char *const prefixes[] = { "safe", "once", "any", "stream", "long" };
@@ -208,8 +208,8 @@
   char text[4096];
   size_t length = 0;
 
-  world->version += 3;
-  length += (size_t) snprintf (text, sizeof text, "{\"Version\":%u,\"Routes\":[", world->version);
+  testbed->version += 3;
+  length += (size_t) snprintf (text, sizeof text, "{\"Version\":%u,\"Routes\":[", testbed->version);
   for (int i = 0; i < 5; i++)
     length += (size_t) snprintf (
         text + length, sizeof text - length,
@@ -229,14 +229,14 @@
             "\"LinkMbps\":10000}}],"
             "\"Limits\":{\"MaxBodyBytes\":100000,\"IdleTimeoutMs\":5000},"
             "\"Tenants\":[{\"Name\":\"shop\",\"ApiKeys\":[%s]}]}",
-            world->has_key ? "\"key-1\",\"key-2\"" : "\"key-2\"");
-  world_publish_text (world, text);
+            testbed->has_key ? "\"key-1\",\"key-2\"" : "\"key-2\"");
+  testbed_publish_text (testbed, text);
 }
 
 void
-world_list (struct world *world, int s, const char *state)
+testbed_list_server (struct testbed *testbed, int s, const char *state)
 {
-  const struct world_server *server = &world->servers[s];
+  const struct testbed_server *server = &testbed->servers[s];
   char target[64];
   char text[256];
 
@@ -244,21 +244,21 @@
   snprintf (text, sizeof text,
             "{\"Service\":\"stock\",\"Address\":\"127.0.0.1:%u\",\"Zone\":\"hall-a\","
             "\"Slots\":8,\"State\":\"%s\"}",
-            reached_at (world, WORLD_LINK_SERVERS + s, server->port), state);
-  world_get (world->store_port, "PUT", target, text);
+            reachable_port (testbed, TESTBED_LINK_SERVERS + s, server->port), state);
+  testbed_fetch (testbed->store_port, "PUT", target, text);
 }
 
 static void wait_port (uint16_t port);
 
 static void
-start_server (struct world *world, int s)
+start_server (struct testbed *testbed, int s)
 {
-  struct world_server *server = &world->servers[s];
+  struct testbed_server *server = &testbed->servers[s];
   char port[16];
 
   snprintf (port, sizeof port, "%u", server->port);
-  snprintf (server->id, sizeof server->id, "i-%c%u", 'A' + s, ++server->lives);
-  server->pid = fleet_spawn (world->folder, server->name, "standin-server", port, server->name,
+  snprintf (server->id, sizeof server->id, "i-%c%u", 'A' + s, ++server->incarnations);
+  server->pid = fleet_spawn (testbed->folder, server->name, "standin-server", port, server->name,
                              server->id, (char *) NULL);
 }
 
@@ -275,13 +275,13 @@
 }
 
 int
-world_revive (struct world *world)
+testbed_restart_servers (struct testbed *testbed)
 {
   int count = 0;
 
-  for (int s = 0; s < WORLD_SERVERS; s++)
+  for (int s = 0; s < TESTBED_SERVERS; s++)
     {
-      struct world_server *server = &world->servers[s];
+      struct testbed_server *server = &testbed->servers[s];
       char target[64];
 
       if (listens (server->port))
@@ -289,42 +289,42 @@
       waitpid (server->pid, NULL, 0);
       count++;
       snprintf (target, sizeof target, "/remove?servers/%s", server->id);
-      world_get (world->store_port, "PUT", target, "");
-      start_server (world, s);
+      testbed_fetch (testbed->store_port, "PUT", target, "");
+      start_server (testbed, s);
       wait_port (server->port);
-      world_list (world, s, "ready");
+      testbed_list_server (testbed, s, "ready");
     }
   return count;
 }
 
 void
-world_start_group (struct world *world)
+testbed_start_group (struct testbed *testbed)
 {
-  char text[WORLD_RANKS][16];
+  char text[TESTBED_RANKS][16];
 
-  for (int i = 0; i < WORLD_RANKS; i++)
-    snprintf (text[i], sizeof text[i], "%u", world->ranks[i]);
-  world->group = fleet_spawn (world->folder, "group", "standin-ranks", text[0], text[1], text[2],
-                              text[3], (char *) NULL);
-  for (int i = 0; i < WORLD_RANKS; i++)
+  for (int i = 0; i < TESTBED_RANKS; i++)
+    snprintf (text[i], sizeof text[i], "%u", testbed->ranks[i]);
+  testbed->group = fleet_spawn (testbed->folder, "group", "standin-ranks", text[0], text[1],
+                                text[2], text[3], (char *) NULL);
+  for (int i = 0; i < TESTBED_RANKS; i++)
     {
       char target[64];
       char value[256];
 
-      wait_port (world->ranks[i]);
+      wait_port (testbed->ranks[i]);
       snprintf (target, sizeof target, "/put?servers/i-rank%d", i);
       snprintf (value, sizeof value,
                 "{\"Service\":\"model\",\"Address\":\"127.0.0.1:%u\",\"Zone\":\"hall-a\","
                 "\"Slots\":8,\"State\":\"ready\"}",
-                reached_at (world, WORLD_LINK_RANKS + i, world->ranks[i]));
-      world_get (world->store_port, "PUT", target, value);
+                reachable_port (testbed, TESTBED_LINK_RANKS + i, testbed->ranks[i]));
+      testbed_fetch (testbed->store_port, "PUT", target, value);
     }
 }
 
 long
-world_group (struct world *world, const char *name)
+testbed_group_state (struct testbed *testbed, const char *name)
 {
-  const char *state = world_get (world->ranks[0], "GET", "/state", "");
+  const char *state = testbed_fetch (testbed->ranks[0], "GET", "/state", "");
   const char *found = strstr (state, name);
 
   return found ? strtol (found + strlen (name) + 1, NULL, 10) : -1;
@@ -349,20 +349,20 @@
 }
 
 static void
-clock_path (const struct world *world, char path[128])
+clock_path (const struct testbed *testbed, char path[128])
 {
-  snprintf (path, 128, "%s/clock", world->folder);
+  snprintf (path, 128, "%s/clock", testbed->folder);
 }
 
 /* For the next process: a clock that the test sets. A sanitizer wants to come first unless told. */
 static void
-set_clock (const struct world *world)
+set_clock (const struct testbed *testbed)
 {
   const char *build = getenv ("ASH_BUILD");
   char folder[256];
   char text[512];
 
-  clock_path (world, text);
+  clock_path (testbed, text);
   setenv ("ASH_TEST_CLOCK", text, 1);
   setenv ("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
   if (getcwd (folder, sizeof folder))
@@ -373,30 +373,30 @@
 }
 
 void
-world_clock_ahead (struct world *world, int64_t ms)
+testbed_advance_boot_clock (struct testbed *testbed, int64_t ms)
 {
   char path[128];
   FILE *file;
 
-  world->ahead_ms += ms;
-  clock_path (world, path);
+  testbed->ahead_ms += ms;
+  clock_path (testbed, path);
   file = fopen (path, "w");
   if (!file)
     abort ();
-  fprintf (file, "%lld\n", (long long) world->ahead_ms);
+  fprintf (file, "%lld\n", (long long) testbed->ahead_ms);
   fclose (file);
 }
 
 void
-world_start_router (struct world *world, int r)
+testbed_start_router (struct testbed *testbed, int r)
 {
-  struct world_router *router = &world->routers[r];
+  struct testbed_router *router = &testbed->routers[r];
   char path[128];
   char name[16];
   FILE *file;
 
   snprintf (name, sizeof name, "router-%d", r);
-  snprintf (path, sizeof path, "%s/%s.toml", world->folder, name);
+  snprintf (path, sizeof path, "%s/%s.toml", testbed->folder, name);
   file = fopen (path, "w");
   if (!file)
     abort ();
@@ -409,27 +409,29 @@
            "heartbeat_ms = 100\nlink_silence_ms = 800\ndial_retry_ms = 50\naddress_keep_ms = 200\n"
            "%s\nwait_ms = %u\nstore_wait_ms = %u\nlist_wait_ms = %u\nshort_wait_ms = "
            "%u\nconnections_max = 10\n",
-           name, router->frontend, router->readiness, router->directory, router->peers,
-           router->figures, reached_at (world, WORLD_LINK_STORE, world->store_port),
-           reached_at (world, WORLD_LINK_PEERS, world->routers[0].peers),
-           reached_at (world, WORLD_LINK_PEERS + 1, world->routers[1].peers), world->grace,
-           world->wait_ms, world->store_wait_ms, world->list_wait_ms, world->short_wait_ms);
+           name, router->frontend_port, router->readiness_port, router->directory_port,
+           router->peer_port, router->metrics_port,
+           reachable_port (testbed, TESTBED_LINK_STORE, testbed->store_port),
+           reachable_port (testbed, TESTBED_LINK_PEERS, testbed->routers[0].peer_port),
+           reachable_port (testbed, TESTBED_LINK_PEERS + 1, testbed->routers[1].peer_port),
+           testbed->grace, testbed->wait_ms, testbed->store_wait_ms, testbed->list_wait_ms,
+           testbed->short_wait_ms);
   fclose (file);
-  if (world->suspendable)
-    set_clock (world);
-  router->pid = fleet_spawn (world->folder, name, "ashspindle-router", path, (char *) NULL);
+  if (testbed->suspendable)
+    set_clock (testbed);
+  router->pid = fleet_spawn (testbed->folder, name, "ashspindle-router", path, (char *) NULL);
   unsetenv ("LD_PRELOAD");
-  wait_port (router->readiness);
+  wait_port (router->readiness_port);
 }
 
 bool
-world_wait_ready (struct world *world, int r, bool ready)
+testbed_wait_ready (struct testbed *testbed, int r, bool ready)
 {
   int64_t until = fleet_now () + WAIT_MS;
 
   while (fleet_now () < until)
     {
-      const char *body = world_get (world->routers[r].readiness, "GET", "/readyz", "");
+      const char *body = testbed_fetch (testbed->routers[r].readiness_port, "GET", "/readyz", "");
 
       if ((strcmp (body, "ready\n") == 0) == ready)
         return true;
@@ -440,21 +442,21 @@
 
 /* Each link begins to take connections before what stands behind it does. */
 static void
-start_links (struct world *world)
-{
-  uint16_t targets[WORLD_LINKS];
-
-  for (int s = 0; s < WORLD_SERVERS; s++)
-    targets[WORLD_LINK_SERVERS + s] = world->servers[s].port;
-  for (int i = 0; i < WORLD_RANKS; i++)
-    targets[WORLD_LINK_RANKS + i] = world->ranks[i];
-  for (int r = 0; r < WORLD_ROUTERS; r++)
-    targets[WORLD_LINK_PEERS + r] = world->routers[r].peers;
-  targets[WORLD_LINK_CALLERS] = world->routers[0].frontend;
-  targets[WORLD_LINK_STORE] = world->store_port;
-  for (int i = 0; i < WORLD_LINKS; i++)
+start_links (struct testbed *testbed)
+{
+  uint16_t targets[TESTBED_LINKS];
+
+  for (int s = 0; s < TESTBED_SERVERS; s++)
+    targets[TESTBED_LINK_SERVERS + s] = testbed->servers[s].port;
+  for (int i = 0; i < TESTBED_RANKS; i++)
+    targets[TESTBED_LINK_RANKS + i] = testbed->ranks[i];
+  for (int r = 0; r < TESTBED_ROUTERS; r++)
+    targets[TESTBED_LINK_PEERS + r] = testbed->routers[r].peer_port;
+  targets[TESTBED_LINK_CALLERS] = testbed->routers[0].frontend_port;
+  targets[TESTBED_LINK_STORE] = testbed->store_port;
+  for (int i = 0; i < TESTBED_LINKS; i++)
     {
-      struct world_link *link = &world->links[i];
+      struct testbed_link *link = &testbed->links[i];
       char name[16];
       char text[3][8];
 
@@ -462,36 +464,36 @@
       snprintf (text[0], sizeof text[0], "%u", link->port);
       snprintf (text[1], sizeof text[1], "%u", targets[i]);
       snprintf (text[2], sizeof text[2], "%u", link->control);
-      link->pid = fleet_spawn (world->folder, name, "standin", "link", text[0], text[1], text[2],
+      link->pid = fleet_spawn (testbed->folder, name, "standin", "link", text[0], text[1], text[2],
                                (char *) NULL);
     }
-  for (int i = 0; i < WORLD_LINKS; i++)
-    wait_port (world->links[i].control);
+  for (int i = 0; i < TESTBED_LINKS; i++)
+    wait_port (testbed->links[i].control);
 }
 
 void
-world_silence (struct world *world, int link, enum world_silence silence)
+testbed_silence (struct testbed *testbed, int link, enum testbed_silence silence)
 {
   char target[32];
 
   snprintf (target, sizeof target, "/control?silence=%d", (int) silence);
-  world_get (world->links[link].control, "POST", target, "");
+  testbed_fetch (testbed->links[link].control, "POST", target, "");
 }
 
 int
-world_link_taken (struct world *world, int link)
+testbed_link_accepted (struct testbed *testbed, int link)
 {
-  return atoi (world_get (world->links[link].control, "GET", "/control", ""));
+  return atoi (testbed_fetch (testbed->links[link].control, "GET", "/control", ""));
 }
 
 static void
-start_all (struct world *world, bool linked, bool suspendable)
+start_all (struct testbed *testbed, bool linked, bool suspendable)
 {
   uint16_t ports[PORTS];
   uint16_t *port = ports;
   char text[16];
 
-  *world = (struct world){
+  *testbed = (struct testbed){
     .has_key = true,
     .linked = linked,
     .suspendable = suspendable,
@@ -501,105 +503,105 @@
     .wait_ms = 80,
     .grace = "grace_s = 3",
   };
-  snprintf (world->folder, sizeof world->folder, "/tmp/ash-world-XXXXXX");
-  if (!mkdtemp (world->folder))
+  snprintf (testbed->folder, sizeof testbed->folder, "/tmp/ash-world-XXXXXX");
+  if (!mkdtemp (testbed->folder))
     abort ();
   fleet_free_ports (ports, PORTS);
-  world->store_port = *port++;
-  snprintf (text, sizeof text, "%u", world->store_port);
-  world->store = fleet_spawn (world->folder, "store", "standin-store", text, (char *) NULL);
-  for (int s = 0; s < WORLD_SERVERS; s++)
+  testbed->store_port = *port++;
+  snprintf (text, sizeof text, "%u", testbed->store_port);
+  testbed->store = fleet_spawn (testbed->folder, "store", "standin-store", text, (char *) NULL);
+  for (int s = 0; s < TESTBED_SERVERS; s++)
     {
-      struct world_server *server = &world->servers[s];
+      struct testbed_server *server = &testbed->servers[s];
 
       server->port = *port++;
       snprintf (server->name, sizeof server->name, "%c", 'A' + s);
-      start_server (world, s);
+      start_server (testbed, s);
     }
-  for (int r = 0; r < WORLD_ROUTERS; r++)
+  for (int r = 0; r < TESTBED_ROUTERS; r++)
     {
-      world->routers[r] = (struct world_router){ .frontend = port[0],
-                                                 .readiness = port[1],
-                                                 .directory = port[2],
-                                                 .peers = port[3],
-                                                 .figures = port[4] };
+      testbed->routers[r] = (struct testbed_router){ .frontend_port = port[0],
+                                                     .readiness_port = port[1],
+                                                     .directory_port = port[2],
+                                                     .peer_port = port[3],
+                                                     .metrics_port = port[4] };
       port += 5;
     }
-  memcpy (world->ranks, port, sizeof world->ranks);
-  port += WORLD_RANKS;
-  for (int i = 0; i < WORLD_LINKS; i++)
+  memcpy (testbed->ranks, port, sizeof testbed->ranks);
+  port += TESTBED_RANKS;
+  for (int i = 0; i < TESTBED_LINKS; i++)
     {
-      world->links[i].port = *port++;
-      world->links[i].control = *port++;
+      testbed->links[i].port = *port++;
+      testbed->links[i].control = *port++;
     }
-  wait_port (world->store_port);
+  wait_port (testbed->store_port);
   if (linked)
-    start_links (world);
-  for (int s = 0; s < WORLD_SERVERS; s++)
+    start_links (testbed);
+  for (int s = 0; s < TESTBED_SERVERS; s++)
     {
-      wait_port (world->servers[s].port);
-      world_list (world, s, "ready");
+      wait_port (testbed->servers[s].port);
+      testbed_list_server (testbed, s, "ready");
     }
-  world_start_router (world, 0);
+  testbed_start_router (testbed, 0);
 }
 
 void
-world_start (struct world *world)
+testbed_start (struct testbed *testbed)
 {
-  start_all (world, false, false);
+  start_all (testbed, false, false);
 }
 
 void
-world_start_linked (struct world *world)
+testbed_start_linked (struct testbed *testbed)
 {
-  start_all (world, true, false);
+  start_all (testbed, true, false);
 }
 
 void
-world_start_suspendable (struct world *world)
+testbed_start_suspendable (struct testbed *testbed)
 {
-  start_all (world, true, true);
+  start_all (testbed, true, true);
 }
 
 void
-world_stop (struct world *world)
+testbed_stop (struct testbed *testbed)
 {
   char command[128];
 
-  for (int r = 0; r < WORLD_ROUTERS; r++)
-    if (world->routers[r].pid)
-      fleet_end (&world->routers[r].pid, SIGKILL);
-  for (int s = 0; s < WORLD_SERVERS; s++)
-    if (world->servers[s].pid)
-      fleet_end (&world->servers[s].pid, SIGKILL);
-  for (int i = 0; i < WORLD_LINKS; i++)
-    if (world->links[i].pid)
-      fleet_end (&world->links[i].pid, SIGKILL);
-  if (world->group)
-    fleet_end (&world->group, SIGKILL);
-  fleet_end (&world->store, SIGKILL);
+  for (int r = 0; r < TESTBED_ROUTERS; r++)
+    if (testbed->routers[r].pid)
+      fleet_end (&testbed->routers[r].pid, SIGKILL);
+  for (int s = 0; s < TESTBED_SERVERS; s++)
+    if (testbed->servers[s].pid)
+      fleet_end (&testbed->servers[s].pid, SIGKILL);
+  for (int i = 0; i < TESTBED_LINKS; i++)
+    if (testbed->links[i].pid)
+      fleet_end (&testbed->links[i].pid, SIGKILL);
+  if (testbed->group)
+    fleet_end (&testbed->group, SIGKILL);
+  fleet_end (&testbed->store, SIGKILL);
   if (getenv ("FLEET_KEEP"))
     {
-      printf ("logs: %s\n", world->folder);
+      printf ("logs: %s\n", testbed->folder);
       return;
     }
-  snprintf (command, sizeof command, "rm -rf %s", world->folder);
+  snprintf (command, sizeof command, "rm -rf %s", testbed->folder);
   if (system (command) != 0) /* NOLINT: a folder of our own making */
-    fprintf (stderr, "%s is left\n", world->folder);
+    fprintf (stderr, "%s is left\n", testbed->folder);
 }
 
 /* ---- what was seen ---- */
 
 int
-world_runs (struct world *world, const char *id)
+testbed_count_runs (struct testbed *testbed, const char *id)
 {
   char wanted[64];
   int runs = 0;
 
   snprintf (wanted, sizeof wanted, "%s ", id);
-  for (int s = 0; s < WORLD_SERVERS; s++)
+  for (int s = 0; s < TESTBED_SERVERS; s++)
     {
-      const char *log = world_get (world->servers[s].port, "GET", "/log", "");
+      const char *log = testbed_fetch (testbed->servers[s].port, "GET", "/log", "");
 
       for (const char *at = strstr (log, wanted); at; at = strstr (at + 1, wanted))
         runs += at == log || at[-1] == '\n';
@@ -608,14 +610,14 @@
 }
 
 int
-world_count_logged (struct world *world, int r, const char *text)
+testbed_count_logged (struct testbed *testbed, int r, const char *text)
 {
   char path[128];
   char line[2048];
   int found = 0;
   FILE *file;
 
-  snprintf (path, sizeof path, "%s/router-%d.log", world->folder, r);
+  snprintf (path, sizeof path, "%s/router-%d.log", testbed->folder, r);
   file = fopen (path, "r");
   while (file && fgets (line, sizeof line, file))
     found += strstr (line, text) != NULL;
@@ -625,19 +627,19 @@
 }
 
 bool
-world_logged (struct world *world, int r, const char *text)
+testbed_logged (struct testbed *testbed, int r, const char *text)
 {
-  return world_count_logged (world, r, text) > 0;
+  return testbed_count_logged (testbed, r, text) > 0;
 }
 
 bool
-world_wait_logged (struct world *world, int r, const char *text)
+testbed_wait_logged (struct testbed *testbed, int r, const char *text)
 {
   int64_t until = fleet_now () + WAIT_MS;
 
   while (fleet_now () < until)
     {
-      if (world_logged (world, r, text))
+      if (testbed_logged (testbed, r, text))
         return true;
       fleet_sleep (20);
     }
--- a/test/router_tests.c
+++ b/test/router_tests.c
@@ -4,15 +4,15 @@
 #include <signal.h>
 #include <string.h>
 
-struct world world;
-struct world_answer answer;
+struct testbed testbed;
+struct testbed_answer answer;
 
 void
 start (void)
 {
-  world_start (&world);
-  world_publish (&world);
-  CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 0, true));
+  testbed_start (&testbed);
+  testbed_publish (&testbed);
+  CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
 }
 
 void
@@ -21,28 +21,28 @@
   start ();
   for (int r = 1; r < count; r++)
     {
-      world_start_router (&world, r);
-      CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, r, true));
+      testbed_start_router (&testbed, r);
+      CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, r, true));
     }
 }
 
 void
-restart (void)
+restart_router (void)
 {
-  fleet_end (&world.routers[0].pid, SIGKILL);
-  world_start_router (&world, 0);
-  CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 0, true));
+  fleet_end (&testbed.routers[0].pid, SIGKILL);
+  testbed_start_router (&testbed, 0);
+  CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
 }
 
 void
 wait_arrived (const char *id)
 {
-  for (int i = 0; i < 100 && !world_runs (&world, id); i++)
+  for (int i = 0; i < 100 && !testbed_count_runs (&testbed, id); i++)
     fleet_sleep (10);
 }
 
 bool
-has (const char *text)
+answer_has (const char *text)
 {
   return strstr (answer.text, text) != NULL;
 }
@@ -50,7 +50,7 @@
 const char *
 server_log (int s)
 {
-  return world_get (world.servers[s].port, "GET", "/log", "");
+  return testbed_fetch (testbed.servers[s].port, "GET", "/log", "");
 }
 
 int
--- a/test/silence.c
+++ b/test/silence.c
@@ -6,7 +6,7 @@
  * kernel notices (keep-alive, unacknowledged bytes) comes in addition.
  */
 #include "test/fault_tests.h"
-#include "test/router_world.h"
+#include "test/router_testbed.h"
 
 #include <CUnit/CUnit.h>
 #include <pthread.h>
@@ -21,24 +21,24 @@
   "Ashspindle-Attempt-Id: "
 
 /* Kept connections to each endpoint, requests of a kind, and how many go at a time. */
-#define KEPT 4
+#define KEPT_CONNECTIONS 4
 #define REQUESTS 8
-#define ABREAST 2
+#define CONCURRENT_CALLS 2
 
-static struct world world;
-static struct world_answer answer;
+static struct testbed testbed;
+static struct testbed_answer answer;
 
 static void
 start (void)
 {
-  world_start_linked (&world);
-  world_publish (&world);
-  CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 0, true));
+  testbed_start_linked (&testbed);
+  testbed_publish (&testbed);
+  CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
 }
 
 /* Figures for docs/OPERATIONS.md; nothing is asserted on them. */
 static void
-print_noticed (const char *what, int silence, int64_t began_ms)
+print_elapsed (const char *what, int silence, int64_t began_ms)
 {
   printf ("\n    %s, silence %d: %lld ms ", what, silence, (long long) (fleet_now () - began_ms));
 }
@@ -51,7 +51,7 @@
   char id[24];
   const char *path;
   const char *action;
-  struct world_answer answer;
+  struct testbed_answer answer;
 };
 
 static void *
@@ -59,13 +59,13 @@
 {
   struct call *call = data;
 
-  world_call (&world, call->id, call->path, call->action, "", &call->answer);
+  testbed_call (&testbed, call->id, call->path, call->action, "", &call->answer);
   return NULL;
 }
 
 /* Makes @p count requests at once and waits for their answers. */
 static void
-call_abreast (struct call *calls, int count, const char *path, const char *action)
+call_concurrently (struct call *calls, int count, const char *path, const char *action)
 {
   static int number;
 
@@ -84,30 +84,30 @@
 static void
 keep_connections (void)
 {
-  struct call *calls = calloc (KEPT * WORLD_SERVERS, sizeof *calls);
+  struct call *calls = calloc (KEPT_CONNECTIONS * TESTBED_SERVERS, sizeof *calls);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (calls);
-  call_abreast (calls, KEPT * WORLD_SERVERS, "/safe/x", "*=slow");
-  for (int i = 0; i < KEPT * WORLD_SERVERS; i++)
+  call_concurrently (calls, KEPT_CONNECTIONS * TESTBED_SERVERS, "/safe/x", "*=slow");
+  for (int i = 0; i < KEPT_CONNECTIONS * TESTBED_SERVERS; i++)
     CU_ASSERT_EQUAL (calls[i].answer.status, 200);
   free (calls);
 }
 
 static void
-silence_endpoints (enum world_silence silence)
+silence_endpoints (enum testbed_silence silence)
 {
-  for (int s = 0; s < WORLD_SERVERS; s++)
-    world_silence (&world, WORLD_LINK_SERVERS + s, silence);
+  for (int s = 0; s < TESTBED_SERVERS; s++)
+    testbed_silence (&testbed, TESTBED_LINK_SERVERS + s, silence);
 }
 
 static int
 endpoint_connections (void)
 {
-  int taken = 0;
+  int accepted_count = 0;
 
-  for (int s = 0; s < WORLD_SERVERS; s++)
-    taken += world_link_taken (&world, WORLD_LINK_SERVERS + s);
-  return taken;
+  for (int s = 0; s < TESTBED_SERVERS; s++)
+    accepted_count += testbed_link_accepted (&testbed, TESTBED_LINK_SERVERS + s);
+  return accepted_count;
 }
 
 /* @return how many of the requests were not served; none may have run twice unless it may be
@@ -115,20 +115,20 @@
 static int
 count_failed (const char *path, const char *action, bool repeatable)
 {
-  struct call *calls = calloc (ABREAST, sizeof *calls);
+  struct call *calls = calloc (CONCURRENT_CALLS, sizeof *calls);
   int failed = 0;
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (calls);
-  for (int n = 0; n < REQUESTS; n += ABREAST)
+  for (int n = 0; n < REQUESTS; n += CONCURRENT_CALLS)
     {
-      call_abreast (calls, ABREAST, path, action);
-      for (int i = 0; i < ABREAST; i++)
+      call_concurrently (calls, CONCURRENT_CALLS, path, action);
+      for (int i = 0; i < CONCURRENT_CALLS; i++)
         {
-          const struct world_answer *got = &calls[i].answer;
+          const struct testbed_answer *got = &calls[i].answer;
 
-          failed += got->status != 200 || !got->whole;
+          failed += got->status != 200 || !got->complete;
           CU_ASSERT (got->status == 200 || got->status == 502 || got->status == 504);
-          CU_ASSERT (world_runs (&world, calls[i].id) <= (repeatable ? 2 : 1));
+          CU_ASSERT (testbed_count_runs (&testbed, calls[i].id) <= (repeatable ? 2 : 1));
         }
     }
   free (calls);
@@ -144,58 +144,58 @@
  * may be repeated and 8 that may not got 504, and 2 streams. Cause: each connection's silence was
  * learnt by itself, at the price of a request. */
 static void
-endpoints_fall_silent (const char *path, const char *action, bool repeatable, int failed_max)
+check_silent_endpoints (const char *path, const char *action, bool repeatable, int failed_max)
 {
-  for (int silence = WORLD_SILENT_BOTH; silence <= WORLD_SILENT_THERE; silence++)
+  for (int silence = TESTBED_SILENT_BOTH; silence <= TESTBED_SILENT_REQUESTS; silence++)
     {
       int64_t began_ms;
       int failed;
 
       start ();
       keep_connections ();
-      silence_endpoints ((enum world_silence) silence);
+      silence_endpoints ((enum testbed_silence) silence);
       began_ms = fleet_now ();
       failed = count_failed (path, action, repeatable);
-      print_noticed (path, silence, began_ms);
+      print_elapsed (path, silence, began_ms);
       CU_ASSERT (failed <= failed_max);
       if (failed > failed_max)
         printf ("\n%s silence=%d: %d of %d failed\n", path, silence, failed, REQUESTS);
-      world_stop (&world);
+      testbed_stop (&testbed);
     }
 }
 
 static void
 test_repeatable (void)
 {
-  endpoints_fall_silent ("/safe/x", NULL, true, 0);
+  check_silent_endpoints ("/safe/x", NULL, true, 0);
 }
 
 /* Those that meet the silence first can't be helped; the next ones don't meet it. */
 static void
 test_once (void)
 {
-  endpoints_fall_silent ("/once/x", NULL, false, ABREAST);
+  check_silent_endpoints ("/once/x", NULL, false, CONCURRENT_CALLS);
 }
 
 static void
 test_streams (void)
 {
-  endpoints_fall_silent ("/long/x", "*=stream", true, 0);
+  check_silent_endpoints ("/long/x", "*=stream", true, 0);
 }
 
 /* Some events of a stream have passed after this: there are six, 30 ms apart. */
-#define BEGUN_MS 60
+#define STREAM_STARTED_MS 60
 
 /* @return whether an endpoint was asked to go on with a stream after one of its events. */
 static bool
-went_on (const char *id)
+was_resumed (const char *id)
 {
   char first[64];
 
   snprintf (first, sizeof first, "%s POST", id);
-  for (int s = 0; s < WORLD_SERVERS; s++)
+  for (int s = 0; s < TESTBED_SERVERS; s++)
     {
-      const char *line = strstr (world_get (world.servers[s].port, "GET", "/log", ""), first);
+      const char *line = strstr (testbed_fetch (testbed.servers[s].port, "GET", "/log", ""), first);
       const char *last = line ? strstr (line, "last=") : NULL;
 
       if (last && atoi (last + strlen ("last=")) > 0)
@@ -208,25 +208,25 @@
 static void
 test_stream_midway (void)
 {
-  for (int silence = WORLD_SILENT_BOTH; silence <= WORLD_SILENT_BACK; silence++)
+  for (int silence = TESTBED_SILENT_BOTH; silence <= TESTBED_SILENT_ANSWERS; silence++)
     {
       int64_t began_ms;
       int fd;
 
       start ();
       keep_connections ();
-      fd = world_connect (&world, 0);
-      world_send (fd, "POST /long/x HTTP/1.1\r\n" HEAD
-                      "mid-1\r\nX-Do: *=stream\r\nContent-Length: 0\r\n\r\n");
-      for (int i = 0; i < 200 && !world_runs (&world, "mid-1"); i++)
+      fd = testbed_connect (&testbed, 0);
+      testbed_send (fd, "POST /long/x HTTP/1.1\r\n" HEAD
+                        "mid-1\r\nX-Do: *=stream\r\nContent-Length: 0\r\n\r\n");
+      for (int i = 0; i < 200 && !testbed_count_runs (&testbed, "mid-1"); i++)
         fleet_sleep (5);
-      fleet_sleep (BEGUN_MS);
-      silence_endpoints ((enum world_silence) silence);
+      fleet_sleep (STREAM_STARTED_MS);
+      silence_endpoints ((enum testbed_silence) silence);
       began_ms = fleet_now ();
-      world_read (fd, &answer);
+      testbed_read (fd, &answer);
       close (fd);
-      print_noticed ("midway", silence, began_ms);
-      CU_ASSERT (answer.status == 200 && answer.whole);
+      print_elapsed ("midway", silence, began_ms);
+      CU_ASSERT (answer.status == 200 && answer.complete);
       for (int id = 1; id <= 6; id++)
         {
           char text[16];
@@ -238,17 +238,18 @@
           if (found)
             CU_ASSERT_PTR_NULL (strstr (found + 1, text));
         }
-      CU_ASSERT_EQUAL (world_runs (&world, "mid-1"), 2);
-      CU_ASSERT (went_on ("mid-1"));
-      world_stop (&world);
+      CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "mid-1"), 2);
+      CU_ASSERT (was_resumed ("mid-1"));
+      testbed_stop (&testbed);
     }
 }
 
 /* A request that is larger than what the link holds unread. */
 #define LARGE_BYTES 90000
 
-/* After half of the time after which an endpoint counts as silent (test/router_world.c: 900 ms). */
-#define DOUBTED_MS 600
+/* After half of the time after which an endpoint counts as silent (test/router_testbed.c: 900 ms).
+ */
+#define SUSPECTED_MS 600
 
 /* One connection whose bytes are not acknowledged tells that others are silent, at other
  * endpoints too: what comes next meets none of them, though no request has failed yet. */
@@ -261,21 +262,21 @@
 
   start ();
   keep_connections ();
-  silence_endpoints (WORLD_SILENT_THERE);
-  fd = world_connect (&world, 0);
+  silence_endpoints (TESTBED_SILENT_REQUESTS);
+  fd = testbed_connect (&testbed, 0);
   length = (size_t) snprintf (
       text, sizeof text, "POST /once/x HTTP/1.1\r\n" HEAD "large-1\r\nContent-Length: %d\r\n\r\n",
       LARGE_BYTES);
   memset (text + length, 'x', LARGE_BYTES);
-  world_send (fd, text);
-  fleet_sleep (DOUBTED_MS);
+  testbed_send (fd, text);
+  fleet_sleep (SUSPECTED_MS);
   CU_ASSERT_EQUAL (count_failed ("/once/x", NULL, false), 0);
   /* This one may have run for all that its router knows. */
-  world_read (fd, &answer);
+  testbed_read (fd, &answer);
   close (fd);
   CU_ASSERT (answer.status == 502 || answer.status == 504);
-  CU_ASSERT_EQUAL (world_runs (&world, "large-1"), 0);
-  world_stop (&world);
+  CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "large-1"), 0);
+  testbed_stop (&testbed);
 }
 
 /* The kernel's timer of a resting connection that is to be probed, in /proc/net/tcp. */
@@ -322,29 +323,29 @@
 
   start ();
   keep_connections ();
-  fd = world_connect (&world, 0);
+  fd = testbed_connect (&testbed, 0);
   fleet_sleep (100);
-  for (int s = 0; s < WORLD_SERVERS; s++)
-    CU_ASSERT (count_probed (world.links[WORLD_LINK_SERVERS + s].port, false) > 0);
-  CU_ASSERT (count_probed (world.links[WORLD_LINK_STORE].port, false) > 0);
-  CU_ASSERT (count_probed (world.routers[0].frontend, true) > 0);
+  for (int s = 0; s < TESTBED_SERVERS; s++)
+    CU_ASSERT (count_probed (testbed.links[TESTBED_LINK_SERVERS + s].port, false) > 0);
+  CU_ASSERT (count_probed (testbed.links[TESTBED_LINK_STORE].port, false) > 0);
+  CU_ASSERT (count_probed (testbed.routers[0].frontend_port, true) > 0);
   close (fd);
-  world_stop (&world);
+  testbed_stop (&testbed);
 }
 
 /* An endpoint that takes its time has lost nothing: no request, and no connection. */
 static void
 test_slow_endpoints (void)
 {
-  int taken;
+  int accepted_count;
 
   start ();
   keep_connections ();
-  taken = endpoint_connections ();
+  accepted_count = endpoint_connections ();
   CU_ASSERT_EQUAL (count_failed ("/once/x", "*=slower", false), 0);
   CU_ASSERT_EQUAL (count_failed ("/safe/x", "*=slower", false), 0);
-  CU_ASSERT_EQUAL (endpoint_connections (), taken);
-  world_stop (&world);
+  CU_ASSERT_EQUAL (endpoint_connections (), accepted_count);
+  testbed_stop (&testbed);
 }
 
 /* ---- to the store ---- */
@@ -355,27 +356,27 @@
 static void
 test_store (void)
 {
-  for (int silence = WORLD_SILENT_BOTH; silence <= WORLD_SILENT_THERE; silence++)
+  for (int silence = TESTBED_SILENT_BOTH; silence <= TESTBED_SILENT_REQUESTS; silence++)
     {
       char accepted[64];
       int64_t began_ms;
 
       start ();
-      world.store_wait_ms = LONG_WAIT_MS;
-      world.list_wait_ms = LONG_WAIT_MS;
-      fleet_end (&world.routers[0].pid, SIGKILL);
-      world_start_router (&world, 0);
-      CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 0, true));
+      testbed.store_wait_ms = LONG_WAIT_MS;
+      testbed.list_wait_ms = LONG_WAIT_MS;
+      fleet_end (&testbed.routers[0].pid, SIGKILL);
+      testbed_start_router (&testbed, 0);
+      CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
       fleet_sleep (200);
-      world_silence (&world, WORLD_LINK_STORE, (enum world_silence) silence);
+      testbed_silence (&testbed, TESTBED_LINK_STORE, (enum testbed_silence) silence);
       began_ms = fleet_now ();
-      world_publish (&world);
-      world_list (&world, 0, "draining");
-      snprintf (accepted, sizeof accepted, "version=%u before=", world.version);
-      CU_ASSERT (world_wait_logged (&world, 0, accepted));
-      CU_ASSERT (world_wait_logged (&world, 0, "endpoint_leaving"));
-      print_noticed ("store", silence, began_ms);
-      world_stop (&world);
+      testbed_publish (&testbed);
+      testbed_list_server (&testbed, 0, "draining");
+      snprintf (accepted, sizeof accepted, "version=%u before=", testbed.version);
+      CU_ASSERT (testbed_wait_logged (&testbed, 0, accepted));
+      CU_ASSERT (testbed_wait_logged (&testbed, 0, "endpoint_leaving"));
+      print_elapsed ("store", silence, began_ms);
+      testbed_stop (&testbed);
     }
 }
 
@@ -389,7 +390,7 @@
   int count = 0;
   FILE *file;
 
-  snprintf (path, sizeof path, "%s/router-%d.log", world.folder, r);
+  snprintf (path, sizeof path, "%s/router-%d.log", testbed.folder, r);
   file = fopen (path, "r");
   while (file && fgets (line, sizeof line, file))
     count += strstr (line, text) != NULL;
@@ -414,32 +415,32 @@
 static void
 test_peers (void)
 {
-  for (int silence = WORLD_SILENT_BOTH; silence <= WORLD_SILENT_THERE; silence++)
+  for (int silence = TESTBED_SILENT_BOTH; silence <= TESTBED_SILENT_REQUESTS; silence++)
     {
       char accepted[64];
       int64_t began_ms;
       int ups;
 
       start ();
-      world_start_router (&world, 1);
-      CU_ASSERT (world_wait_ready (&world, 1, true));
+      testbed_start_router (&testbed, 1);
+      CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
       CU_ASSERT (wait_counted (1, "link_up", 1));
       fleet_sleep (300);
       ups = count_logged (1, "link_up");
-      for (int r = 0; r < WORLD_ROUTERS; r++)
-        world_silence (&world, WORLD_LINK_PEERS + r, (enum world_silence) silence);
+      for (int r = 0; r < TESTBED_ROUTERS; r++)
+        testbed_silence (&testbed, TESTBED_LINK_PEERS + r, (enum testbed_silence) silence);
       began_ms = fleet_now ();
       CU_ASSERT (wait_counted (1, "link_up", ups + 1));
-      print_noticed ("peers, up again", silence, began_ms);
+      print_elapsed ("peers, up again", silence, began_ms);
       CU_ASSERT (count_logged (0, "why=\"silent\"") + count_logged (1, "why=\"silent\"") > 0);
       /* The first router's way to the store is closed: it learns from the other one. */
-      world_get (world.links[WORLD_LINK_STORE].control, "POST", "/control?mode=1", "");
-      fleet_end (&world.routers[0].pid, SIGKILL);
-      world_start_router (&world, 0);
-      CU_ASSERT (world_wait_logged (&world, 0, "source=router-1"));
-      snprintf (accepted, sizeof accepted, "version=%u before=", world.version);
-      CU_ASSERT (world_wait_logged (&world, 0, accepted));
-      world_stop (&world);
+      testbed_fetch (testbed.links[TESTBED_LINK_STORE].control, "POST", "/control?mode=1", "");
+      fleet_end (&testbed.routers[0].pid, SIGKILL);
+      testbed_start_router (&testbed, 0);
+      CU_ASSERT (testbed_wait_logged (&testbed, 0, "source=router-1"));
+      snprintf (accepted, sizeof accepted, "version=%u before=", testbed.version);
+      CU_ASSERT (testbed_wait_logged (&testbed, 0, accepted));
+      testbed_stop (&testbed);
     }
 }
 
@@ -452,7 +453,7 @@
 static void
 test_callers (void)
 {
-  for (int silence = WORLD_SILENT_BOTH; silence <= WORLD_SILENT_THERE; silence++)
+  for (int silence = TESTBED_SILENT_BOTH; silence <= TESTBED_SILENT_REQUESTS; silence++)
     {
       int fds[CALLERS];
       int64_t began_ms;
@@ -461,39 +462,39 @@
       start ();
       for (int i = 0; i < CALLERS; i++)
         {
-          fds[i] = world_connect (&world, 0);
+          fds[i] = testbed_connect (&testbed, 0);
           if (i < 4)
             {
-              world_send (fds[i], "GET /safe/x HTTP/1.1\r\n" HEAD "rest-1\r\n\r\n");
-              world_read (fds[i], &answer);
+              testbed_send (fds[i], "GET /safe/x HTTP/1.1\r\n" HEAD "rest-1\r\n\r\n");
+              testbed_read (fds[i], &answer);
               CU_ASSERT_EQUAL (answer.status, 200);
             }
           else if (i < 7)
-            world_send (fds[i], "POST /safe/x HTTP/1.1\r\n" HEAD "half-1\r\n");
+            testbed_send (fds[i], "POST /safe/x HTTP/1.1\r\n" HEAD "half-1\r\n");
           else
-            world_send (fds[i], "POST /once/x HTTP/1.1\r\n" HEAD
-                                "mute-1\r\nX-Do: *=mute\r\nContent-Length: 0\r\n\r\n");
+            testbed_send (fds[i], "POST /once/x HTTP/1.1\r\n" HEAD
+                                  "mute-1\r\nX-Do: *=mute\r\nContent-Length: 0\r\n\r\n");
         }
       fleet_sleep (300);
-      world_silence (&world, WORLD_LINK_CALLERS, (enum world_silence) silence);
+      testbed_silence (&testbed, TESTBED_LINK_CALLERS, (enum testbed_silence) silence);
       began_ms = fleet_now ();
-      fd = world_connect (&world, 0);
-      world_send (fd, "GET /safe/x HTTP/1.1\r\n" HEAD "next-1\r\n\r\n");
-      world_read (fd, &answer);
+      fd = testbed_connect (&testbed, 0);
+      testbed_send (fd, "GET /safe/x HTTP/1.1\r\n" HEAD "next-1\r\n\r\n");
+      testbed_read (fd, &answer);
       CU_ASSERT_EQUAL (answer.status, 200);
       close (fd);
-      print_noticed ("callers, the next is served", silence, began_ms);
+      print_elapsed ("callers, the next is served", silence, began_ms);
       /* What was at work for them has ended, and none ran again. */
       for (int i = 0;
-           i < 400 && atoi (world_get (world.servers[0].port, "GET", "/gone", "")) +
-                              atoi (world_get (world.servers[1].port, "GET", "/gone", "")) <
+           i < 400 && atoi (testbed_fetch (testbed.servers[0].port, "GET", "/gone", "")) +
+                              atoi (testbed_fetch (testbed.servers[1].port, "GET", "/gone", "")) <
                           3;
            i++)
         fleet_sleep (10);
-      CU_ASSERT_EQUAL (world_runs (&world, "mute-1"), 3);
+      CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "mute-1"), 3);
       for (int i = 0; i < CALLERS; i++)
         close (fds[i]);
-      world_stop (&world);
+      testbed_stop (&testbed);
     }
 }
 
@@ -503,27 +504,27 @@
 {
   pthread_t thread;
   volatile bool stop;
-  int whole;
+  int complete;
 };
 
 static void *
 keep_streaming (void *data)
 {
   struct stream *stream = data;
-  struct world_answer *own = calloc (1, sizeof *own);
+  struct testbed_answer *own = calloc (1, sizeof *own);
 
   while (own && !stream->stop)
     {
-      int fd = world_connect (&world, 1);
+      int fd = testbed_connect (&testbed, 1);
 
       if (fd < 0)
         {
           fleet_sleep (50);
           continue;
         }
-      world_send (fd, "POST /model/x HTTP/1.1\r\n" HEAD "g1\r\nContent-Length: 0\r\n\r\n");
-      world_read (fd, own);
-      stream->whole += own->status == 200 && own->whole;
+      testbed_send (fd, "POST /model/x HTTP/1.1\r\n" HEAD "g1\r\nContent-Length: 0\r\n\r\n");
+      testbed_read (fd, own);
+      stream->complete += own->status == 200 && own->complete;
       close (fd);
     }
   free (own);
@@ -535,7 +536,7 @@
 {
   for (int i = 0; i < 400; i++)
     {
-      if (world_group (&world, "changes") >= changes)
+      if (testbed_group_state (&testbed, "changes") >= changes)
         return true;
       fleet_sleep (25);
     }
@@ -554,11 +555,12 @@
   struct stream streams[6] = { 0 };
   long changes;
 
-  world_start_linked (&world);
-  world_start_group (&world);
-  world_publish (&world);
-  world_start_router (&world, 1);
-  CU_ASSERT_TRUE_FATAL (world_wait_ready (&world, 0, true) && world_wait_ready (&world, 1, true));
+  testbed_start_linked (&testbed);
+  testbed_start_group (&testbed);
+  testbed_publish (&testbed);
+  testbed_start_router (&testbed, 1);
+  CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true) &&
+                        testbed_wait_ready (&testbed, 1, true));
   for (int i = 0; i < 6; i++)
     pthread_create (&streams[i].thread, NULL, keep_streaming, &streams[i]);
   CU_ASSERT (wait_changes (1));
@@ -567,33 +569,34 @@
       char target[32];
       int64_t began_ms;
 
-      changes = world_group (&world, "changes");
+      changes = testbed_group_state (&testbed, "changes");
       snprintf (target, sizeof target, "/state?shift=%d", 3 * n + 2);
-      world_get (world.ranks[0], "GET", target, "");
+      testbed_fetch (testbed.ranks[0], "GET", target, "");
       began_ms = fleet_now ();
-      for (int i = 0; i < SILENCES && world_group (&world, "changes") == changes; i++)
+      for (int i = 0; i < SILENCES && testbed_group_state (&testbed, "changes") == changes; i++)
         {
-          for (int rank = 0; rank < WORLD_RANKS; rank++)
-            world_silence (&world, WORLD_LINK_RANKS + rank, (enum world_silence) (1 + n % 3));
+          for (int rank = 0; rank < TESTBED_RANKS; rank++)
+            testbed_silence (&testbed, TESTBED_LINK_RANKS + rank,
+                             (enum testbed_silence) (1 + n % 3));
           fleet_sleep (BETWEEN_MS);
         }
       CU_ASSERT (wait_changes (changes + 1));
-      print_noticed ("ranks, the next change", 1 + n % 3, began_ms);
+      print_elapsed ("ranks, the next change", 1 + n % 3, began_ms);
     }
-  changes = world_group (&world, "changes");
-  world_get (world.ranks[0], "GET", "/state?shift=6", "");
+  changes = testbed_group_state (&testbed, "changes");
+  testbed_fetch (testbed.ranks[0], "GET", "/state?shift=6", "");
   CU_ASSERT (wait_changes (changes + 1));
   for (int i = 0; i < 6; i++)
     streams[i].stop = true;
   for (int i = 0; i < 6; i++)
     {
       pthread_join (streams[i].thread, NULL);
-      CU_ASSERT (streams[i].whole > 0);
+      CU_ASSERT (streams[i].complete > 0);
     }
-  CU_ASSERT_EQUAL (world_group (&world, "broken"), 0);
-  CU_ASSERT (world_group (&world, "standing_ms") < 1500);
-  printf ("\n    longest standstill %ld ms ", world_group (&world, "standing_ms"));
-  world_stop (&world);
+  CU_ASSERT_EQUAL (testbed_group_state (&testbed, "broken"), 0);
+  CU_ASSERT (testbed_group_state (&testbed, "standing_ms") < 1500);
+  printf ("\n    longest standstill %ld ms ", testbed_group_state (&testbed, "standing_ms"));
+  testbed_stop (&testbed);
 }
 
 static const struct fault_test tests[] = {
--- a/test/standin_ranks.c
+++ b/test/standin_ranks.c
@@ -7,10 +7,10 @@
  *
  *     step=N map=V changes=N held=0|1 broken=0|1 standing_ms=N
  *
- * where broken says that a pass began while two ranks had different maps. GET
- * /state?shift=N moves what is asked for; GET /state?late=PERCENT carries so many orders out
- * late and leaves them unanswered; GET /state?deaf=1 has ranks lose all orders to arm, till
- * /state?deaf=0, so that a step that is held stays so.
+ * where broken says that a pass began while two ranks highest_version different maps. GET
+ * /state?shift=N moves what is asked for; GET /state?delayed_order=PERCENT carries so many orders
+ * out delayed_order and leaves them unanswered; GET /state?drops_arm_orders=1 has ranks lose all
+ * orders to arm, till /state?drops_arm_orders=0, so that a step that is held stays so.
  */
 #include "common/random.h"
 #include "net/http_conn.h"
@@ -27,11 +27,11 @@
 #define SLOTS 6
 #define SPARE 2
 #define PASS_S 0.03
-#define LAG_MS 100
+#define REPORT_LAG_MS 100
 #define HISTORY 64
 #define STREAM_EVENTS 12
-#define LATE_LEAST_MS 300
-#define LATE_MOST_MS 1500
+#define ORDER_DELAY_MIN_MS 300
+#define ORDER_DELAY_RANGE_MS 1500
 #define COPY_MS 20
 #define JSON_FIELDS "Content-Type: application/json\r\n"
 
@@ -49,8 +49,8 @@
   char id[24];
   struct map map;
   struct map prepared;
-  struct ash_time copied;
-  uint64_t had;
+  struct ash_time copied_at;
+  uint64_t highest_version;
   uint64_t armed;
   uint64_t armed_step;
   uint64_t held;
@@ -59,12 +59,12 @@
 };
 
 /* An order that is carried out later. */
-struct late
+struct delayed_order
 {
   struct rank *rank;
   char *body;
   struct ash_time due;
-  struct late *next;
+  struct delayed_order *next;
 };
 
 static struct
@@ -76,19 +76,19 @@
   uint64_t step;
   uint64_t changes;
   uint32_t shift;
-  uint32_t late_percent;
-  bool deaf;
+  uint32_t delayed_percent;
+  bool drops_arm_orders;
   uint32_t ticks;
   bool broken;
-  struct ash_time last_pass;
-  struct late *late;
+  struct ash_time last_pass_at;
+  struct delayed_order *delayed_order;
   ev_timer timer;
 } group;
 
 /* ---- maps ---- */
 
 static void
-deal_first (struct rank *rank)
+assign_initial_experts (struct rank *rank)
 {
   rank->map.experts = json_array ();
   for (uint32_t layer = 0; layer < LAYERS; layer++)
@@ -108,7 +108,7 @@
     if (group.ranks[i].held == group.step + 1)
       return;
   group.step++;
-  group.last_pass = ash_clock_now ();
+  group.last_pass_at = ash_clock_now ();
   for (uint32_t i = 0; i < group.rank_count; i++)
     {
       struct rank *rank = &group.ranks[i];
@@ -157,16 +157,16 @@
   size_t index;
 
   if (version == rank->prepared.version)
-    return ash_time_before (ash_clock_now (), rank->copied) ? 202 : 200;
-  if (version <= rank->had || rank->armed || json_array_size (map) != LAYERS)
+    return ash_time_before (ash_clock_now (), rank->copied_at) ? 202 : 200;
+  if (version <= rank->highest_version || rank->armed || json_array_size (map) != LAYERS)
     return 409;
   own = json_array ();
   json_array_foreach (map, index, layer)
     json_array_append (own, json_array_get (layer, rank->index));
   json_decref (rank->prepared.experts);
   rank->prepared = (struct map){ version, digest_of (map), own };
-  rank->had = version;
-  rank->copied = ash_time_add (ash_clock_now (), COPY_MS);
+  rank->highest_version = version;
+  rank->copied_at = ash_time_add (ash_clock_now (), COPY_MS);
   return 202;
 }
 
@@ -176,7 +176,7 @@
   if (rank->armed == version && rank->armed_step == step)
     return 200;
   if (step <= group.step || rank->prepared.version != version ||
-      ash_time_before (ash_clock_now (), rank->copied))
+      ash_time_before (ash_clock_now (), rank->copied_at))
     return 409;
   rank->armed = version;
   rank->armed_step = step;
@@ -184,7 +184,7 @@
 }
 
 static uint16_t
-carry_out (struct rank *rank, const char *body)
+execute_order (struct rank *rank, const char *body)
 {
   json_t *order = json_loads (body, 0, NULL);
   const char *operation = json_string_value (json_object_get (order, "Operation"));
@@ -232,35 +232,36 @@
 }
 
 static void
-take_order (struct ash_http_conn *conn, struct rank *rank)
+receive_order (struct ash_http_conn *conn, struct rank *rank)
 {
   char *body = copy_body (conn);
 
-  if (group.deaf && strstr (body, "\"arm\""))
+  if (group.drops_arm_orders && strstr (body, "\"arm\""))
     {
       free (body);
       return; /* never answered */
     }
-  if (ash_random_below (&group.random, 100) < group.late_percent)
+  if (ash_random_below (&group.random, 100) < group.delayed_percent)
     {
-      struct late *late = calloc (1, sizeof *late);
+      struct delayed_order *delayed_order = calloc (1, sizeof *delayed_order);
 
-      if (!late)
+      if (!delayed_order)
         abort ();
-      *late = (struct late){ .rank = rank, .body = body };
-      late->due = ash_time_add (ash_clock_now (),
-                                LATE_LEAST_MS + ash_random_below (&group.random, LATE_MOST_MS));
-      LL_PREPEND (group.late, late);
+      *delayed_order = (struct delayed_order){ .rank = rank, .body = body };
+      delayed_order->due = ash_time_add (
+          ash_clock_now (),
+          ORDER_DELAY_MIN_MS + ash_random_below (&group.random, ORDER_DELAY_RANGE_MS));
+      LL_PREPEND (group.delayed_order, delayed_order);
       return; /* never answered */
     }
-  ash_http_conn_respond (conn, carry_out (rank, body), "", 0, "", 0);
+  ash_http_conn_respond (conn, execute_order (rank, body), "", 0, "", 0);
   free (body);
 }
 
 /* ---- questions ---- */
 
 static void
-note_report (struct rank *rank)
+record_report (struct rank *rank)
 {
   uint32_t active = 0;
   const struct ash_http_conn *conn;
@@ -283,19 +284,20 @@
 }
 
 static void
-answer_picked (struct ash_http_conn *conn, const struct rank *rank, bool lists)
+answer_experts (struct ash_http_conn *conn, const struct rank *rank, bool lists)
 {
   json_t *object = json_pack ("{s:i, s:I}", "epoch", 1, "step", (json_int_t) group.step);
   char *text;
 
   if (lists)
     {
-      bool copied = rank->prepared.experts && ash_time_before (rank->copied, ash_clock_now ());
+      bool copied_at =
+          rank->prepared.experts && ash_time_before (rank->copied_at, ash_clock_now ());
 
       json_object_set_new (object, "Map",
                            json_pack ("{s:I, s:O}", "Version", (json_int_t) rank->map.version,
                                       "Experts", rank->map.experts));
-      if (copied)
+      if (copied_at)
         json_object_set_new (object, "Prepared",
                              json_pack ("{s:I, s:O}", "Version",
                                         (json_int_t) rank->prepared.version, "Experts",
@@ -319,23 +321,23 @@
 answer_state (struct ash_http_conn *conn, const char *target)
 {
   const char *shift = strstr (target, "shift=");
-  const char *late = strstr (target, "late=");
-  const char *deaf = strstr (target, "deaf=");
+  const char *delayed_order = strstr (target, "late=");
+  const char *drops_arm_orders = strstr (target, "deaf=");
   char text[256];
   bool held = false;
 
   if (shift)
     group.shift = (uint32_t) strtoul (shift + strlen ("shift="), NULL, 10);
-  if (late)
-    group.late_percent = (uint32_t) strtoul (late + strlen ("late="), NULL, 10);
-  if (deaf)
-    group.deaf = deaf[strlen ("deaf=")] == '1';
+  if (delayed_order)
+    group.delayed_percent = (uint32_t) strtoul (delayed_order + strlen ("late="), NULL, 10);
+  if (drops_arm_orders)
+    group.drops_arm_orders = drops_arm_orders[strlen ("deaf=")] == '1';
   for (uint32_t i = 0; i < group.rank_count; i++)
     held = held || group.ranks[i].held;
   snprintf (text, sizeof text, "step=%llu map=%llu changes=%llu held=%d broken=%d standing_ms=%lld",
             (unsigned long long) group.step, (unsigned long long) group.ranks[0].map.version,
             (unsigned long long) group.changes, held, group.broken,
-            (long long) ash_time_diff (group.last_pass, ash_clock_now ()));
+            (long long) ash_time_diff (group.last_pass_at, ash_clock_now ()));
   answer_text (conn, text);
 }
 
@@ -389,11 +391,11 @@
   const char *target = conn->reader.head.target;
 
   if (strcmp (target, "/report") == 0)
-    answer_text (conn, rank->reports[(group.ticks + HISTORY - LAG_MS / 30) % HISTORY]);
+    answer_text (conn, rank->reports[(group.ticks + HISTORY - REPORT_LAG_MS / 30) % HISTORY]);
   else if (strncmp (target, "/picked", 7) == 0)
-    answer_picked (conn, rank, strstr (target, "Lists") != NULL);
+    answer_experts (conn, rank, strstr (target, "Lists") != NULL);
   else if (strcmp (target, "/order") == 0)
-    take_order (conn, rank);
+    receive_order (conn, rank);
   else if (strncmp (target, "/state", 6) == 0)
     answer_state (conn, target);
   else
@@ -401,12 +403,12 @@
 }
 
 static void
-on_gone (struct ash_http_conn *conn)
+on_disconnected (struct ash_http_conn *conn)
 {
   conn->request = NULL;
 }
 
-static const struct ash_conn_handler handler = { on_request, on_gone, NULL };
+static const struct ash_conn_handler handler = { on_request, on_disconnected, NULL };
 
 /* ---- time ---- */
 
@@ -423,18 +425,18 @@
 }
 
 static void
-carry_out_late (void)
+execute_delayed_orders (void)
 {
-  struct late *late;
-  struct late *next;
+  struct delayed_order *delayed_order;
+  struct delayed_order *next;
 
-  LL_FOREACH_SAFE (group.late, late, next)
-    if (ash_time_before (late->due, ash_clock_now ()))
+  LL_FOREACH_SAFE (group.delayed_order, delayed_order, next)
+    if (ash_time_before (delayed_order->due, ash_clock_now ()))
       {
-        LL_DELETE (group.late, late);
-        carry_out (late->rank, late->body);
-        free (late->body);
-        free (late);
+        LL_DELETE (group.delayed_order, delayed_order);
+        execute_order (delayed_order->rank, delayed_order->body);
+        free (delayed_order->body);
+        free (delayed_order);
       }
 }
 
@@ -446,13 +448,13 @@
   (void) loop;
   (void) timer;
   (void) events;
-  carry_out_late ();
+  execute_delayed_orders ();
   group.ticks++;
   /* An idle group makes no passes. */
   if (any_stream ())
     begin_pass ();
   else
-    group.last_pass = ash_clock_now ();
+    group.last_pass_at = ash_clock_now ();
   for (uint32_t i = 0; i < group.rank_count; i++)
     {
       struct ash_http_conn *conn;
@@ -462,7 +464,7 @@
         DL_FOREACH_SAFE (group.ranks[i].listener.conns, conn, next)
           if (conn->request && !conn->is_closed)
             write_event (&group.ranks[i], conn);
-      note_report (&group.ranks[i]);
+      record_report (&group.ranks[i]);
     }
 }
 
@@ -477,7 +479,7 @@
     }
   group.loop = ev_default_loop (EVFLAG_AUTO);
   group.rank_count = (uint32_t) argc - 1;
-  group.last_pass = ash_clock_now ();
+  group.last_pass_at = ash_clock_now ();
   ash_random_init (&group.random, 1);
   for (uint32_t i = 0; i < group.rank_count; i++)
     {
@@ -487,7 +489,7 @@
       rank->index = i;
       snprintf (rank->id, sizeof rank->id, "i-rank%u", i);
       snprintf (address, sizeof address, "127.0.0.1:%s", argv[1 + i]);
-      deal_first (rank);
+      assign_initial_experts (rank);
       for (int j = 0; j < HISTORY; j++)
         snprintf (rank->reports[j], sizeof rank->reports[0], "{}");
       if (!ash_http_listen (&rank->listener, group.loop, address, &handler, rank))
--- a/test/standin_server.c
+++ b/test/standin_server.c
@@ -37,7 +37,7 @@
   const char *name;
   const char *id;
   struct ash_buffer log;
-  uint32_t gone; /* callers that left while a request was at work */
+  uint32_t disconnects; /* callers that left while a request was at work */
   ev_timer tick;
 };
 
@@ -45,9 +45,9 @@
 struct work
 {
   char action[16];
-  int next;   /* event */
-  int last;   /* event before which it breaks off; 0: none */
-  int silent; /* event before which it falls silent; 0: none */
+  int next;          /* event */
+  int last;          /* event before which it breaks off; 0: none */
+  int silent_before; /* event before which it falls silent_before; 0: none */
   struct ash_time due;
 };
 
@@ -83,7 +83,7 @@
 }
 
 static void
-note (const struct ash_http_conn *conn)
+log_request (const struct ash_http_conn *conn)
 {
   ash_buffer_printf (&server.log,
                      "%s %s %s body=%zu deadline=%s expect=%s tenant=%s last=%s urgency=%s "
@@ -148,7 +148,7 @@
   snprintf (work->action, sizeof work->action, "%s", action);
   work->next = last ? atoi (last) + 1 : 1;
   work->last = strcmp (action, "streamcut") == 0 ? 3 : 0;
-  work->silent = strcmp (action, "streamhang") == 0 ? 3 : 0;
+  work->silent_before = strcmp (action, "streamhang") == 0 ? 3 : 0;
   work->due = ash_clock_now ();
   if (strcmp (action, "slow") == 0)
     work->due = ash_time_add (work->due, SLOW_MS);
@@ -164,13 +164,13 @@
 }
 
 static void
-go_on (struct ash_http_conn *conn, struct ash_time now)
+continue_work (struct ash_http_conn *conn, struct ash_time now)
 {
   struct work *work = conn->request;
   char event[64];
 
   if (ash_time_before (now, work->due) || strcmp (work->action, "mute") == 0 ||
-      (work->silent && work->next == work->silent))
+      (work->silent_before && work->next == work->silent_before))
     return;
   if (strcmp (work->action, "end") == 0 ||
       (strcmp (work->action, "streamend") == 0 && work->next == 3))
@@ -205,7 +205,7 @@
 }
 
 static void
-act (struct ash_http_conn *conn, const char *action)
+perform_action (struct ash_http_conn *conn, const char *action)
 {
   const char *id = field (conn, "Ashspindle-Attempt-Id");
 
@@ -265,7 +265,7 @@
 {
   const char *expected = ash_http_field (&conn->reader.head, "Ashspindle-Expect-Instance");
   char action[16];
-  char gone[32];
+  char disconnects[32];
 
   if (strcmp (conn->reader.head.target, "/log") == 0)
     {
@@ -275,8 +275,8 @@
     }
   if (strcmp (conn->reader.head.target, "/gone") == 0)
     {
-      snprintf (gone, sizeof gone, "%u", server.gone);
-      ash_http_conn_respond (conn, 200, "", 0, gone, strlen (gone));
+      snprintf (disconnects, sizeof disconnects, "%u", server.disconnects);
+      ash_http_conn_respond (conn, 200, "", 0, disconnects, strlen (disconnects));
       return;
     }
   /* Another life has this address: it does not run the request. */
@@ -285,20 +285,20 @@
       answer (conn, 421, "");
       return;
     }
-  note (conn);
+  log_request (conn);
   action_of (conn, action);
-  act (conn, action);
+  perform_action (conn, action);
 }
 
 static void
-on_gone (struct ash_http_conn *conn)
+on_disconnected (struct ash_http_conn *conn)
 {
   free (conn->request);
   conn->request = NULL;
-  server.gone++;
+  server.disconnects++;
 }
 
-static const struct ash_conn_handler handler = { on_request, on_gone, NULL };
+static const struct ash_conn_handler handler = { on_request, on_disconnected, NULL };
 
 static void
 on_tick (struct ev_loop *loop, ev_timer *timer, int events)
@@ -312,7 +312,7 @@
   (void) events;
   DL_FOREACH_SAFE (server.listener.conns, conn, next)
     if (conn->request && !conn->is_closed)
-      go_on (conn, now);
+      continue_work (conn, now);
 }
 
 int
--- a/test/standin_store.c
+++ b/test/standin_store.c
@@ -9,7 +9,7 @@
  *     PUT /era?TEXT (the header Store-Era of all answers from now on; none: no such header)
  *     PUT /restore?REVISION (it comes back from a copy of that revision: what was written since is
  *     gone, revisions are given out again, the era rises by one, what waits is cut)
- *     PUT /deafen (what waits now is never answered, nor cut; new questions are)
+ *     PUT /drop_pending (what waits now is never answered, nor cut; new questions are)
  */
 #include "net/http_conn.h"
 
@@ -39,7 +39,7 @@
   struct ash_http_listener listener;
   struct item *items; /* every write, the oldest first: the history too */
   uint64_t revision;
-  uint64_t forgotten; /* no watch from before this */
+  uint64_t oldest_watch_revision; /* no watch from before this */
   char mode[16];
   char era[64];
   ev_timer tick;
@@ -48,10 +48,10 @@
 static struct store store;
 
 /* Stands as the request of a connection that is never answered. */
-static char deafened;
+static char never_answered;
 
 /* Stands as the request of a connection whose question has not been looked at yet. */
-static char delayed;
+static char delayed_request;
 
 /* ---- items ---- */
 
@@ -206,20 +206,20 @@
 {
   uint64_t since = strtoull (parameter (conn, "SinceRevision"), NULL, 10);
 
-  if (since < store.forgotten || since > store.revision)
+  if (since < store.oldest_watch_revision || since > store.revision)
     answer_text (conn, 410, "");
   else if (!answer_watch (conn, false))
     conn->request = conn; /* answered by the tick */
 }
 
 static void
-deafen (void)
+drop_pending (void)
 {
   struct ash_http_conn *conn;
 
   DL_FOREACH (store.listener.conns, conn)
     if (conn->request)
-      conn->request = &deafened;
+      conn->request = &never_answered;
 }
 
 static void
@@ -268,13 +268,13 @@
   else if (strncmp (target, "/remove", 7) == 0)
     add_item (argument, NULL);
   else if (strncmp (target, "/deafen", 7) == 0)
-    deafen ();
+    drop_pending ();
   else if (strncmp (target, "/era", 4) == 0)
     snprintf (store.era, sizeof store.era, "%s", argument);
   else if (strncmp (target, "/restore", 8) == 0)
     restore (strtoull (argument, NULL, 10));
   else if (strcmp (argument, "forget") == 0)
-    store.forgotten = store.revision;
+    store.oldest_watch_revision = store.revision;
   else
     snprintf (store.mode, sizeof store.mode, "%s", argument);
   free (body);
@@ -291,7 +291,7 @@
 }
 
 static void
-answer_question (struct ash_http_conn *conn)
+answer_request (struct ash_http_conn *conn)
 {
   const char *target = conn->reader.head.target;
 
@@ -313,18 +313,18 @@
   else if (strcmp (store.mode, "silent") == 0)
     return;
   else if (delay_ms ())
-    conn->request = &delayed;
+    conn->request = &delayed_request;
   else
-    answer_question (conn);
+    answer_request (conn);
 }
 
 static void
-on_gone (struct ash_http_conn *conn)
+on_disconnected (struct ash_http_conn *conn)
 {
   conn->request = NULL;
 }
 
-static const struct ash_conn_handler handler = { on_request, on_gone, NULL };
+static const struct ash_conn_handler handler = { on_request, on_disconnected, NULL };
 
 static void
 on_tick (struct ev_loop *loop, ev_timer *timer, int events)
@@ -340,17 +340,17 @@
     {
       int64_t wait_ms;
 
-      if (!conn->request || conn->request == &deafened || conn->is_closed)
+      if (!conn->request || conn->request == &never_answered || conn->is_closed)
         continue;
       wait_ms = strtoll (parameter (conn, "WaitMs"), NULL, 10);
       if (strcmp (store.mode, "silent") == 0)
         continue; /* neither answered nor cut */
-      if (conn->request == &delayed)
+      if (conn->request == &delayed_request)
         {
           if (ash_time_diff (conn->since, now) < delay_ms ())
             continue;
           conn->request = NULL;
-          answer_question (conn);
+          answer_request (conn);
         }
       else if (strcmp (store.mode, "ok") != 0 && !delay_ms ())
         {
