--- a/bench/faults.c
+++ b/bench/faults.c
@@ -40,9 +40,9 @@
     {
       struct fleet_call call;
 
-      fleet_chat (caller->fleet, &call, caller->entry < 0 ? i % FLEET_ENTRIES : caller->entry, true,
-                  1);
-      fleet_wait (&call);
+      fleet_begin_chat (caller->fleet, &call, caller->entry < 0 ? i % FLEET_ENTRIES : caller->entry,
+                        true, 1);
+      fleet_wait_call (&call);
       ash_cli_answer_finish (&call.answer);
     }
   return NULL;
@@ -52,18 +52,18 @@
 static int64_t
 watch_starts (struct fleet *fleet)
 {
-  int64_t start_ms = fleet_now ();
+  int64_t start_ms = fleet_now_ms ();
   int64_t last_ms = 0;
-  int runs = fleet_runs (fleet, 0, NULL, "runs");
+  int runs = fleet_count_runs (fleet, 0, NULL, "runs");
 
-  while (fleet_now () - start_ms < WATCH_MS)
+  while (fleet_now_ms () - start_ms < WATCH_MS)
     {
-      int now_runs = fleet_runs (fleet, 0, NULL, "runs");
+      int now_runs = fleet_count_runs (fleet, 0, NULL, "runs");
 
       if (now_runs != runs)
-        last_ms = fleet_now () - start_ms;
+        last_ms = fleet_now_ms () - start_ms;
       runs = now_runs;
-      fleet_sleep (5);
+      fleet_sleep_ms (5);
     }
   return last_ms;
 }
@@ -86,7 +86,7 @@
   fleet_start (&fleet, SETTINGS);
   if (source == SOURCE_PEER)
     {
-      fleet_end (&fleet.entries[1].pid, SIGKILL);
+      fleet_end_process (&fleet.entries[1].pid, SIGKILL);
       fleet.entries[1].platform_port = fleet.endpoints[0].peer_port;
       fleet_start_entry (&fleet, 1);
       fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS);
@@ -97,7 +97,7 @@
       callers[i].entry = source == SOURCE_PEER ? 1 : -1;
       pthread_create (&callers[i].thread, NULL, keep_calling, &callers[i]);
     }
-  fleet_sleep (1000);
+  fleet_sleep_ms (1000);
   if (source == SOURCE_OWN)
     kill (fleet.endpoints[0].pid, SIGTERM);
   else
@@ -125,17 +125,17 @@
   fleet_start (&fleet, SETTINGS);
   for (int i = 0; i < REQUESTS; i++)
     {
-      fleet_order (&fleet, &calls[i], i % FLEET_ENTRIES, NULL, 0, 50, 3000);
-      fleet_sleep (REQUEST_PERIOD_MS);
+      fleet_begin_order (&fleet, &calls[i], i % FLEET_ENTRIES, NULL, 0, 50, 3000);
+      fleet_sleep_ms (REQUEST_PERIOD_MS);
       if (i != REQUESTS / 3)
         continue;
-      in_flight = fleet_runs (&fleet, FLEET_STOCK, NULL, "runs") -
-                  fleet_runs (&fleet, FLEET_STOCK, NULL, "ended");
-      fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
+      in_flight = fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs") -
+                  fleet_count_runs (&fleet, FLEET_STOCK, NULL, "ended");
+      fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
       fleet_start_endpoint (&fleet, FLEET_STOCK);
     }
   for (int i = 0; i < REQUESTS; i++)
-    fleet_wait (&calls[i]);
+    fleet_wait_call (&calls[i]);
   for (int i = 0; i < REQUESTS; i++)
     {
       const struct ash_cli_answer *answer = &calls[i].answer;
@@ -144,7 +144,8 @@
       counts[0] += strcmp (answer->outcome, "ran") == 0;
       counts[1] += not_run;
       counts[2] += strcmp (answer->outcome, "unknown") == 0;
-      counts[3] += not_run && fleet_runs (&fleet, FLEET_STOCK, answer->request_id, "runs") > 0;
+      counts[3] +=
+          not_run && fleet_count_runs (&fleet, FLEET_STOCK, answer->request_id, "runs") > 0;
       ash_cli_answer_finish (&calls[i].answer);
     }
   printf ("| %d | %d | %d | %d | %d | %d |\n", REQUESTS, counts[0], counts[1], counts[2], in_flight,
@@ -165,22 +166,22 @@
 
   fleet_start (&fleet, orphans ? SETTINGS : SETTINGS "orphan_ms = 600000\n");
   for (int i = 0; i < STREAMS; i++)
-    fleet_chat (&fleet, &calls[i], 0, true, 4000);
-  fleet_sleep (500);
+    fleet_begin_chat (&fleet, &calls[i], 0, true, 4000);
+  fleet_sleep_ms (500);
   kill (fleet.entries[0].pid, signal);
-  killed_ms = fleet_now ();
-  while (cancelled < STREAMS && fleet_now () - killed_ms < CANCEL_WATCH_MS)
+  killed_ms = fleet_now_ms ();
+  while (cancelled < STREAMS && fleet_now_ms () - killed_ms < CANCEL_WATCH_MS)
     {
-      cancelled =
-          fleet_runs (&fleet, 0, NULL, "cancelled") + fleet_runs (&fleet, 1, NULL, "cancelled");
-      fleet_sleep (5);
+      cancelled = fleet_count_runs (&fleet, 0, NULL, "cancelled") +
+                  fleet_count_runs (&fleet, 1, NULL, "cancelled");
+      fleet_sleep_ms (5);
     }
   printf ("| %s | %d | %d | %lld |\n", what, STREAMS, cancelled,
-          (long long) (fleet_now () - killed_ms));
-  fleet_end (&fleet.entries[0].pid, SIGKILL);
+          (long long) (fleet_now_ms () - killed_ms));
+  fleet_end_process (&fleet.entries[0].pid, SIGKILL);
   for (int i = 0; i < STREAMS; i++)
     {
-      fleet_wait (&calls[i]);
+      fleet_wait_call (&calls[i]);
       ash_cli_answer_finish (&calls[i].answer);
     }
   fleet_stop (&fleet);
--- a/bench/groups.c
+++ b/bench/groups.c
@@ -20,10 +20,10 @@
 print_row (const struct group_fleet *group, const char *what)
 {
   printf ("| %s | %lld | %lld | %lld | %lld |\n", what,
-          (long long) group_fleet_check (group, "changes"),
-          (long long) group_fleet_check (group, "steps"),
-          (long long) group_fleet_check (group, "longest_wait_ms"),
-          (long long) group_fleet_check (group, "differences"));
+          (long long) group_fleet_read_counter (group, "changes"),
+          (long long) group_fleet_read_counter (group, "steps"),
+          (long long) group_fleet_read_counter (group, "longest_wait_ms"),
+          (long long) group_fleet_read_counter (group, "differences"));
 }
 
 static void
@@ -34,7 +34,7 @@
   group_fleet_start (&group);
   for (int i = 0; i < CHANGES; i++)
     {
-      int64_t changes = group_fleet_check (&group, "changes");
+      int64_t changes = group_fleet_read_counter (&group, "changes");
 
       group_fleet_make_hot (&group, i);
       if (!group_fleet_wait (&group, "changes", changes + 1))
@@ -53,11 +53,11 @@
   for (int i = 0; i < COORDINATOR_KILLS; i++)
     {
       group_fleet_make_hot (&group, i);
-      fleet_sleep (300 + 31 * i);
-      fleet_end (&group.agents[0], SIGKILL);
-      fleet_sleep (1500);
+      fleet_sleep_ms (300 + 31 * i);
+      fleet_end_process (&group.agents[0], SIGKILL);
+      fleet_sleep_ms (1500);
       group_fleet_start_agent (&group, 0);
-      fleet_sleep (500);
+      fleet_sleep_ms (500);
     }
   print_row (&group, "the coordinator is killed 12 times");
   group_fleet_stop (&group);
@@ -74,14 +74,14 @@
   for (int i = 0; i < TAKEOVERS; i++)
     {
       group_fleet_start (&group);
-      group_fleet_lose (&group, ASH__RANK_ORDER__KIND__COMMIT);
+      group_fleet_drop_orders (&group, ASH__RANK_ORDER__KIND__COMMIT);
       group_fleet_make_hot (&group, i);
-      if (group_fleet_wait_still (&group))
+      if (group_fleet_wait_stalled (&group))
         {
-          fleet_end (&group.agents[0], SIGKILL);
-          group_fleet_lose (&group, ASH__RANK_ORDER__KIND__NONE);
+          fleet_end_process (&group.agents[0], SIGKILL);
+          group_fleet_drop_orders (&group, ASH__RANK_ORDER__KIND__NONE);
           group_fleet_start_agent (&group, 0);
-          group_fleet_wait (&group, "steps", group_fleet_check (&group, "steps") + 100);
+          group_fleet_wait (&group, "steps", group_fleet_read_counter (&group, "steps") + 100);
         }
       print_row (&group, "killed between arm and commit");
       group_fleet_stop (&group);
--- a/bench/path.c
+++ b/bench/path.c
@@ -95,7 +95,7 @@
 {
   double before_s = cpu_s (pid);
 
-  fleet_sleep (IDLE_MS);
+  fleet_sleep_ms (IDLE_MS);
   printf ("| %s | %.1f | %.2f |\n", role, (double) resident_kib (pid) / 1024,
           (cpu_s (pid) - before_s) * 100 * 1000 / IDLE_MS);
 }
--- a/bench/spread.c
+++ b/bench/spread.c
@@ -147,7 +147,7 @@
   snprintf (port, sizeof port, "%u", testbed->platform_port);
   testbed->platform =
       fleet_spawn (testbed->folder, "platform", "standin", "platform", port, (char *) NULL);
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   publish (testbed);
   for (int i = 0; i < BOXES; i++)
     start_box (testbed, i);
@@ -159,8 +159,8 @@
   char command[128];
 
   for (int i = 0; i < BOXES; i++)
-    fleet_end (&testbed->boxes[i].pid, SIGKILL);
-  fleet_end (&testbed->platform, SIGKILL);
+    fleet_end_process (&testbed->boxes[i].pid, SIGKILL);
+  fleet_end_process (&testbed->platform, SIGKILL);
   snprintf (command, sizeof command, "rm -rf %s", testbed->folder);
   if (system (command) != 0)
     fprintf (stderr, "can't remove %s\n", testbed->folder);
@@ -213,7 +213,7 @@
 static int64_t
 propagation_ms (const struct testbed *testbed, int64_t since_ms, double *took_ms)
 {
-  int64_t until_ms = fleet_now () + PROPAGATION_TIMEOUT_MS;
+  int64_t until_ms = fleet_now_ms () + PROPAGATION_TIMEOUT_MS;
   int64_t last_ms = 0;
 
   for (int i = 0; i < BOXES; i++)
@@ -222,9 +222,9 @@
 
       while (!(at_ms = accepted_ms (testbed, i)))
         {
-          if (fleet_now () > until_ms)
+          if (fleet_now_ms () > until_ms)
             return -1;
-          fleet_sleep (20);
+          fleet_sleep_ms (20);
         }
       if (at_ms > since_ms + last_ms)
         last_ms = at_ms - since_ms;
@@ -286,7 +286,7 @@
   static double all_boxes_ms[CHANGES];
   int64_t calls = platform_calls (testbed);
   int64_t bytes = entry_bytes (testbed, 0);
-  int64_t start_ms = fleet_now ();
+  int64_t start_ms = fleet_now_ms ();
 
   for (int c = 0; c < CHANGES; c++)
     {
@@ -294,7 +294,7 @@
 
       publish (testbed);
       all_boxes_ms[c] = (double) propagation_ms (testbed, since_ms, &took_ms[c * BOXES]);
-      fleet_sleep (200 + 37 * (c % 10));
+      fleet_sleep_ms (200 + 37 * (c % 10));
     }
   printf ("%d changes of a row, in force at a box after: median %.0f ms, 95 in 100 %.0f ms, worst "
           "%.0f ms; at all 27: median %.0f ms, worst %.0f ms\n",
@@ -303,9 +303,10 @@
           stats_percentile (took_ms, CHANGES * BOXES, 1),
           stats_percentile (all_boxes_ms, CHANGES, 0.5),
           stats_percentile (all_boxes_ms, CHANGES, 1));
-  printf ("meanwhile the platform was asked %.1f times a second; an entry sent %.0f bytes/s\n",
-          (double) (platform_calls (testbed) - calls) * 1000 / (double) (fleet_now () - start_ms),
-          (double) (entry_bytes (testbed, 0) - bytes) * 1000 / (double) (fleet_now () - start_ms));
+  printf (
+      "meanwhile the platform was asked %.1f times a second; an entry sent %.0f bytes/s\n",
+      (double) (platform_calls (testbed) - calls) * 1000 / (double) (fleet_now_ms () - start_ms),
+      (double) (entry_bytes (testbed, 0) - bytes) * 1000 / (double) (fleet_now_ms () - start_ms));
 }
 
 static void
@@ -317,7 +318,7 @@
 
   for (int e = 0; e < ENTRIES; e++)
     bytes[e] = entry_bytes (testbed, e);
-  fleet_sleep (IDLE_MS);
+  fleet_sleep_ms (IDLE_MS);
   for (int e = 0; e < ENTRIES; e++)
     sum += entry_bytes (testbed, e) - bytes[e];
   printf ("at rest the platform is asked %.1f times a second; an entry sends %.0f bytes/s\n",
@@ -335,9 +336,9 @@
   for (int i = 0; i < BOXES; i++)
     if (testbed->boxes[i].hall == 1)
       kill (testbed->boxes[i].pid, SIGSTOP);
-  fleet_sleep (500);
+  fleet_sleep_ms (500);
   publish (testbed);
-  fleet_sleep (PAUSE_MS);
+  fleet_sleep_ms (PAUSE_MS);
   since_ms = wall_now_ms ();
   for (int i = 0; i < BOXES; i++)
     if (testbed->boxes[i].hall == 1)
@@ -354,7 +355,7 @@
   int64_t since_ms;
 
   fleet_control (testbed->platform_port, "/control/mode?config=1&list=1");
-  fleet_sleep (11000);
+  fleet_sleep_ms (11000);
   publish (testbed);
   since_ms = wall_now_ms ();
   fleet_control (testbed->platform_port, "/control/mode?config=0&list=0");
@@ -375,7 +376,7 @@
     {
       char path[128];
 
-      fleet_end (&testbed->boxes[i].pid, SIGKILL);
+      fleet_end_process (&testbed->boxes[i].pid, SIGKILL);
       snprintf (path, sizeof path, "%s/%s.log", testbed->folder, testbed->boxes[i].name);
       remove (path);
     }
@@ -398,11 +399,11 @@
   start_fleet (&testbed);
   printf ("start of 27 boxes: all have the configuration after %lld ms\n",
           (long long) propagation_ms (&testbed, since_ms, took_ms));
-  fleet_sleep (3000);
+  fleet_sleep_ms (3000);
   measure_idle (&testbed);
   measure_changes (&testbed);
   measure_paused_hall (&testbed);
-  fleet_sleep (3000);
+  fleet_sleep_ms (3000);
   measure_platform_down (&testbed);
   measure_replaced (&testbed);
   stop_fleet (&testbed);
--- a/test/bounds.c
+++ b/test/bounds.c
@@ -19,8 +19,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define TOO_MANY 12
-#define SETTINGS                                                                                   \
+#define CONNECTIONS_TRIED 12
+#define DAEMON_SETTINGS                                                                            \
   "heartbeat_ms = 100\nlink_silence_ms = 600\ndial_retry_ms = 50\nid_life_ms = 20000\n"            \
   "guard_ms = 0\nupload_ms = 400\nidle_ms = 1000\nbody_max_bytes = 1000\nconnections_max = 8\n"
 
@@ -28,12 +28,12 @@
 static uint8_t fleet_key[ASH_FRAME_KEY_BYTES];
 
 static void
-still_serves (void)
+assert_still_serves (void)
 {
   struct fleet_call call;
 
-  fleet_chat (&fleet, &call, 0, true, 2);
-  fleet_wait (&call);
+  fleet_begin_chat (&fleet, &call, 0, true, 2);
+  fleet_wait_call (&call);
   CU_ASSERT (fleet_stream_ok (&call.answer, 2));
   ash_cli_answer_finish (&call.answer);
 }
@@ -69,7 +69,7 @@
       CU_ASSERT_PTR_NOT_NULL (strstr (answer.body ? answer.body : "", parts[i]));
       ash_cli_answer_finish (&answer);
     }
-  still_serves ();
+  assert_still_serves ();
 }
 
 static void
@@ -84,7 +84,7 @@
   CU_ASSERT_EQUAL (answer.status, 413);
   CU_ASSERT_STRING_EQUAL (answer.outcome, "not-run");
   ash_cli_answer_finish (&answer);
-  still_serves ();
+  assert_still_serves ();
 }
 
 static void
@@ -92,15 +92,15 @@
 {
   static char text[65536];
   static char header[60000];
-  int fd = open_raw (fleet.entries[0].http_port);
+  int fd = raw_connect (fleet.entries[0].http_port);
 
   memset (header, 'x', sizeof header);
-  send_raw (fd, "GET /healthz HTTP/1.1\r\nX: ", 26);
-  send_raw (fd, header, sizeof header);
-  send_raw (fd, "\r\n\r\n", 4);
-  CU_ASSERT (read_to_close (fd, text, sizeof text));
+  raw_send (fd, "GET /healthz HTTP/1.1\r\nX: ", 26);
+  raw_send (fd, header, sizeof header);
+  raw_send (fd, "\r\n\r\n", 4);
+  CU_ASSERT (raw_read_until_closed (fd, text, sizeof text));
   CU_ASSERT_PTR_NULL (strstr (text, " 200 "));
-  still_serves ();
+  assert_still_serves ();
 }
 
 static void
@@ -109,33 +109,33 @@
   static const char start[] =
       "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{";
   char text[4096];
-  int fd = open_raw (fleet.entries[0].http_port);
+  int fd = raw_connect (fleet.entries[0].http_port);
 
-  send_raw (fd, start, sizeof start - 1);
-  CU_ASSERT (read_to_close (fd, text, sizeof text));
+  raw_send (fd, start, sizeof start - 1);
+  CU_ASSERT (raw_read_until_closed (fd, text, sizeof text));
   /* Headers that never end, a byte at a time so that it is never silent. */
-  fd = open_raw (fleet.entries[0].http_port);
+  fd = raw_connect (fleet.entries[0].http_port);
   for (int i = 0; i < 12; i++)
     {
-      send_raw (fd, "X", 1);
-      fleet_sleep (150);
+      raw_send (fd, "X", 1);
+      fleet_sleep_ms (150);
     }
-  CU_ASSERT (read_to_close (fd, text, sizeof text));
-  still_serves ();
+  CU_ASSERT (raw_read_until_closed (fd, text, sizeof text));
+  assert_still_serves ();
 }
 
 static void
 test_many_connections (void)
 {
-  int fds[TOO_MANY];
+  int fds[CONNECTIONS_TRIED];
   char text[64];
 
-  for (int i = 0; i < TOO_MANY; i++)
-    fds[i] = open_raw (fleet.entries[0].http_port);
+  for (int i = 0; i < CONNECTIONS_TRIED; i++)
+    fds[i] = raw_connect (fleet.entries[0].http_port);
   /* All are closed in the end, the ones that were let in for their silence. */
-  for (int i = 0; i < TOO_MANY; i++)
-    CU_ASSERT (fds[i] < 0 || read_to_close (fds[i], text, sizeof text));
-  still_serves ();
+  for (int i = 0; i < CONNECTIONS_TRIED; i++)
+    CU_ASSERT (fds[i] < 0 || raw_read_until_closed (fds[i], text, sizeof text));
+  assert_still_serves ();
 }
 
 /* ---- peer links ---- */
@@ -143,7 +143,7 @@
 static int
 open_peer (void)
 {
-  return open_raw (fleet.entries[0].peer_port);
+  return raw_connect (fleet.entries[0].peer_port);
 }
 
 /* Reads the challenge of a new link into nonces. */
@@ -197,10 +197,11 @@
 }
 
 static bool
-is_up (void)
+is_link_up (void)
 {
-  fleet_sleep (300);
-  return fleet_log_count (&fleet, "entry-1", "link_up box=entry-1 module=peer box=stranger") > 0;
+  fleet_sleep_ms (300);
+  return fleet_count_log_lines (&fleet, "entry-1", "link_up box=entry-1 module=peer box=stranger") >
+         0;
 }
 
 static void
@@ -211,11 +212,11 @@
   int fd = open_peer ();
 
   memset (bytes, 0xff, sizeof bytes);
-  send_raw (fd, bytes, sizeof bytes);
-  CU_ASSERT (read_to_close (fd, text, sizeof text));
+  raw_send (fd, bytes, sizeof bytes);
+  CU_ASSERT (raw_read_until_closed (fd, text, sizeof text));
   /* Says nothing at all: closed after the silence that a link may have. */
-  CU_ASSERT (read_to_close (open_peer (), text, sizeof text));
-  still_serves ();
+  CU_ASSERT (raw_read_until_closed (open_peer (), text, sizeof text));
+  assert_still_serves ();
 }
 
 static void
@@ -229,9 +230,9 @@
 
   CU_ASSERT (read_challenge (fd, &nonces));
   write_hello (&buffer, &nonces, wrong);
-  send_raw (fd, buffer.bytes, buffer.length);
-  CU_ASSERT (read_to_close (fd, text, sizeof text));
-  CU_ASSERT_FALSE (is_up ());
+  raw_send (fd, buffer.bytes, buffer.length);
+  CU_ASSERT (raw_read_until_closed (fd, text, sizeof text));
+  CU_ASSERT_FALSE (is_link_up ());
   ash_buffer_finish (&buffer);
 }
 
@@ -250,16 +251,16 @@
   write_hello (&buffer, &nonces, fleet_key);
   replay = open_peer ();
   CU_ASSERT (read_challenge (replay, &other));
-  send_raw (replay, buffer.bytes, buffer.length);
-  CU_ASSERT (read_to_close (replay, text, sizeof text));
-  CU_ASSERT_FALSE (is_up ());
+  raw_send (replay, buffer.bytes, buffer.length);
+  CU_ASSERT (raw_read_until_closed (replay, text, sizeof text));
+  CU_ASSERT_FALSE (is_link_up ());
   /* On its own link it is right, so the test above has tested the replay. */
-  send_raw (fd, buffer.bytes, buffer.length);
-  CU_ASSERT (is_up ());
+  raw_send (fd, buffer.bytes, buffer.length);
+  CU_ASSERT (is_link_up ());
   /* And an unsigned frame on the link that is up ends it. */
-  send_raw (fd, buffer.bytes, buffer.length);
-  CU_ASSERT (read_to_close (fd, text, sizeof text));
-  still_serves ();
+  raw_send (fd, buffer.bytes, buffer.length);
+  CU_ASSERT (raw_read_until_closed (fd, text, sizeof text));
+  assert_still_serves ();
   ash_buffer_finish (&buffer);
 }
 
@@ -275,7 +276,7 @@
     return EXIT_FAILURE;
   /* The fleet's key is 64 digits whose last is 7. */
   fleet_key[ASH_FRAME_KEY_BYTES - 1] = 7;
-  fleet_start (&fleet, SETTINGS);
+  fleet_start (&fleet, DAEMON_SETTINGS);
   CU_initialize_registry ();
   suite = CU_add_suite ("bounds", NULL, NULL);
   CU_add_test (suite, "http: malformed, with its place", test_malformed);
--- a/test/fault_tests.c
+++ b/test/fault_tests.c
@@ -39,13 +39,13 @@
 bool
 wait_revision (struct fleet *fleet, int e, int64_t revision)
 {
-  int64_t until_ms = fleet_now () + 10000;
+  int64_t until_ms = fleet_now_ms () + 10000;
 
   while (fleet_revision (fleet, e) != revision)
     {
-      if (fleet_now () > until_ms)
+      if (fleet_now_ms () > until_ms)
         return false;
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   return true;
 }
@@ -55,7 +55,7 @@
 {
   for (int i = 0; i < LOAD_STREAMS; i++)
     {
-      fleet_wait (&calls[i]);
+      fleet_wait_call (&calls[i]);
       CU_ASSERT (fleet_stream_ok (&calls[i].answer, tokens));
       ash_cli_answer_finish (&calls[i].answer);
     }
@@ -64,13 +64,13 @@
 bool
 wait_runs (struct fleet *fleet, int a, const char *kind, int count)
 {
-  int64_t until_ms = fleet_now () + 10000;
+  int64_t until_ms = fleet_now_ms () + 10000;
 
-  while (fleet_runs (fleet, a, NULL, kind) < count)
+  while (fleet_count_runs (fleet, a, NULL, kind) < count)
     {
-      if (fleet_now () > until_ms)
+      if (fleet_now_ms () > until_ms)
         return false;
-      fleet_sleep (10);
+      fleet_sleep_ms (10);
     }
   return true;
 }
--- a/test/faults.c
+++ b/test/faults.c
@@ -1,7 +1,7 @@
 /**
  * @file
  * Fault tests with real processes on loopback: kills, pauses, cuts, planned
- * stops. What callers were told is compared with the stand-ins' own records.
+ * stops. What callers were has_outcome is compared with the stand-ins' own records.
  */
 #include "test/fault_tests.h"
 #include "test/fleet.h"
@@ -20,29 +20,29 @@
 #define STREAMS 200
 
 static bool
-told (const struct fleet_call *call, const char *outcome)
+has_outcome (const struct fleet_call *call, const char *outcome)
 {
   return strcmp (call->answer.outcome, outcome) == 0;
 }
 
 /* Waits until the guard after the start of an agent's life is over. */
 static void
-wait_guard (void)
+wait_guard_period (void)
 {
-  fleet_sleep (900);
+  fleet_sleep_ms (900);
 }
 
 /* Waits until either model's engine runs something. */
 static bool
 wait_model_run (struct fleet *fleet)
 {
-  int64_t until_ms = fleet_now () + 10000;
+  int64_t until_ms = fleet_now_ms () + 10000;
 
-  while (fleet_runs (fleet, 0, NULL, "runs") + fleet_runs (fleet, 1, NULL, "runs") == 0)
+  while (fleet_count_runs (fleet, 0, NULL, "runs") + fleet_count_runs (fleet, 1, NULL, "runs") == 0)
     {
-      if (fleet_now () > until_ms)
+      if (fleet_now_ms () > until_ms)
         return false;
-      fleet_sleep (10);
+      fleet_sleep_ms (10);
     }
   return true;
 }
@@ -54,17 +54,17 @@
   struct fleet_call calls[2];
 
   fleet_start (&fleet, SHORT_TTL_SETTINGS);
-  fleet_sleep (ID_TTL_PASSED_MS);
-  fleet_order (&fleet, &calls[0], 0, "order-1", 1, 300, 0);
-  fleet_order (&fleet, &calls[1], 1, "order-1", 2, 300, 0);
+  fleet_sleep_ms (ID_TTL_PASSED_MS);
+  fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 300, 0);
+  fleet_begin_order (&fleet, &calls[1], 1, "order-1", 2, 300, 0);
   for (int i = 0; i < 2; i++)
     {
-      fleet_wait (&calls[i]);
+      fleet_wait_call (&calls[i]);
       CU_ASSERT_EQUAL (calls[i].answer.status, 200);
-      CU_ASSERT (told (&calls[i], "ran"));
+      CU_ASSERT (has_outcome (&calls[i], "ran"));
     }
   CU_ASSERT_STRING_EQUAL (calls[0].answer.request_id, calls[1].answer.request_id);
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
@@ -77,18 +77,18 @@
   struct fleet_call calls[2];
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
-  wait_guard ();
-  fleet_order (&fleet, &calls[0], 0, "order-1", 1, 600, 0);
+  wait_guard_period ();
+  fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 600, 0);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
-  fleet_end (&fleet.entries[0].pid, SIGKILL);
-  fleet_wait (&calls[0]);
+  fleet_end_process (&fleet.entries[0].pid, SIGKILL);
+  fleet_wait_call (&calls[0]);
   CU_ASSERT_EQUAL (calls[0].answer.status, 0);
   /* The caller comes through the other entry for the same run's answer. */
-  fleet_order (&fleet, &calls[1], 1, "order-1", 2, 600, 0);
-  fleet_wait (&calls[1]);
+  fleet_begin_order (&fleet, &calls[1], 1, "order-1", 2, 600, 0);
+  fleet_wait_call (&calls[1]);
   CU_ASSERT_EQUAL (calls[1].answer.status, 200);
-  CU_ASSERT (told (&calls[1], "ran"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  CU_ASSERT (has_outcome (&calls[1], "ran"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
@@ -101,43 +101,43 @@
   struct fleet_call calls[3];
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
-  wait_guard ();
-  fleet_order (&fleet, &calls[0], 0, "order-1", 1, 5000, 8000);
-  fleet_order (&fleet, &calls[1], 1, NULL, 0, 5000, 8000);
+  wait_guard_period ();
+  fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 5000, 8000);
+  fleet_begin_order (&fleet, &calls[1], 1, NULL, 0, 5000, 8000);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 2));
-  fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
+  fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
   fleet_start_endpoint (&fleet, FLEET_STOCK);
   for (int i = 0; i < 2; i++)
     {
-      fleet_wait (&calls[i]);
-      CU_ASSERT (told (&calls[i], "unknown"));
+      fleet_wait_call (&calls[i]);
+      CU_ASSERT (has_outcome (&calls[i], "unknown"));
       CU_ASSERT_EQUAL (calls[i].answer.status, 502);
     }
   CU_ASSERT (fleet_wait_live (&fleet, 0, FLEET_ENDPOINTS));
-  wait_guard ();
+  wait_guard_period ();
   /* The new life can't know what the old one did with that key. */
-  fleet_order (&fleet, &calls[2], 0, "order-1", 2, 1, 0);
-  fleet_wait (&calls[2]);
-  CU_ASSERT (told (&calls[2], "unknown"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 2);
+  fleet_begin_order (&fleet, &calls[2], 0, "order-1", 2, 1, 0);
+  fleet_wait_call (&calls[2]);
+  CU_ASSERT (has_outcome (&calls[2], "unknown"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 2);
   for (int i = 0; i < 3; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
 }
 
 static void
-test_young_life_runs_no_key (void)
+test_new_incarnation_runs_no_key (void)
 {
   struct fleet fleet;
   struct fleet_call call;
 
   fleet_start (&fleet, LINK_SETTINGS "id_life_ms = 20000\nguard_ms = 60000\n");
-  fleet_order (&fleet, &call, 0, "order-1", 1, 1, 0);
-  fleet_wait (&call);
-  CU_ASSERT (told (&call, "not-run"));
+  fleet_begin_order (&fleet, &call, 0, "order-1", 1, 1, 0);
+  fleet_wait_call (&call);
+  CU_ASSERT (has_outcome (&call, "not-run"));
   CU_ASSERT_EQUAL (call.answer.status, 503);
   CU_ASSERT (call.answer.retry_ms > 0);
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 0);
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 0);
   ash_cli_answer_finish (&call.answer);
   fleet_stop (&fleet);
 }
@@ -152,20 +152,20 @@
   char key[256];
 
   fleet_start (&fleet, LINK_SETTINGS "id_life_ms = 20000\nguard_ms = 60000\n");
-  CU_ASSERT (fleet_mint (&fleet, 0, "stock", key));
+  CU_ASSERT (fleet_mint_key (&fleet, 0, "stock", key));
   for (int i = 0; i < 2; i++)
     {
-      fleet_order (&fleet, &calls[i], i, key, 0, 1, 0);
-      fleet_wait (&calls[i]);
-      CU_ASSERT (told (&calls[i], "ran"));
+      fleet_begin_order (&fleet, &calls[i], i, key, 0, 1, 0);
+      fleet_wait_call (&calls[i]);
+      CU_ASSERT (has_outcome (&calls[i], "ran"));
     }
-  fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
+  fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
   fleet_start_endpoint (&fleet, FLEET_STOCK);
   CU_ASSERT (fleet_wait_live (&fleet, 0, FLEET_ENDPOINTS));
-  fleet_order (&fleet, &calls[2], 0, key, 0, 1, 0);
-  fleet_wait (&calls[2]);
-  CU_ASSERT (told (&calls[2], "unknown"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  fleet_begin_order (&fleet, &calls[2], 0, key, 0, 1, 0);
+  fleet_wait_call (&calls[2]);
+  CU_ASSERT (has_outcome (&calls[2], "unknown"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
   for (int i = 0; i < 3; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
@@ -178,24 +178,24 @@
   struct fleet_call calls[2];
 
   fleet_start (&fleet, SHORT_TTL_SETTINGS);
-  fleet_sleep (ID_TTL_PASSED_MS);
+  fleet_sleep_ms (ID_TTL_PASSED_MS);
   kill (fleet.entries[0].pid, SIGSTOP);
   /* Waits in the paused entry's socket for longer than its deadline. */
-  fleet_order (&fleet, &calls[0], 0, "order-1", 1, 1, 1000);
-  fleet_order (&fleet, &calls[1], 1, "order-1", 2, 1, 0);
-  fleet_wait (&calls[1]);
-  CU_ASSERT (told (&calls[1], "ran"));
+  fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 1, 1000);
+  fleet_begin_order (&fleet, &calls[1], 1, "order-1", 2, 1, 0);
+  fleet_wait_call (&calls[1]);
+  CU_ASSERT (has_outcome (&calls[1], "ran"));
   /* The agent restarts and forgets; then the paused entry wakes with the first
    * submission in its hands. */
-  fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
+  fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
   fleet_start_endpoint (&fleet, FLEET_STOCK);
   CU_ASSERT (fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS));
-  fleet_sleep (1200);
+  fleet_sleep_ms (1200);
   kill (fleet.entries[0].pid, SIGCONT);
-  fleet_wait (&calls[0]);
-  CU_ASSERT_FALSE (told (&calls[0], "ran"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
-  CU_ASSERT (fleet_log_count (&fleet, "entry-1", " 105 woke ") > 0);
+  fleet_wait_call (&calls[0]);
+  CU_ASSERT_FALSE (has_outcome (&calls[0], "ran"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  CU_ASSERT (fleet_count_log_lines (&fleet, "entry-1", " 105 woke ") > 0);
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
@@ -203,7 +203,7 @@
 
 /* Streams over links that are cut in the middle and healed. */
 static void
-test_streams_over_a_cut (void)
+test_streams_over_link_cut (void)
 {
   static struct fleet_call calls[STREAMS];
   struct fleet fleet;
@@ -211,23 +211,23 @@
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int i = 0; i < STREAMS; i++)
-    fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 150);
+    fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 150);
   CU_ASSERT (wait_model_run (&fleet));
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   fleet_control (fleet.endpoints[0].control_port, "/control?mode=1");
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   fleet_control (fleet.endpoints[0].control_port, "/control?mode=0");
   fleet_control (fleet.endpoints[1].control_port, "/control?mode=3");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   fleet_control (fleet.endpoints[1].control_port, "/control?mode=0");
   for (int i = 0; i < STREAMS; i++)
     {
-      fleet_wait (&calls[i]);
+      fleet_wait_call (&calls[i]);
       whole += fleet_stream_ok (&calls[i].answer, 150);
       ash_cli_answer_finish (&calls[i].answer);
     }
   CU_ASSERT_EQUAL (whole, STREAMS);
-  CU_ASSERT (fleet_log_count (&fleet, "entry-1", " 403 request_resumed ") > 0);
+  CU_ASSERT (fleet_count_log_lines (&fleet, "entry-1", " 403 request_resumed ") > 0);
   fleet_stop (&fleet);
 }
 
@@ -238,16 +238,16 @@
   struct fleet_call call;
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
-  wait_guard ();
-  fleet_order (&fleet, &call, 0, "order-1", 1, 300, 8000);
+  wait_guard_period ();
+  fleet_begin_order (&fleet, &call, 0, "order-1", 1, 300, 8000);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
   fleet_control (fleet.endpoints[FLEET_STOCK].control_port, "/control?mode=2");
-  fleet_sleep (1500);
+  fleet_sleep_ms (1500);
   fleet_control (fleet.endpoints[FLEET_STOCK].control_port, "/control?mode=0");
-  fleet_wait (&call);
-  CU_ASSERT (told (&call, "ran"));
+  fleet_wait_call (&call);
+  CU_ASSERT (has_outcome (&call, "ran"));
   CU_ASSERT_EQUAL (call.answer.status, 200);
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
   ash_cli_answer_finish (&call.answer);
   fleet_stop (&fleet);
 }
@@ -262,14 +262,14 @@
   fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int a = 0; a < FLEET_MODELS; a++)
     fleet_control (fleet.endpoints[a].http_port, "/control?break_after=3");
-  fleet_chat (&fleet, &calls[0], 0, true, 10);
-  fleet_chat (&fleet, &calls[1], 0, false, 10);
-  fleet_wait (&calls[0]);
+  fleet_begin_chat (&fleet, &calls[0], 0, true, 10);
+  fleet_begin_chat (&fleet, &calls[1], 0, false, 10);
+  fleet_wait_call (&calls[0]);
   CU_ASSERT_FALSE (calls[0].answer.whole);
   text = calls[0].answer.body ? calls[0].answer.body : "";
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "event: error"));
   CU_ASSERT_PTR_NULL (strstr (text, "[DONE]"));
-  fleet_wait (&calls[1]);
+  fleet_wait_call (&calls[1]);
   CU_ASSERT_EQUAL (calls[1].answer.status, 200);
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
@@ -279,20 +279,20 @@
 /* The engine takes the request and drops the connection without an answer. A
  * kept connection must not make libcurl send it again by itself. */
 static void
-test_dropped_by_the_engine (void)
+test_dropped_by_engine (void)
 {
   struct fleet fleet;
   struct fleet_call calls[2];
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
-  fleet_order (&fleet, &calls[0], 0, NULL, 0, 1, 0);
-  fleet_wait (&calls[0]);
-  CU_ASSERT (told (&calls[0], "ran"));
+  fleet_begin_order (&fleet, &calls[0], 0, NULL, 0, 1, 0);
+  fleet_wait_call (&calls[0]);
+  CU_ASSERT (has_outcome (&calls[0], "ran"));
   fleet_control (fleet.endpoints[FLEET_STOCK].http_port, "/control?drop=1");
-  fleet_order (&fleet, &calls[1], 0, NULL, 0, 1, 0);
-  fleet_wait (&calls[1]);
-  CU_ASSERT (told (&calls[1], "unknown"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 2);
+  fleet_begin_order (&fleet, &calls[1], 0, NULL, 0, 1, 0);
+  fleet_wait_call (&calls[1]);
+  CU_ASSERT (has_outcome (&calls[1], "unknown"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 2);
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
@@ -305,13 +305,13 @@
   struct fleet_call calls[2];
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
-  fleet_end (&fleet.endpoints[FLEET_STOCK].engine, SIGKILL);
-  fleet_end (&fleet.endpoints[0].engine, SIGKILL);
-  fleet_order (&fleet, &calls[0], 0, NULL, 0, 1, 0);
-  fleet_wait (&calls[0]);
-  CU_ASSERT (told (&calls[0], "not-run"));
-  fleet_chat (&fleet, &calls[1], 0, true, 3);
-  fleet_wait (&calls[1]);
+  fleet_end_process (&fleet.endpoints[FLEET_STOCK].engine, SIGKILL);
+  fleet_end_process (&fleet.endpoints[0].engine, SIGKILL);
+  fleet_begin_order (&fleet, &calls[0], 0, NULL, 0, 1, 0);
+  fleet_wait_call (&calls[0]);
+  CU_ASSERT (has_outcome (&calls[0], "not-run"));
+  fleet_begin_chat (&fleet, &calls[1], 0, true, 3);
+  fleet_wait_call (&calls[1]);
   CU_ASSERT (fleet_stream_ok (&calls[1].answer, 3));
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
@@ -329,9 +329,9 @@
   fleet_start (&fleet, NO_GUARD_SETTINGS);
   if (kill_the_entry)
     {
-      fleet_chat (&fleet, &call, 0, true, 2000);
+      fleet_begin_chat (&fleet, &call, 0, true, 2000);
       CU_ASSERT (wait_model_run (&fleet));
-      fleet_end (&fleet.entries[0].pid, SIGKILL);
+      fleet_end_process (&fleet.entries[0].pid, SIGKILL);
     }
   else
     {
@@ -341,29 +341,29 @@
 
       if (caller == 0)
         {
-          fleet_chat (&fleet, &call, 0, false, 2000);
+          fleet_begin_chat (&fleet, &call, 0, false, 2000);
           pause ();
         }
       CU_ASSERT (wait_model_run (&fleet));
-      fleet_end (&caller, SIGKILL);
+      fleet_end_process (&caller, SIGKILL);
     }
-  for (int i = 0; i < 300 && !fleet_log_count (&fleet, "model-1", " 503 run_cancelled ") &&
-                  !fleet_log_count (&fleet, "model-2", " 503 run_cancelled ");
+  for (int i = 0; i < 300 && !fleet_count_log_lines (&fleet, "model-1", " 503 run_cancelled ") &&
+                  !fleet_count_log_lines (&fleet, "model-2", " 503 run_cancelled ");
        i++)
-    fleet_sleep (10);
-  CU_ASSERT_EQUAL (fleet_log_count (&fleet, "model-1", " 503 run_cancelled ") +
-                       fleet_log_count (&fleet, "model-2", " 503 run_cancelled "),
+    fleet_sleep_ms (10);
+  CU_ASSERT_EQUAL (fleet_count_log_lines (&fleet, "model-1", " 503 run_cancelled ") +
+                       fleet_count_log_lines (&fleet, "model-2", " 503 run_cancelled "),
                    1);
   if (kill_the_entry)
     {
-      fleet_wait (&call);
+      fleet_wait_call (&call);
       ash_cli_answer_finish (&call.answer);
     }
   fleet_stop (&fleet);
 }
 
 static void
-test_cancel_caller_gone (void)
+test_cancel_caller_disconnected (void)
 {
   test_cancel (false);
 }
@@ -388,10 +388,10 @@
   while (!*stop)
     {
       for (int i = 0; i < LOAD_STREAMS; i++)
-        fleet_chat (fleet, &calls[i], entry < 0 ? i % FLEET_ENTRIES : entry, i % 2, 5);
+        fleet_begin_chat (fleet, &calls[i], entry < 0 ? i % FLEET_ENTRIES : entry, i % 2, 5);
       for (int i = 0; i < LOAD_STREAMS; i++)
         {
-          fleet_wait (&calls[i]);
+          fleet_wait_call (&calls[i]);
           if (calls[i].answer.status != 200 || !calls[i].answer.whole)
             {
               fprintf (stderr, "under load: status %ld outcome %s: %s\n", calls[i].answer.status,
@@ -420,8 +420,8 @@
   pthread_create (&thread, NULL, keep_calling, data);
   for (int a = 0; a < FLEET_MODELS; a++)
     {
-      fleet_sleep (200);
-      CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[a].pid, SIGTERM), 0);
+      fleet_sleep_ms (200);
+      CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[a].pid, SIGTERM), 0);
       fleet_start_endpoint (&fleet, a);
       for (int e = 0; e < FLEET_ENTRIES; e++)
         CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS));
@@ -443,18 +443,18 @@
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int i = 0; i < LOAD_STREAMS; i++)
-    fleet_chat (&fleet, &calls[i], 0, true, 200);
+    fleet_begin_chat (&fleet, &calls[i], 0, true, 200);
   CU_ASSERT (wait_model_run (&fleet));
   pid = fleet.entries[0].pid;
   kill (pid, SIGTERM);
-  fleet_sleep (100);
+  fleet_sleep_ms (100);
   /* Within the time to keep an address it still serves who comes. */
-  fleet_chat (&fleet, &late, 0, true, 5);
-  fleet_wait (&late);
+  fleet_begin_chat (&fleet, &late, 0, true, 5);
+  fleet_wait_call (&late);
   CU_ASSERT (fleet_stream_ok (&late.answer, 5));
   ash_cli_answer_finish (&late.answer);
   expect_streams (calls, 200);
-  CU_ASSERT_EQUAL (fleet_end (&fleet.entries[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.entries[0].pid, 0), 0);
   fleet_start_entry (&fleet, 0);
   CU_ASSERT (fleet_wait_live (&fleet, 0, FLEET_ENDPOINTS));
   fleet_stop (&fleet);
@@ -463,7 +463,7 @@
 /* A caller that has connected in time is served, though its request comes only
  * when the entry takes no new connections any more. */
 static void
-test_planned_stop_before_the_request (void)
+test_planned_stop_before_request (void)
 {
   static const char request[] = "GET /healthz HTTP/1.1\r\nHost: entry\r\n\r\n";
   struct fleet fleet;
@@ -474,19 +474,19 @@
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
   port = fleet.entries[0].http_port;
-  fd = open_raw (port);
+  fd = raw_connect (port);
   kill (fleet.entries[0].pid, SIGTERM);
-  for (int i = 0; i < 100 && (late = open_raw (port)) >= 0; i++)
+  for (int i = 0; i < 100 && (late = raw_connect (port)) >= 0; i++)
     {
       close (late);
-      fleet_sleep (50);
+      fleet_sleep_ms (50);
     }
   CU_ASSERT (late < 0);
-  send_raw (fd, request, sizeof request - 1);
-  CU_ASSERT (read_to_close (fd, text, sizeof text));
+  raw_send (fd, request, sizeof request - 1);
+  CU_ASSERT (raw_read_until_closed (fd, text, sizeof text));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, " 200 "));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "Connection: close"));
-  CU_ASSERT_EQUAL (fleet_end (&fleet.entries[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.entries[0].pid, 0), 0);
   fleet_stop (&fleet);
 }
 
@@ -502,20 +502,20 @@
  * take 600 s. Operators wait for some seconds, then kill; callers saw answers cut without a word,
  * and could not know of their orders. Now each gets a final answer, and the process ends itself. */
 static void
-test_stop_of_entry_ends (void)
+test_entry_stop_grace (void)
 {
   struct fleet fleet;
   struct fleet_call stream;
   struct fleet_call order;
 
   fleet_start (&fleet, SHORT_GRACE);
-  fleet_chat (&fleet, &stream, 0, true, LONG_TOKENS);
-  fleet_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, ALL_DAY_MS);
+  fleet_begin_chat (&fleet, &stream, 0, true, LONG_TOKENS);
+  fleet_begin_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, ALL_DAY_MS);
   CU_ASSERT (wait_model_run (&fleet));
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
-  CU_ASSERT_EQUAL (fleet_end (&fleet.entries[0].pid, SIGTERM), 0);
-  fleet_wait (&stream);
-  fleet_wait (&order);
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.entries[0].pid, SIGTERM), 0);
+  fleet_wait_call (&stream);
+  fleet_wait_call (&order);
   CU_ASSERT_FALSE (stream.answer.whole);
   CU_ASSERT_PTR_NOT_NULL (
       strstr (stream.answer.body ? stream.answer.body : "", "\"code\":\"stopped\""));
@@ -528,7 +528,7 @@
 
 /* The same of agents. What may be repeated goes on at another endpoint, and comes whole. */
 static void
-test_stop_of_agents_ends (void)
+test_agent_stop_grace (void)
 {
   struct fleet fleet;
   struct fleet_call calls[LOAD_STREAMS];
@@ -536,21 +536,21 @@
 
   fleet_start (&fleet, SHORT_GRACE);
   for (int i = 0; i < LOAD_STREAMS; i++)
-    fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, false, LONG_TOKENS / 8);
-  fleet_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, ALL_DAY_MS);
+    fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, false, LONG_TOKENS / 8);
+  fleet_begin_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, ALL_DAY_MS);
   CU_ASSERT (wait_runs (&fleet, 0, "runs", 1));
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
-  CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[0].pid, SIGTERM), 0);
-  CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGTERM), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[0].pid, SIGTERM), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGTERM), 0);
   for (int i = 0; i < LOAD_STREAMS; i++)
     {
-      fleet_wait (&calls[i]);
+      fleet_wait_call (&calls[i]);
       CU_ASSERT_EQUAL (calls[i].answer.status, 200);
       CU_ASSERT (calls[i].answer.whole);
       CU_ASSERT_STRING_EQUAL (calls[i].answer.endpoint, "model-2");
       ash_cli_answer_finish (&calls[i].answer);
     }
-  fleet_wait (&order);
+  fleet_wait_call (&order);
   CU_ASSERT_EQUAL (order.answer.status, 502);
   CU_ASSERT_STRING_EQUAL (order.answer.outcome, "unknown");
   ash_cli_answer_finish (&order.answer);
@@ -559,7 +559,7 @@
 
 /* @return whether the process ends by itself, properly, within 10 s. */
 static bool
-ends_itself (pid_t *pid)
+exits_cleanly (pid_t *pid)
 {
   int status = 0;
 
@@ -570,7 +570,7 @@
           *pid = 0;
           return WIFEXITED (status) && WEXITSTATUS (status) == 0;
         }
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   return false;
 }
@@ -584,10 +584,10 @@
   int fd;
 
   fleet_start (&fleet, SHORT_GRACE "upload_ms = 60000\n");
-  fd = open_raw (fleet.entries[0].http_port);
+  fd = raw_connect (fleet.entries[0].http_port);
   CU_ASSERT (fd >= 0);
   kill (fleet.entries[0].pid, SIGTERM);
-  CU_ASSERT (ends_itself (&fleet.entries[0].pid));
+  CU_ASSERT (exits_cleanly (&fleet.entries[0].pid));
   close (fd);
   fleet_stop (&fleet);
 }
@@ -595,7 +595,7 @@
 /* From one source alone, the platform's list, and heard by one entry alone:
  * the other learns it from that one. */
 static void
-test_leaving_by_the_list (void)
+test_leaving_by_platform_list (void)
 {
   struct fleet fleet;
   struct fleet_call calls[LOAD_STREAMS];
@@ -605,17 +605,17 @@
   fleet_control (fleet.platform_port, "/control/box?box=model-1&state=leaving");
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS - 1));
-  before = fleet_runs (&fleet, 0, NULL, "runs");
+  before = fleet_count_runs (&fleet, 0, NULL, "runs");
   for (int i = 0; i < LOAD_STREAMS; i++)
-    fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
+    fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
   expect_streams (calls, 3);
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, 0, NULL, "runs"), before);
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, 0, NULL, "runs"), before);
   fleet_stop (&fleet);
 }
 
 /* The agent's own signal, while the list lags and says it is live. */
 static void
-test_leaving_by_its_own_word (void)
+test_leaving_by_agent_signal (void)
 {
   struct fleet fleet;
   struct fleet_call slow;
@@ -623,17 +623,17 @@
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_control (fleet.platform_port, "/control/mode?lag_ms=30000");
-  fleet_order (&fleet, &slow, 0, NULL, 0, 1000, 0);
+  fleet_begin_order (&fleet, &slow, 0, NULL, 0, 1000, 0);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
   kill (fleet.endpoints[FLEET_STOCK].pid, SIGTERM);
   CU_ASSERT (fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS - 1));
-  fleet_order (&fleet, &order, 1, NULL, 0, 1, 0);
-  fleet_wait (&order);
-  CU_ASSERT (told (&order, "not-run"));
-  fleet_wait (&slow);
-  CU_ASSERT (told (&slow, "ran"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
-  CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[FLEET_STOCK].pid, 0), 0);
+  fleet_begin_order (&fleet, &order, 1, NULL, 0, 1, 0);
+  fleet_wait_call (&order);
+  CU_ASSERT (has_outcome (&order, "not-run"));
+  fleet_wait_call (&slow);
+  CU_ASSERT (has_outcome (&slow, "ran"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, 0), 0);
   ash_cli_answer_finish (&order.answer);
   ash_cli_answer_finish (&slow.answer);
   fleet_stop (&fleet);
@@ -642,34 +642,34 @@
 /* One entry alone hears of it; the other, which can't read the platform, learns
  * it from that one. */
 static void
-test_leaving_by_hearsay (void)
+test_leaving_learned_from_peer (void)
 {
   struct fleet fleet;
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
-  fleet_end (&fleet.entries[1].pid, SIGKILL);
+  fleet_end_process (&fleet.entries[1].pid, SIGKILL);
   fleet.entries[1].platform_port = fleet.endpoints[0].peer_port;
   fleet_start_entry (&fleet, 1);
   CU_ASSERT (fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS));
   fleet_control (fleet.platform_port, "/control/box?box=model-1&state=leaving");
   CU_ASSERT (fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS - 1));
-  CU_ASSERT (fleet_log_count (&fleet, "entry-2", " 303 box_leaving ") > 0);
-  CU_ASSERT_EQUAL (fleet_log_count (&fleet, "entry-2", "box=model-1 source=platform"), 0);
+  CU_ASSERT (fleet_count_log_lines (&fleet, "entry-2", " 303 box_leaving ") > 0);
+  CU_ASSERT_EQUAL (fleet_count_log_lines (&fleet, "entry-2", "box=model-1 source=platform"), 0);
   fleet_stop (&fleet);
 }
 
 /* A caller that knows both entries: where one does not take its connection, it
  * goes to the other. */
 static void
-call_either (struct fleet *fleet, int e, int *bad)
+call_with_failover (struct fleet *fleet, int e, int *bad)
 {
-  int64_t started_ms = fleet_now ();
+  int64_t started_ms = fleet_now_ms ();
   struct fleet_call call;
 
   for (int i = 0; i < 2; i++)
     {
-      fleet_chat (fleet, &call, (e + i) % FLEET_ENTRIES, true, 5);
-      fleet_wait (&call);
+      fleet_begin_chat (fleet, &call, (e + i) % FLEET_ENTRIES, true, 5);
+      fleet_wait_call (&call);
       if (call.answer.connected)
         break;
       ash_cli_answer_finish (&call.answer);
@@ -677,7 +677,7 @@
   if (!fleet_stream_ok (&call.answer, 5))
     {
       fprintf (stderr, "one by one: after %lld ms, status %ld: %s\n",
-               (long long) (fleet_now () - started_ms), call.answer.status,
+               (long long) (fleet_now_ms () - started_ms), call.answer.status,
                call.answer.body ? call.answer.body : call.answer.error);
       (*bad)++;
     }
@@ -694,12 +694,12 @@
 };
 
 static void *
-keep_calling_either (void *data)
+keep_calling_with_failover (void *data)
 {
   struct callers *callers = data;
 
   while (!callers->stop)
-    call_either (callers->fleet, callers->entry, &callers->bad);
+    call_with_failover (callers->fleet, callers->entry, &callers->bad);
   return NULL;
 }
 
@@ -716,18 +716,18 @@
     {
       callers[i].fleet = &fleet;
       callers[i].entry = i % FLEET_ENTRIES;
-      pthread_create (&callers[i].thread, NULL, keep_calling_either, &callers[i]);
+      pthread_create (&callers[i].thread, NULL, keep_calling_with_failover, &callers[i]);
     }
   for (int a = 0; a < FLEET_MODELS; a++)
     {
-      CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[a].pid, SIGTERM), 0);
+      CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[a].pid, SIGTERM), 0);
       fleet_start_endpoint (&fleet, a);
       for (int e = 0; e < FLEET_ENTRIES; e++)
         CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS));
     }
   for (int e = 0; e < FLEET_ENTRIES; e++)
     {
-      CU_ASSERT_EQUAL (fleet_end (&fleet.entries[e].pid, SIGTERM), 0);
+      CU_ASSERT_EQUAL (fleet_end_process (&fleet.entries[e].pid, SIGTERM), 0);
       fleet_start_entry (&fleet, e);
       CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS));
     }
@@ -744,7 +744,7 @@
 /* An engine stops in the middle: what waits for it is answered by the other, and so
  * is what comes; what it had begun goes on with it. */
 static void
-test_engine_stands_still (void)
+test_engine_stalled (void)
 {
   static struct fleet_call calls[LOAD_STREAMS];
   struct fleet fleet;
@@ -753,28 +753,28 @@
   fleet_start (&fleet, NO_GUARD_SETTINGS);
   do
     {
-      fleet_chat (&fleet, &begun, 0, true, 400);
-      fleet_sleep (200);
-      if (fleet_runs (&fleet, 0, NULL, "runs") > fleet_runs (&fleet, 0, NULL, "ended"))
+      fleet_begin_chat (&fleet, &begun, 0, true, 400);
+      fleet_sleep_ms (200);
+      if (fleet_count_runs (&fleet, 0, NULL, "runs") > fleet_count_runs (&fleet, 0, NULL, "ended"))
         break;
-      fleet_wait (&begun);
+      fleet_wait_call (&begun);
       ash_cli_answer_finish (&begun.answer);
     }
   while (true);
   kill (fleet.endpoints[0].engine, SIGSTOP);
   for (int i = 0; i < LOAD_STREAMS; i++)
-    fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 5);
+    fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 5);
   expect_streams (calls, 5);
-  CU_ASSERT (fleet_log_count (&fleet, "model-1", " 505 stalled ") > 0);
+  CU_ASSERT (fleet_count_log_lines (&fleet, "model-1", " 505 stalled ") > 0);
   kill (fleet.endpoints[0].engine, SIGCONT);
-  fleet_wait (&begun);
+  fleet_wait_call (&begun);
   CU_ASSERT (fleet_stream_ok (&begun.answer, 400));
   ash_cli_answer_finish (&begun.answer);
   fleet_stop (&fleet);
 }
 
 /* A box dies and comes back again and again: each life is taken for what it is. Orders
- * run at most once, none that was told "not run" has run, and in the end it serves. */
+ * run at most once, none that was has_outcome "not run" has run, and in the end it serves. */
 static void
 test_flapping_box (void)
 {
@@ -791,30 +791,31 @@
 
       if (i % 4 == 0)
         {
-          fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
+          fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
           fleet_start_endpoint (&fleet, FLEET_STOCK);
         }
       sprintf (key, "order-%d", i);
-      fleet_order (&fleet, &orders[i], i % FLEET_ENTRIES, key, 1, 20, 3000);
-      fleet_sleep (40);
+      fleet_begin_order (&fleet, &orders[i], i % FLEET_ENTRIES, key, 1, 20, 3000);
+      fleet_sleep_ms (40);
     }
   for (int i = 0; i < LOAD_STREAMS; i++)
     {
-      fleet_wait (&orders[i]);
-      told_ran += told (&orders[i], "ran");
-      told_unknown += told (&orders[i], "unknown");
-      CU_ASSERT (told (&orders[i], "ran") || told (&orders[i], "unknown") ||
-                 told (&orders[i], "not-run"));
-      if (told (&orders[i], "not-run"))
-        CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, orders[i].answer.request_id, "runs"), 0);
-      CU_ASSERT (fleet_runs (&fleet, FLEET_STOCK, orders[i].answer.request_id, "runs") <= 1);
+      fleet_wait_call (&orders[i]);
+      told_ran += has_outcome (&orders[i], "ran");
+      told_unknown += has_outcome (&orders[i], "unknown");
+      CU_ASSERT (has_outcome (&orders[i], "ran") || has_outcome (&orders[i], "unknown") ||
+                 has_outcome (&orders[i], "not-run"));
+      if (has_outcome (&orders[i], "not-run"))
+        CU_ASSERT_EQUAL (
+            fleet_count_runs (&fleet, FLEET_STOCK, orders[i].answer.request_id, "runs"), 0);
+      CU_ASSERT (fleet_count_runs (&fleet, FLEET_STOCK, orders[i].answer.request_id, "runs") <= 1);
       ash_cli_answer_finish (&orders[i].answer);
     }
-  CU_ASSERT (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs") <= told_ran + told_unknown);
+  CU_ASSERT (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs") <= told_ran + told_unknown);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS));
   for (int i = 0; i < LOAD_STREAMS; i++)
-    fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
+    fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
   expect_streams (calls, 3);
   fleet_stop (&fleet);
 }
@@ -836,15 +837,15 @@
   for (int a = 0; a < FLEET_MODELS; a++)
     fleet_control (fleet.endpoints[a].http_port, "/control?drop=1");
   for (int i = 0; i < CALLS; i++)
-    fleet_chat (&fleet, &calls[i], 0, false, 5);
+    fleet_begin_chat (&fleet, &calls[i], 0, false, 5);
   for (int i = 0; i < CALLS; i++)
     {
-      fleet_wait (&calls[i]);
-      CU_ASSERT (told (&calls[i], "unknown"));
+      fleet_wait_call (&calls[i]);
+      CU_ASSERT (has_outcome (&calls[i], "unknown"));
       CU_ASSERT (calls[i].answer.retry_ms > 0);
       ash_cli_answer_finish (&calls[i].answer);
     }
-  runs = fleet_runs (&fleet, 0, NULL, "runs") + fleet_runs (&fleet, 1, NULL, "runs");
+  runs = fleet_count_runs (&fleet, 0, NULL, "runs") + fleet_count_runs (&fleet, 1, NULL, "runs");
   CU_ASSERT (runs > CALLS);
   CU_ASSERT (runs <= CALLS + BUDGET);
   fleet_stop (&fleet);
@@ -852,25 +853,25 @@
 
 /* Two at once: the link to the endpoint is cut, then the entry is killed. */
 static void
-test_cut_and_kill (void)
+test_link_cut_and_entry_killed (void)
 {
   struct fleet fleet;
   struct fleet_call calls[2];
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
-  wait_guard ();
-  fleet_order (&fleet, &calls[0], 0, "order-1", 1, 800, 0);
+  wait_guard_period ();
+  fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 800, 0);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
   fleet_control (fleet.endpoints[FLEET_STOCK].control_port, "/control?mode=1");
-  fleet_end (&fleet.entries[0].pid, SIGKILL);
-  fleet_wait (&calls[0]);
-  fleet_sleep (1000);
+  fleet_end_process (&fleet.entries[0].pid, SIGKILL);
+  fleet_wait_call (&calls[0]);
+  fleet_sleep_ms (1000);
   fleet_control (fleet.endpoints[FLEET_STOCK].control_port, "/control?mode=0");
   CU_ASSERT (fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS));
-  fleet_order (&fleet, &calls[1], 1, "order-1", 2, 800, 0);
-  fleet_wait (&calls[1]);
-  CU_ASSERT (told (&calls[1], "ran"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  fleet_begin_order (&fleet, &calls[1], 1, "order-1", 2, 800, 0);
+  fleet_wait_call (&calls[1]);
+  CU_ASSERT (has_outcome (&calls[1], "ran"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
@@ -886,8 +887,8 @@
   const char *body;
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
-  fleet_order (&fleet, &call, 0, NULL, 0, 0, 0);
-  fleet_wait (&call);
+  fleet_begin_order (&fleet, &call, 0, NULL, 0, 0, 0);
+  fleet_wait_call (&call);
   ash_cli_answer_finish (&call.answer);
   snprintf (call.url, sizeof call.url,
             "http://127.0.0.1:%u/v1/services/stock/a%%20b%%3Fc/d?work_ms=0",
@@ -904,30 +905,30 @@
   { "one key through two entries runs once", test_one_key_two_entries },
   { "an entry is killed", test_entry_killed },
   { "an agent is killed", test_agent_killed },
-  { "a young life runs no caller's key", test_young_life_runs_no_key },
+  { "a young life runs no caller's key", test_new_incarnation_runs_no_key },
   { "a minted key", test_minted_key },
   { "an entry is paused past the deadline", test_entry_paused },
-  { "200 streams over a cut", test_streams_over_a_cut },
+  { "200 streams over a cut", test_streams_over_link_cut },
   { "a cut one way", test_one_way_cut },
   { "a broken stream says so", test_broken_stream },
-  { "an engine drops a request", test_dropped_by_the_engine },
+  { "an engine drops a request", test_dropped_by_engine },
   { "an engine is down", test_engine_down },
-  { "cancel: the caller goes away", test_cancel_caller_gone },
+  { "cancel: the caller goes away", test_cancel_caller_disconnected },
   { "cancel: the entry is killed", test_cancel_entry_killed },
   { "planned stop of agents under load", test_planned_stop_of_agents },
   { "planned stop of an entry", test_planned_stop_of_entry },
-  { "planned stop: connected, and asks late", test_planned_stop_before_the_request },
-  { "planned stop of an entry has an end", test_stop_of_entry_ends },
-  { "planned stop of agents has an end", test_stop_of_agents_ends },
+  { "planned stop: connected, and asks late", test_planned_stop_before_request },
+  { "planned stop of an entry has an end", test_entry_stop_grace },
+  { "planned stop of agents has an end", test_agent_stop_grace },
   { "planned stop: a silent caller does not hold it", test_stop_with_silent_caller },
-  { "leaving by the platform's list", test_leaving_by_the_list },
-  { "leaving by its own word", test_leaving_by_its_own_word },
-  { "leaving by hearsay", test_leaving_by_hearsay },
+  { "leaving by the platform's list", test_leaving_by_platform_list },
+  { "leaving by its own word", test_leaving_by_agent_signal },
+  { "leaving by hearsay", test_leaving_learned_from_peer },
   { "restart one by one under load", test_restart_one_by_one },
-  { "an engine stands still", test_engine_stands_still },
+  { "an engine stands still", test_engine_stalled },
   { "a box that flaps", test_flapping_box },
   { "a failing service gets no storm of retries", test_no_retry_storm },
-  { "a cut and a kill", test_cut_and_kill },
+  { "a cut and a kill", test_link_cut_and_entry_killed },
   { "escapes in a path", test_escaped_path },
   { NULL, NULL },
 };
--- a/test/fleet.c
+++ b/test/fleet.c
@@ -23,14 +23,14 @@
 #define WAIT_LIVE_MS 10000
 
 /* Ports are given out in blocks, below those of outgoing connections. */
-#define PORTS_START 10000
+#define FIRST_PORT 10000
 #define BLOCK_PORTS 64
-#define EPHEMERAL_START 32768
+#define EPHEMERAL_FIRST_PORT 32768
 
 static const char *const endpoint_names[FLEET_ENDPOINTS] = { "model-1", "model-2", "stock-1" };
 
 void
-fleet_sleep (int64_t wait_ms)
+fleet_sleep_ms (int64_t wait_ms)
 {
   struct timespec ts = { wait_ms / 1000, wait_ms % 1000 * 1000000 };
 
@@ -38,7 +38,7 @@
 }
 
 int64_t
-fleet_now (void)
+fleet_now_ms (void)
 {
   return ash_clock_now ().ms;
 }
@@ -46,7 +46,7 @@
 /* ---- processes ---- */
 
 static const char *
-program (const char *name)
+program_path (const char *name)
 {
   static char path[256];
   const char *folder = getenv ("ASH_BUILD");
@@ -65,7 +65,7 @@
   int count = 1;
   int fd;
 
-  arguments[0] = strdup (program (name));
+  arguments[0] = strdup (program_path (name));
   va_start (args, name);
   while (count < 7 && (arguments[count] = va_arg (args, char *)))
     count++;
@@ -85,7 +85,7 @@
 }
 
 int
-fleet_end (pid_t *pid, int signal)
+fleet_end_process (pid_t *pid, int signal)
 {
   int status = 0;
 
@@ -106,12 +106,12 @@
 ephemeral_start (void)
 {
   FILE *file = fopen ("/proc/sys/net/ipv4/ip_local_port_range", "r");
-  unsigned start = EPHEMERAL_START;
+  unsigned start = EPHEMERAL_FIRST_PORT;
 
   if (!file)
-    return EPHEMERAL_START;
-  if (fscanf (file, "%u", &start) != 1 || start <= PORTS_START + BLOCK_PORTS)
-    start = EPHEMERAL_START;
+    return EPHEMERAL_FIRST_PORT;
+  if (fscanf (file, "%u", &start) != 1 || start <= FIRST_PORT + BLOCK_PORTS)
+    start = EPHEMERAL_FIRST_PORT;
   fclose (file);
   return (uint16_t) start;
 }
@@ -133,7 +133,7 @@
 /* A block is this process's while it holds the UDP port of the block's first
  * number: tests that run side by side get different ports. */
 static bool
-take_block (uint16_t first, uint16_t *ports, int count)
+reserve_port_block (uint16_t first, uint16_t *ports, int count)
 {
   int lock = bind_port (SOCK_DGRAM, first);
 
@@ -157,11 +157,11 @@
 void
 fleet_free_ports (uint16_t *ports, int count)
 {
-  int blocks = (ephemeral_start () - PORTS_START) / BLOCK_PORTS;
+  int blocks = (ephemeral_start () - FIRST_PORT) / BLOCK_PORTS;
 
   for (int i = 0; i < blocks; i++)
-    if (take_block ((uint16_t) (PORTS_START + (getpid () + i) % blocks * BLOCK_PORTS), ports,
-                    count))
+    if (reserve_port_block ((uint16_t) (FIRST_PORT + (getpid () + i) % blocks * BLOCK_PORTS), ports,
+                            count))
       return;
   fprintf (stderr, "no free ports\n");
   exit (EXIT_FAILURE);
@@ -283,7 +283,7 @@
 /* ---- the whole ---- */
 
 static void
-name_boxes (struct fleet *fleet)
+init_boxes (struct fleet *fleet)
 {
   uint16_t ports[1 + 2 * FLEET_ENTRIES + 4 * FLEET_ENDPOINTS];
   int next = 0;
@@ -339,7 +339,7 @@
   strcpy (fleet->folder, "/tmp/ash-fleet-XXXXXX");
   if (!mkdtemp (fleet->folder))
     return;
-  name_boxes (fleet);
+  init_boxes (fleet);
   write_document (fleet, "", text);
   file = open_file (fleet, "published.toml");
   fputs (text, file);
@@ -365,14 +365,14 @@
   char command[160];
 
   for (int e = 0; e < FLEET_ENTRIES; e++)
-    fleet_end (&fleet->entries[e].pid, SIGKILL);
+    fleet_end_process (&fleet->entries[e].pid, SIGKILL);
   for (int a = 0; a < FLEET_ENDPOINTS; a++)
     {
-      fleet_end (&fleet->endpoints[a].pid, SIGKILL);
-      fleet_end (&fleet->endpoints[a].engine, SIGKILL);
-      fleet_end (&fleet->endpoints[a].link, SIGKILL);
+      fleet_end_process (&fleet->endpoints[a].pid, SIGKILL);
+      fleet_end_process (&fleet->endpoints[a].engine, SIGKILL);
+      fleet_end_process (&fleet->endpoints[a].link, SIGKILL);
     }
-  fleet_end (&fleet->platform, SIGKILL);
+  fleet_end_process (&fleet->platform, SIGKILL);
   if (getenv ("FLEET_KEEP"))
     {
       fprintf (stderr, "logs: %s\n", fleet->folder);
@@ -386,7 +386,7 @@
 /* ---- what an entry knows ---- */
 
 static json_t *
-ask_status (struct fleet *fleet, int e)
+fetch_status (struct fleet *fleet, int e)
 {
   char url[128];
   struct ash_cli_request request = { .url = url, .method = "GET", .deadline_ms = 1 };
@@ -422,17 +422,17 @@
 bool
 fleet_wait_live (struct fleet *fleet, int e, int count)
 {
-  int64_t until_ms = fleet_now () + WAIT_LIVE_MS;
+  int64_t until_ms = fleet_now_ms () + WAIT_LIVE_MS;
   bool ok = false;
 
-  while (!ok && fleet_now () < until_ms)
+  while (!ok && fleet_now_ms () < until_ms)
     {
-      json_t *status = ask_status (fleet, e);
+      json_t *status = fetch_status (fleet, e);
 
       ok = count_live (status) == count;
       json_decref (status);
       if (!ok)
-        fleet_sleep (20);
+        fleet_sleep_ms (20);
     }
   return ok;
 }
@@ -440,7 +440,7 @@
 int64_t
 fleet_revision (struct fleet *fleet, int e)
 {
-  json_t *status = ask_status (fleet, e);
+  json_t *status = fetch_status (fleet, e);
   int64_t revision = json_integer_value (json_object_get (status, "revision"));
 
   json_decref (status);
@@ -448,7 +448,7 @@
 }
 
 int
-fleet_log_count (struct fleet *fleet, const char *box, const char *text)
+fleet_count_log_lines (struct fleet *fleet, const char *box, const char *text)
 {
   char path[160];
   char line[2048];
@@ -472,21 +472,21 @@
   struct fleet_call *call = data;
 
   ash_cli_fetch (&call->request, &call->answer);
-  call->took_ms = fleet_now () - call->started_ms;
+  call->took_ms = fleet_now_ms () - call->started_ms;
   return NULL;
 }
 
 static void
-begin (struct fleet_call *call)
+begin_call (struct fleet_call *call)
 {
   call->request.url = call->url;
   call->request.key = BEARER;
-  call->started_ms = fleet_now ();
+  call->started_ms = fleet_now_ms ();
   pthread_create (&call->thread, NULL, run_call, call);
 }
 
 void
-fleet_chat (struct fleet *fleet, struct fleet_call *call, int e, bool stream, int tokens)
+fleet_begin_chat (struct fleet *fleet, struct fleet_call *call, int e, bool stream, int tokens)
 {
   static const char *const bodies[] = {
     "{\"model\":\"model\",\"stream\":false,\"max_tokens\":%d}",
@@ -499,17 +499,17 @@
             fleet->entries[e].http_port);
   call->request.method = "POST";
   call->request.body = call->key;
-  begin (call);
+  begin_call (call);
 }
 
 void
-fleet_order (struct fleet *fleet,
-             struct fleet_call *call,
-             int e,
-             const char *key,
-             unsigned attempt,
-             int work_ms,
-             unsigned deadline_ms)
+fleet_begin_order (struct fleet *fleet,
+                   struct fleet_call *call,
+                   int e,
+                   const char *key,
+                   unsigned attempt,
+                   int work_ms,
+                   unsigned deadline_ms)
 {
   *call = (struct fleet_call){ 0 };
   snprintf (call->url, sizeof call->url, "http://127.0.0.1:%u/v1/services/stock/orders?work_ms=%d",
@@ -524,11 +524,11 @@
       snprintf (call->key, sizeof call->key, "%s", key);
       call->request.idempotency_key = call->key;
     }
-  begin (call);
+  begin_call (call);
 }
 
 bool
-fleet_mint (struct fleet *fleet, int e, const char *service, char key[256])
+fleet_mint_key (struct fleet *fleet, int e, const char *service, char key[256])
 {
   char url[160];
   struct ash_cli_request request = { .url = url, .method = "POST", .key = BEARER };
@@ -548,13 +548,13 @@
 }
 
 void
-fleet_wait (struct fleet_call *call)
+fleet_wait_call (struct fleet_call *call)
 {
   pthread_join (call->thread, NULL);
 }
 
 int
-fleet_runs (struct fleet *fleet, int a, const char *id, const char *kind)
+fleet_count_runs (struct fleet *fleet, int a, const char *id, const char *kind)
 {
   char url[128];
   struct ash_cli_request request = { .url = url, .method = "GET" };
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -69,29 +69,30 @@
 bool fleet_wait_live (struct fleet *fleet, int e, int count);
 
 /** Ends a process by signal and waits for it. @return its exit status, or -1 if killed. */
-int fleet_end (pid_t *pid, int signal);
+int fleet_end_process (pid_t *pid, int signal);
 
 /** Begins a chat completion; @p tokens as long. */
-void fleet_chat (struct fleet *fleet, struct fleet_call *call, int e, bool stream, int tokens);
+void
+fleet_begin_chat (struct fleet *fleet, struct fleet_call *call, int e, bool stream, int tokens);
 
 /** Begins an order: a plain call that may not be repeated. */
-void fleet_order (struct fleet *fleet,
-                  struct fleet_call *call,
-                  int e,
-                  const char *key,
-                  unsigned attempt,
-                  int work_ms,
-                  unsigned deadline_ms);
+void fleet_begin_order (struct fleet *fleet,
+                        struct fleet_call *call,
+                        int e,
+                        const char *key,
+                        unsigned attempt,
+                        int work_ms,
+                        unsigned deadline_ms);
 
 /** Mints a key for a service at an entry. @return false if that fails. */
-bool fleet_mint (struct fleet *fleet, int e, const char *service, char key[256]);
+bool fleet_mint_key (struct fleet *fleet, int e, const char *service, char key[256]);
 
 /** Waits for its answer. */
-void fleet_wait (struct fleet_call *call);
+void fleet_wait_call (struct fleet_call *call);
 
 /** Runs of a request at an endpoint's engine, of kind "runs", "ended" or "cancelled";
  * of all requests if @p id is NULL. */
-int fleet_runs (struct fleet *fleet, int a, const char *id, const char *kind);
+int fleet_count_runs (struct fleet *fleet, int a, const char *id, const char *kind);
 
 /** Sets an engine's, a link's or the platform's behaviour: a query string. */
 void fleet_control (uint16_t port, const char *path_and_query);
@@ -105,8 +106,8 @@
 /** Whether a streamed answer is whole and all of it of its own request. */
 bool fleet_stream_ok (const struct ash_cli_answer *answer, int tokens);
 
-void fleet_sleep (int64_t wait_ms);
-int64_t fleet_now (void);
+void fleet_sleep_ms (int64_t wait_ms);
+int64_t fleet_now_ms (void);
 
 /** Starts a program of the build with its output in FOLDER/LOG_NAME.log; the
  * arguments end with NULL. */
@@ -116,6 +117,6 @@
 void fleet_free_ports (uint16_t *ports, int count);
 
 /** How many lines of a daemon's log hold the text. */
-int fleet_log_count (struct fleet *fleet, const char *box, const char *text);
+int fleet_count_log_lines (struct fleet *fleet, const char *box, const char *text);
 
 #endif
--- a/test/group_fleet.c
+++ b/test/group_fleet.c
@@ -10,7 +10,7 @@
 #define EXPERTS "16"
 #define RANK_SLOTS "6"
 #define READER_HASH "ff441166ff333af23597d85f9f9816c3383491817c383c90cc400abe097cda82"
-#define PATIENCE_MS 10000
+#define TIMEOUT_MS 10000
 
 static FILE *
 open_file (const struct group_fleet *group, const char *name)
@@ -35,11 +35,11 @@
     fprintf (file,
              "[[endpoint]]\nbox = \"m%d\"\nservice = \"model\"\nhall = \"h\"\npeer = "
              "\"127.0.0.1:%u\"\ngroup = \"g\"\nrank = %d\nchecks_orders = %s\n",
-             r, group->ports[4 + r], r, group->unchecked ? "false" : "true");
+             r, group->ports[4 + r], r, group->unfenced ? "false" : "true");
 }
 
 void
-group_fleet_declare (const struct group_fleet *group, int expert)
+group_fleet_declare_event (const struct group_fleet *group, int expert)
 {
   char *text = NULL;
   size_t length = 0;
@@ -99,10 +99,10 @@
   char command[160];
 
   for (int r = 0; r < GROUP_RANKS; r++)
-    fleet_end (&group->agents[r], SIGKILL);
-  fleet_end (&group->entry, SIGKILL);
-  fleet_end (&group->engines, SIGKILL);
-  fleet_end (&group->platform, SIGKILL);
+    fleet_end_process (&group->agents[r], SIGKILL);
+  fleet_end_process (&group->entry, SIGKILL);
+  fleet_end_process (&group->engines, SIGKILL);
+  fleet_end_process (&group->platform, SIGKILL);
   if (getenv ("FLEET_KEEP"))
     {
       fprintf (stderr, "logs: %s\n", group->folder);
@@ -114,7 +114,7 @@
 }
 
 int64_t
-group_fleet_check (const struct group_fleet *group, const char *what)
+group_fleet_read_counter (const struct group_fleet *group, const char *what)
 {
   char url[64];
   struct ash_cli_request request = { .url = url, .method = "GET" };
@@ -134,19 +134,19 @@
 bool
 group_fleet_wait (const struct group_fleet *group, const char *what, int64_t least)
 {
-  int64_t until_ms = fleet_now () + PATIENCE_MS;
+  int64_t until_ms = fleet_now_ms () + TIMEOUT_MS;
 
-  while (group_fleet_check (group, what) < least)
+  while (group_fleet_read_counter (group, what) < least)
     {
-      if (fleet_now () > until_ms)
+      if (fleet_now_ms () > until_ms)
         return false;
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   return true;
 }
 
 static void
-start_group (struct group_fleet *group, bool unchecked)
+start_group (struct group_fleet *group, bool unfenced)
 {
   char port[8];
   char path[128];
@@ -154,7 +154,7 @@
   char rest[512];
   FILE *file;
 
-  *group = (struct group_fleet){ .folder = "/tmp/ash-group-XXXXXX", .unchecked = unchecked };
+  *group = (struct group_fleet){ .folder = "/tmp/ash-group-XXXXXX", .unfenced = unfenced };
   if (!mkdtemp (group->folder))
     return;
   fleet_free_ports (group->ports, 4 + GROUP_RANKS);
@@ -179,7 +179,7 @@
   /* Orders to a stand-in that does not listen yet would be lost. */
   if (!group_fleet_wait (group, "steps", 1))
     fprintf (stderr, "the stand-in of the group did not come up\n");
-  if (unchecked)
+  if (unfenced)
     fleet_control (group->ports[1], "/control?unchecked=1");
 }
 
@@ -199,7 +199,7 @@
 }
 
 void
-group_fleet_lose (const struct group_fleet *group, int kind)
+group_fleet_drop_orders (const struct group_fleet *group, int kind)
 {
   char path[32];
 
@@ -208,23 +208,23 @@
 }
 
 bool
-group_fleet_wait_still (const struct group_fleet *group)
+group_fleet_wait_stalled (const struct group_fleet *group)
 {
-  int64_t until_ms = fleet_now () + PATIENCE_MS;
+  int64_t until_ms = fleet_now_ms () + TIMEOUT_MS;
   int64_t steps = -1;
-  int64_t now_steps = group_fleet_check (group, "steps");
+  int64_t now_steps = group_fleet_read_counter (group, "steps");
 
-  while (steps != now_steps && fleet_now () < until_ms)
+  while (steps != now_steps && fleet_now_ms () < until_ms)
     {
       steps = now_steps;
-      fleet_sleep (50);
-      now_steps = group_fleet_check (group, "steps");
+      fleet_sleep_ms (50);
+      now_steps = group_fleet_read_counter (group, "steps");
     }
   return steps == now_steps;
 }
 
 void
-group_fleet_start_unchecked (struct group_fleet *group)
+group_fleet_start_unfenced (struct group_fleet *group)
 {
   start_group (group, true);
 }
--- a/test/group_fleet.h
+++ b/test/group_fleet.h
@@ -19,7 +19,7 @@
 {
   char folder[64];
   uint16_t ports[4 + GROUP_RANKS]; /**< platform, engines, entry's two, agents' */
-  bool unchecked;                  /**< the engines check no fence */
+  bool unfenced;                   /**< the engines check no fence */
   pid_t platform;
   pid_t engines;
   pid_t entry;
@@ -30,7 +30,7 @@
 void group_fleet_start (struct group_fleet *group);
 
 /** The same with engines that check no fence. */
-void group_fleet_start_unchecked (struct group_fleet *group);
+void group_fleet_start_unfenced (struct group_fleet *group);
 
 void group_fleet_stop (struct group_fleet *group);
 
@@ -41,16 +41,16 @@
 void group_fleet_make_hot (const struct group_fleet *group, int expert);
 
 /** Declares an event that begins soon, in which one expert will be as hot as that. */
-void group_fleet_declare (const struct group_fleet *group, int expert);
+void group_fleet_declare_event (const struct group_fleet *group, int expert);
 
 /** Loses all orders of a kind (enum of RankOrder; 0: none) from now on. */
-void group_fleet_lose (const struct group_fleet *group, int kind);
+void group_fleet_drop_orders (const struct group_fleet *group, int kind);
 
 /** Waits until the group stands still, between arm and commit. @return false after 10 s. */
-bool group_fleet_wait_still (const struct group_fleet *group);
+bool group_fleet_wait_stalled (const struct group_fleet *group);
 
 /** @return a number of the stand-in's record: steps, differences, changes, longest_wait_ms. */
-int64_t group_fleet_check (const struct group_fleet *group, const char *what);
+int64_t group_fleet_read_counter (const struct group_fleet *group, const char *what);
 
 /** Waits until that number is so large. @return false after 10 s. */
 bool group_fleet_wait (const struct group_fleet *group, const char *what, int64_t least);
--- a/test/groups.c
+++ b/test/groups.c
@@ -15,14 +15,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STEPS_SOON 60 /* a group that goes on has begun so many more within seconds */
+#define MORE_STEPS 60 /* a group that goes on has begun so many more within seconds */
 
 /* The group goes on, and has never run a step with two maps. */
 static void
-assert_in_order (const struct group_fleet *group)
+assert_steps_consistent (const struct group_fleet *group)
 {
-  CU_ASSERT (group_fleet_wait (group, "steps", group_fleet_check (group, "steps") + STEPS_SOON));
-  CU_ASSERT_EQUAL (group_fleet_check (group, "differences"), 0);
+  CU_ASSERT (
+      group_fleet_wait (group, "steps", group_fleet_read_counter (group, "steps") + MORE_STEPS));
+  CU_ASSERT_EQUAL (group_fleet_read_counter (group, "differences"), 0);
 }
 
 static void
@@ -33,7 +34,7 @@
   group_fleet_start (&group);
   group_fleet_make_hot (&group, 3);
   CU_ASSERT (group_fleet_wait (&group, "changes", 1));
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   group_fleet_stop (&group);
 }
 
@@ -47,14 +48,14 @@
   for (int i = 0; i < 6; i++)
     {
       group_fleet_make_hot (&group, 2 * i);
-      fleet_sleep (350 + 37 * i);
-      fleet_end (&group.agents[i % 2], SIGKILL);
-      fleet_sleep (150);
+      fleet_sleep_ms (350 + 37 * i);
+      fleet_end_process (&group.agents[i % 2], SIGKILL);
+      fleet_sleep_ms (150);
       group_fleet_start_agent (&group, i % 2);
     }
   group_fleet_make_hot (&group, 15);
   CU_ASSERT (group_fleet_wait (&group, "changes", 1));
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   group_fleet_stop (&group);
 }
 
@@ -65,9 +66,9 @@
 }
 
 static void
-test_coordinator_killed_unchecked (void)
+test_coordinator_killed_unfenced (void)
 {
-  kill_coordinator (group_fleet_start_unchecked);
+  kill_coordinator (group_fleet_start_unfenced);
 }
 
 /* It is killed when all ranks are armed and none has heard the commit: they hold
@@ -79,15 +80,15 @@
   struct group_fleet group;
 
   group_fleet_start (&group);
-  group_fleet_lose (&group, ASH__RANK_ORDER__KIND__COMMIT);
+  group_fleet_drop_orders (&group, ASH__RANK_ORDER__KIND__COMMIT);
   group_fleet_make_hot (&group, 3);
-  CU_ASSERT (group_fleet_wait_still (&group));
-  fleet_end (&group.agents[0], SIGKILL);
-  group_fleet_lose (&group, ASH__RANK_ORDER__KIND__NONE);
+  CU_ASSERT (group_fleet_wait_stalled (&group));
+  fleet_end_process (&group.agents[0], SIGKILL);
+  group_fleet_drop_orders (&group, ASH__RANK_ORDER__KIND__NONE);
   group_fleet_start_agent (&group, 0);
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   CU_ASSERT (group_fleet_wait (&group, "changes", 1));
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   group_fleet_stop (&group);
 }
 
@@ -103,12 +104,12 @@
   for (int i = 0; i < 3; i++)
     {
       group_fleet_make_hot (&group, 6 + i);
-      fleet_sleep (300 + 50 * i);
+      fleet_sleep_ms (300 + 50 * i);
       kill (group.agents[0], SIGSTOP);
-      fleet_sleep (1500);
+      fleet_sleep_ms (1500);
       kill (group.agents[0], SIGCONT);
     }
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   group_fleet_stop (&group);
 }
 
@@ -119,9 +120,9 @@
 }
 
 static void
-test_coordinator_paused_unchecked (void)
+test_coordinator_paused_unfenced (void)
 {
-  pause_coordinator (group_fleet_start_unchecked);
+  pause_coordinator (group_fleet_start_unfenced);
 }
 
 /* A rank is replaced and forgets all: the others give it their state. */
@@ -139,10 +140,10 @@
 
       snprintf (path, sizeof path, "/replace?rank=%d", r);
       fleet_control (group.ports[1], path);
-      assert_in_order (&group);
+      assert_steps_consistent (&group);
     }
   group_fleet_make_hot (&group, 1);
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   group_fleet_stop (&group);
 }
 
@@ -161,7 +162,7 @@
 
       snprintf (path, sizeof path, "/replace?rank=%d&other=%d", r, (r + 1) % GROUP_RANKS);
       fleet_control (group.ports[1], path);
-      assert_in_order (&group);
+      assert_steps_consistent (&group);
     }
   group_fleet_stop (&group);
 }
@@ -174,11 +175,11 @@
   struct group_fleet group;
 
   group_fleet_start (&group);
-  fleet_sleep (1000);
-  CU_ASSERT_EQUAL (group_fleet_check (&group, "changes"), 0);
-  group_fleet_declare (&group, 5);
+  fleet_sleep_ms (1000);
+  CU_ASSERT_EQUAL (group_fleet_read_counter (&group, "changes"), 0);
+  group_fleet_declare_event (&group, 5);
   CU_ASSERT (group_fleet_wait (&group, "changes", 1));
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   group_fleet_stop (&group);
 }
 
@@ -199,7 +200,7 @@
   group_fleet_start (&group);
   group_fleet_make_hot (&group, 3);
   CU_ASSERT (group_fleet_wait (&group, "changes", 1));
-  fleet_sleep (400);
+  fleet_sleep_ms (400);
   snprintf (url, sizeof url, "http://127.0.0.1:%u/v1/explain/group/g", group.ports[2]);
   ash_cli_fetch (&request, &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
@@ -240,8 +241,8 @@
   CU_add_test (suite, "the coordinator is killed", test_coordinator_killed);
   CU_add_test (suite, "the coordinator is killed before the commit", test_killed_before_commit);
   CU_add_test (suite, "the coordinator is paused", test_coordinator_paused);
-  CU_add_test (suite, "killed, and engines check no fence", test_coordinator_killed_unchecked);
-  CU_add_test (suite, "paused, and engines check no fence", test_coordinator_paused_unchecked);
+  CU_add_test (suite, "killed, and engines check no fence", test_coordinator_killed_unfenced);
+  CU_add_test (suite, "paused, and engines check no fence", test_coordinator_paused_unfenced);
   CU_add_test (suite, "ranks are replaced", test_rank_replaced);
   CU_add_test (suite, "a declared event", test_declared_event);
   CU_add_test (suite, "explain", test_explain);
--- a/test/operators.c
+++ b/test/operators.c
@@ -25,19 +25,20 @@
     CU_ASSERT (wait_revision (&fleet, e, 2));
   /* A bad document is refused, the last accepted one stays. */
   fleet_publish (&fleet, "[[hall]]\nnome = \"h2\"\n", 3);
-  for (int i = 0; i < 200 && !fleet_log_count (&fleet, "entry-1", "place=\"hall[1].nome\""); i++)
-    fleet_sleep (20);
-  CU_ASSERT (fleet_log_count (&fleet, "entry-1", "place=\"hall[1].nome\"") > 0);
+  for (int i = 0; i < 200 && !fleet_count_log_lines (&fleet, "entry-1", "place=\"hall[1].nome\"");
+       i++)
+    fleet_sleep_ms (20);
+  CU_ASSERT (fleet_count_log_lines (&fleet, "entry-1", "place=\"hall[1].nome\"") > 0);
   CU_ASSERT_EQUAL (fleet_revision (&fleet, 0), 2);
   /* The platform goes down; a replaced entry gets it from its peers. */
   fleet_control (fleet.platform_port, "/control/mode?config=1&list=1");
-  fleet_end (&fleet.entries[0].pid, SIGKILL);
+  fleet_end_process (&fleet.entries[0].pid, SIGKILL);
   fleet_start_entry (&fleet, 0);
   CU_ASSERT (wait_revision (&fleet, 0, 2));
   CU_ASSERT (fleet_wait_live (&fleet, 0, FLEET_ENDPOINTS));
   /* It comes back with an older one, which is ignored. */
   fleet_control (fleet.platform_port, "/control/mode?config=3&list=0");
-  fleet_sleep (500);
+  fleet_sleep_ms (500);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT_EQUAL (fleet_revision (&fleet, e), 2);
   fleet_control (fleet.platform_port, "/control/mode?config=0");
@@ -50,7 +51,7 @@
 /* A box that is replaced while the platform answers an older revision never serves
  * with that one: its peers know better. */
 static void
-test_replaced_on_older (void)
+test_replaced_with_older_config (void)
 {
   struct fleet fleet;
 
@@ -61,26 +62,28 @@
   fleet_control (fleet.platform_port, "/control/mode?config=3");
   for (int i = 0; i < 5; i++)
     {
-      fleet_end (&fleet.entries[0].pid, SIGKILL);
+      fleet_end_process (&fleet.entries[0].pid, SIGKILL);
       fleet_start_entry (&fleet, 0);
       CU_ASSERT (fleet_wait_live (&fleet, 0, FLEET_ENDPOINTS));
       CU_ASSERT_EQUAL (fleet_revision (&fleet, 0), 2);
     }
   CU_ASSERT_EQUAL (
-      fleet_log_count (&fleet, "entry-1", " 101 ready box=entry-1 module=daemon revision=1 "), 1);
+      fleet_count_log_lines (&fleet, "entry-1", " 101 ready box=entry-1 module=daemon revision=1 "),
+      1);
   CU_ASSERT_EQUAL (
-      fleet_log_count (&fleet, "entry-1", " 101 ready box=entry-1 module=daemon revision=2 "), 5);
+      fleet_count_log_lines (&fleet, "entry-1", " 101 ready box=entry-1 module=daemon revision=2 "),
+      5);
   fleet_stop (&fleet);
 }
 
 /* Lines of the entries' logs together, where which of them writes one is a race. */
 static int
-count_lines (struct fleet *fleet, const char *how)
+count_entry_log_lines (struct fleet *fleet, const char *how)
 {
   int count = 0;
 
   for (int e = 0; e < FLEET_ENTRIES; e++)
-    count += fleet_log_count (fleet, fleet->entries[e].name, how);
+    count += fleet_count_log_lines (fleet, fleet->entries[e].name, how);
   return count;
 }
 
@@ -93,8 +96,8 @@
   char more[64];
 
   fleet_start (&fleet, NO_GUARD_SETTINGS);
-  CU_ASSERT (count_lines (&fleet, " 205 config_sent ") >= FLEET_ENDPOINTS);
-  CU_ASSERT_EQUAL (count_lines (&fleet, " deltas=1"), 0);
+  CU_ASSERT (count_entry_log_lines (&fleet, " 205 config_sent ") >= FLEET_ENDPOINTS);
+  CU_ASSERT_EQUAL (count_entry_log_lines (&fleet, " deltas=1"), 0);
   for (int i = 2; i < 6; i++)
     {
       sprintf (more, "[[hall]]\nname = \"h%d\"\n", i);
@@ -102,10 +105,11 @@
       for (int e = 0; e < FLEET_ENTRIES; e++)
         CU_ASSERT (wait_revision (&fleet, e, i));
     }
-  CU_ASSERT (count_lines (&fleet, " deltas=1") >= 4 * FLEET_ENDPOINTS);
-  fleet_sleep (300);
+  CU_ASSERT (count_entry_log_lines (&fleet, " deltas=1") >= 4 * FLEET_ENDPOINTS);
+  fleet_sleep_ms (300);
   for (int a = 0; a < FLEET_ENDPOINTS; a++)
-    CU_ASSERT_EQUAL (fleet_log_count (&fleet, fleet.endpoints[a].name, " 200 config_accepted "), 5);
+    CU_ASSERT_EQUAL (
+        fleet_count_log_lines (&fleet, fleet.endpoints[a].name, " 200 config_accepted "), 5);
   fleet_stop (&fleet);
 }
 
@@ -115,19 +119,19 @@
 #define READER_KEY "reader"
 #define OPERATOR_HASH "5604e62b81938269c7bce4225f8735eff69f4cd4ab5e2db275456a74285a173c"
 #define READER_HASH "ff441166ff333af23597d85f9f9816c3383491817c383c90cc400abe097cda82"
-#define OPERATORS                                                                                  \
+#define OPERATOR_SETTINGS                                                                          \
   NO_GUARD_SETTINGS "operator_key_hash = \"" OPERATOR_HASH "\"\nreader_key_hash = \"" READER_HASH  \
                     "\"\n"
 
 /* Asks an operators' path of an entry. @return the answer as JSON. */
 static json_t *
-operate_by (const char *method,
-            struct fleet *fleet,
-            int e,
-            const char *path,
-            const char *key,
-            const char *body,
-            long *status)
+call_operator_api (const char *method,
+                   struct fleet *fleet,
+                   int e,
+                   const char *path,
+                   const char *key,
+                   const char *body,
+                   long *status)
 {
   char url[128];
   struct ash_cli_request request = { .url = url, .method = method, .key = key, .body = body };
@@ -143,10 +147,10 @@
 }
 
 static json_t *
-operate (
+post_operator_api (
     struct fleet *fleet, int e, const char *path, const char *key, const char *body, long *status)
 {
-  return operate_by ("POST", fleet, e, path, key, body, status);
+  return call_operator_api ("POST", fleet, e, path, key, body, status);
 }
 
 static long
@@ -154,7 +158,7 @@
 {
   char *text = json_dumps (plan, 0);
   long status = 0;
-  json_t *root = operate (fleet, e, "/v1/confirm", OPERATOR_KEY, text, &status);
+  json_t *root = post_operator_api (fleet, e, "/v1/confirm", OPERATOR_KEY, text, &status);
   const char *actual =
       json_string_value (json_object_get (json_object_get (root, "error"), "code"));
 
@@ -197,15 +201,16 @@
   char *told;
   long status = 0;
 
-  fleet_start (&fleet, OPERATORS);
-  refused = operate (&fleet, 0, "/v1/plan", "wrong", "x = 1", &status);
+  fleet_start (&fleet, OPERATOR_SETTINGS);
+  refused = post_operator_api (&fleet, 0, "/v1/plan", "wrong", "x = 1", &status);
   CU_ASSERT_EQUAL (status, 401);
   json_decref (refused);
-  first = operate (&fleet, 0, "/v1/plan", OPERATOR_KEY, "[[hall]]\nname = \"h2\"\n", &status);
+  first =
+      post_operator_api (&fleet, 0, "/v1/plan", OPERATOR_KEY, "[[hall]]\nname = \"h2\"\n", &status);
   CU_ASSERT_EQUAL (status, 200);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (first, "changes")), 1);
-  second = operate (&fleet, 1, "/v1/plan", OPERATOR_KEY, "[[account]]\nname = \"a\"\nburst = 7\n",
-                    &status);
+  second = post_operator_api (&fleet, 1, "/v1/plan", OPERATOR_KEY,
+                              "[[account]]\nname = \"a\"\nburst = 7\n", &status);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (second, "not_met")), 0);
   CU_ASSERT_EQUAL (fleet_revision (&fleet, 0), 1);
   /* Both may be confirmed while the base stands; the platform takes one. */
@@ -217,7 +222,7 @@
     CU_ASSERT (wait_revision (&fleet, e, 2));
   CU_ASSERT_EQUAL (confirm (&fleet, 1, second, "base_moved"), 409);
   told = json_dumps (second, 0);
-  refused = operate (&fleet, 1, "/v1/confirm", OPERATOR_KEY, told, &status);
+  refused = post_operator_api (&fleet, 1, "/v1/confirm", OPERATOR_KEY, told, &status);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (json_object_get (refused, "error"), "more")),
                    2);
   json_decref (refused);
@@ -230,16 +235,16 @@
 
 /* Tries to confirm until it is taken. @return whether it was, within a few seconds. */
 static bool
-confirm_soon (struct fleet *fleet, int e, const json_t *plan)
+confirm_with_retry (struct fleet *fleet, int e, const json_t *plan)
 {
   char *text = json_dumps (plan, 0);
   long status = 0;
 
   for (int i = 0; i < 40 && status != 200; i++)
     {
-      json_decref (operate (fleet, e, "/v1/confirm", OPERATOR_KEY, text, &status));
+      json_decref (post_operator_api (fleet, e, "/v1/confirm", OPERATOR_KEY, text, &status));
       if (status != 200)
-        fleet_sleep (100);
+        fleet_sleep_ms (100);
     }
   free (text);
   return status == 200;
@@ -256,14 +261,14 @@
       json_t *plan;
       long status = 0;
 
-      fleet_start (&fleet, OPERATORS "platform_readers = 1\n");
+      fleet_start (&fleet, OPERATOR_SETTINGS "platform_readers = 1\n");
       /* The one that does not read has left it to the other by now. */
-      fleet_sleep (11000);
-      plan = operate (&fleet, 1 - dies, "/v1/plan", OPERATOR_KEY, "[[hall]]\nname = \"h2\"\n",
-                      &status);
+      fleet_sleep_ms (11000);
+      plan = post_operator_api (&fleet, 1 - dies, "/v1/plan", OPERATOR_KEY,
+                                "[[hall]]\nname = \"h2\"\n", &status);
       CU_ASSERT_EQUAL (status, 200);
-      CU_ASSERT_EQUAL (fleet_end (&fleet.entries[dies].pid, SIGKILL), -1);
-      CU_ASSERT (confirm_soon (&fleet, 1 - dies, plan));
+      CU_ASSERT_EQUAL (fleet_end_process (&fleet.entries[dies].pid, SIGKILL), -1);
+      CU_ASSERT (confirm_with_retry (&fleet, 1 - dies, plan));
       json_decref (plan);
       fleet_stop (&fleet);
     }
@@ -285,9 +290,9 @@
   pid_t late;
   long status = 0;
 
-  fleet_start (&fleet, OPERATORS);
+  fleet_start (&fleet, OPERATOR_SETTINGS);
   fleet_free_ports (&late_port, 1);
-  fleet_end (&fleet.entries[1].pid, SIGKILL);
+  fleet_end_process (&fleet.entries[1].pid, SIGKILL);
   fleet.entries[1].platform_port = late_port;
   fleet_start_entry (&fleet, 1);
   CU_ASSERT (wait_revision (&fleet, 1, 1));
@@ -295,11 +300,12 @@
   snprintf (path, sizeof path, "%s/published.toml", fleet.folder);
   late = fleet_spawn (fleet.folder, "late", "standin", "platform", port, path, (char *) NULL);
   CU_ASSERT (fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS));
-  plan = operate (&fleet, 1, "/v1/plan", OPERATOR_KEY, "[[hall]]\nname = \"h2\"\n", &status);
+  plan =
+      post_operator_api (&fleet, 1, "/v1/plan", OPERATOR_KEY, "[[hall]]\nname = \"h2\"\n", &status);
   CU_ASSERT_EQUAL (status, 200);
-  CU_ASSERT (confirm_soon (&fleet, 1, plan));
+  CU_ASSERT (confirm_with_retry (&fleet, 1, plan));
   json_decref (plan);
-  fleet_end (&late, SIGKILL);
+  fleet_end_process (&late, SIGKILL);
   fleet_stop (&fleet);
 }
 
@@ -317,21 +323,21 @@
   fleet_publish (&fleet, "[[hall]]\nname = \"h2\"\n", 2);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (wait_revision (&fleet, e, 2));
-  fleet_sleep (SETTLE_MS);
+  fleet_sleep_ms (SETTLE_MS);
   fleet_control (fleet.platform_port, "/control/mode?config=4&list=1");
   fleet_publish (&fleet, "[[hall]]\nname = \"h3\"\n", 3);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     {
-      for (int i = 0; i < 200 && !fleet_log_count (&fleet, fleet.entries[e].name, "what=boxes");
-           i++)
-        fleet_sleep (20);
-      CU_ASSERT (fleet_log_count (&fleet, fleet.entries[e].name, "what=boxes") > 0);
+      for (int i = 0;
+           i < 200 && !fleet_count_log_lines (&fleet, fleet.entries[e].name, "what=boxes"); i++)
+        fleet_sleep_ms (20);
+      CU_ASSERT (fleet_count_log_lines (&fleet, fleet.entries[e].name, "what=boxes") > 0);
     }
   fleet_control (fleet.platform_port, "/control/mode?config=0&list=0");
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (wait_revision (&fleet, e, 3));
   /* Not only because the watches' time was over; the second may have been told by the first. */
-  CU_ASSERT (count_lines (&fleet, "why=\"the list failed\"") >= 1);
+  CU_ASSERT (count_entry_log_lines (&fleet, "why=\"the list failed\"") >= 1);
   fleet_stop (&fleet);
 }
 
@@ -352,22 +358,23 @@
   sprintf (port, "%u", alone_port);
   snprintf (path, sizeof path, "%s/published.toml", fleet.folder);
   alone = fleet_spawn (fleet.folder, "alone", "standin", "platform", port, path, (char *) NULL);
-  fleet_end (&fleet.entries[0].pid, SIGKILL);
+  fleet_end_process (&fleet.entries[0].pid, SIGKILL);
   fleet.entries[0].platform_port = alone_port;
   fleet_start_entry (&fleet, 0);
   CU_ASSERT (fleet_wait_live (&fleet, 0, FLEET_ENDPOINTS));
-  fleet_sleep (SETTLE_MS);
+  fleet_sleep_ms (SETTLE_MS);
   fleet_control (alone_port, "/control/mode?config=4");
   fleet_publish (&fleet, "[[hall]]\nname = \"h2\"\n", 2);
   CU_ASSERT (wait_revision (&fleet, 0, 2));
-  for (int i = 0; i < 100 && !fleet_log_count (&fleet, "entry-1", "why=\"peers have a newer"); i++)
-    fleet_sleep (20);
-  CU_ASSERT_EQUAL (fleet_log_count (&fleet, "entry-1", "why=\"peers have a newer"), 1);
+  for (int i = 0; i < 100 && !fleet_count_log_lines (&fleet, "entry-1", "why=\"peers have a newer");
+       i++)
+    fleet_sleep_ms (20);
+  CU_ASSERT_EQUAL (fleet_count_log_lines (&fleet, "entry-1", "why=\"peers have a newer"), 1);
   /* Its own question is answered at once: it counts as a reader again. */
-  for (int i = 0; i < 100 && !fleet_log_count (&fleet, "entry-1", " 204 platform_up "); i++)
-    fleet_sleep (20);
-  CU_ASSERT_EQUAL (fleet_log_count (&fleet, "entry-1", " 204 platform_up "), 1);
-  fleet_end (&alone, SIGKILL);
+  for (int i = 0; i < 100 && !fleet_count_log_lines (&fleet, "entry-1", " 204 platform_up "); i++)
+    fleet_sleep_ms (20);
+  CU_ASSERT_EQUAL (fleet_count_log_lines (&fleet, "entry-1", " 204 platform_up "), 1);
+  fleet_end_process (&alone, SIGKILL);
   fleet_stop (&fleet);
 }
 
@@ -382,20 +389,21 @@
   char *text;
   long status = 0;
 
-  fleet_start (&fleet, OPERATORS);
+  fleet_start (&fleet, OPERATOR_SETTINGS);
   /* The watches begin anew: they would be waited for longest. */
   fleet_publish (&fleet, "[[hall]]\nname = \"h2\"\n", 2);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (wait_revision (&fleet, e, 2));
-  fleet_sleep (SETTLE_MS);
-  plan = operate (&fleet, 0, "/v1/plan", OPERATOR_KEY, "[[hall]]\nname = \"h3\"\n", &status);
-  CU_ASSERT (confirm_soon (&fleet, 0, plan));
+  fleet_sleep_ms (SETTLE_MS);
+  plan =
+      post_operator_api (&fleet, 0, "/v1/plan", OPERATOR_KEY, "[[hall]]\nname = \"h3\"\n", &status);
+  CU_ASSERT (confirm_with_retry (&fleet, 0, plan));
   text = json_dumps (plan, 0);
   kill (fleet.platform, SIGSTOP);
   for (int i = 0; i < 80 && status != 409; i++)
     {
-      fleet_sleep (100);
-      json_decref (operate (&fleet, 0, "/v1/confirm", OPERATOR_KEY, text, &status));
+      fleet_sleep_ms (100);
+      json_decref (post_operator_api (&fleet, 0, "/v1/confirm", OPERATOR_KEY, text, &status));
     }
   CU_ASSERT_EQUAL (confirm (&fleet, 0, plan, "cut_off"), 409);
   free (text);
@@ -414,22 +422,22 @@
   long status = 0;
   int runs;
 
-  fleet_start (&fleet, OPERATORS);
+  fleet_start (&fleet, OPERATOR_SETTINGS);
   for (int i = 0; i < LOAD_STREAMS; i++)
-    fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 300);
+    fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 300);
   CU_ASSERT (wait_runs (&fleet, 0, "runs", 1));
-  plan =
-      operate (&fleet, 0, "/v1/plan", OPERATOR_KEY, "remove = [\"endpoint model-1\"]\n", &status);
+  plan = post_operator_api (&fleet, 0, "/v1/plan", OPERATOR_KEY,
+                            "remove = [\"endpoint model-1\"]\n", &status);
   CU_ASSERT_EQUAL (publish_plan (&fleet, plan), 200);
   json_decref (plan);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (wait_revision (&fleet, e, 2));
   expect_streams (calls, 300);
-  runs = fleet_runs (&fleet, 0, NULL, "runs");
+  runs = fleet_count_runs (&fleet, 0, NULL, "runs");
   for (int i = 0; i < LOAD_STREAMS; i++)
-    fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
+    fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
   expect_streams (calls, 3);
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, 0, NULL, "runs"), runs);
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, 0, NULL, "runs"), runs);
   fleet_stop (&fleet);
 }
 
@@ -440,16 +448,16 @@
   json_t *plan;
   long status = 0;
 
-  fleet_start (&fleet, OPERATORS);
+  fleet_start (&fleet, OPERATOR_SETTINGS);
   /* What can't be met is said in the plan, and can't be confirmed. */
-  plan = operate (&fleet, 0, "/v1/plan", OPERATOR_KEY,
-                  "remove = [\"endpoint nobody\"]\n[[account]]\nname = \"a\"\nclass = \"x\"\n",
-                  &status);
+  plan = post_operator_api (
+      &fleet, 0, "/v1/plan", OPERATOR_KEY,
+      "remove = [\"endpoint nobody\"]\n[[account]]\nname = \"a\"\nclass = \"x\"\n", &status);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (plan, "not_met")), 2);
   CU_ASSERT_EQUAL (confirm (&fleet, 0, plan, "bad_plan"), 400);
   json_decref (plan);
-  plan =
-      operate (&fleet, 0, "/v1/plan", OPERATOR_KEY, "remove = [\"endpoint model-1\"]\n", &status);
+  plan = post_operator_api (&fleet, 0, "/v1/plan", OPERATOR_KEY,
+                            "remove = [\"endpoint model-1\"]\n", &status);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (plan, "not_met")), 0);
   CU_ASSERT (json_number_value (json_object_get (
                  json_object_get (json_object_get (plan, "effects"), "keys_with_new_home"),
@@ -458,10 +466,11 @@
   json_object_set_new (plan, "digest", json_string ("0000000000000000"));
   CU_ASSERT_EQUAL (confirm (&fleet, 0, plan, "bad_plan"), 400);
   json_decref (plan);
-  plan = operate (&fleet, 0, "/v1/plan", OPERATOR_KEY, "[[hall]]\nname = \"h2\"\n", &status);
+  plan =
+      post_operator_api (&fleet, 0, "/v1/plan", OPERATOR_KEY, "[[hall]]\nname = \"h2\"\n", &status);
   fleet_control (fleet.platform_port, "/control/mode?config=1");
-  for (int i = 0; i < 300 && !fleet_log_count (&fleet, "entry-1", " 203 platform_down "); i++)
-    fleet_sleep (50);
+  for (int i = 0; i < 300 && !fleet_count_log_lines (&fleet, "entry-1", " 203 platform_down "); i++)
+    fleet_sleep_ms (50);
   CU_ASSERT_EQUAL (confirm (&fleet, 0, plan, "cut_off"), 409);
   json_decref (plan);
   fleet_stop (&fleet);
@@ -469,13 +478,13 @@
 
 /* An entry's answer to an operator's question. @return the answer as JSON. */
 static json_t *
-ask (struct fleet *fleet, int e, const char *path, const char *key, long *status)
+get_operator_api (struct fleet *fleet, int e, const char *path, const char *key, long *status)
 {
-  return operate_by ("GET", fleet, e, path, key, NULL, status);
+  return call_operator_api ("GET", fleet, e, path, key, NULL, status);
 }
 
 static const char *
-word (const json_t *answer, const char *box, const char *key)
+answer_field (const json_t *answer, const char *box, const char *key)
 {
   const char *text = json_string_value (
       json_object_get (json_object_get (json_object_get (answer, "answers"), box), key));
@@ -493,32 +502,32 @@
   json_t *answer;
   long status = 0;
 
-  fleet_start (&fleet, OPERATORS);
-  fleet_chat (&fleet, &call, 0, true, 5);
-  fleet_wait (&call);
+  fleet_start (&fleet, OPERATOR_SETTINGS);
+  fleet_begin_chat (&fleet, &call, 0, true, 5);
+  fleet_wait_call (&call);
   CU_ASSERT (fleet_stream_ok (&call.answer, 5));
   snprintf (path, sizeof path, "/v1/explain/request/%s", call.answer.request_id);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     {
-      answer = ask (&fleet, e, path, READER_KEY, &status);
+      answer = get_operator_api (&fleet, e, path, READER_KEY, &status);
       CU_ASSERT_EQUAL (status, 200);
-      CU_ASSERT_STRING_EQUAL (word (answer, "entry-1", "outcome"), "ran");
-      CU_ASSERT_STRING_EQUAL (word (answer, "entry-1", "endpoint"), call.answer.endpoint);
-      CU_ASSERT_STRING_EQUAL (word (answer, call.answer.endpoint, "state"), "finished");
+      CU_ASSERT_STRING_EQUAL (answer_field (answer, "entry-1", "outcome"), "ran");
+      CU_ASSERT_STRING_EQUAL (answer_field (answer, "entry-1", "endpoint"), call.answer.endpoint);
+      CU_ASSERT_STRING_EQUAL (answer_field (answer, call.answer.endpoint, "state"), "finished");
       CU_ASSERT_EQUAL (json_object_size (json_object_get (answer, "answers")), 2);
       CU_ASSERT_EQUAL (json_array_size (json_object_get (answer, "silent")), 0);
       json_decref (answer);
     }
   ash_cli_answer_finish (&call.answer);
-  /* A box that can't be asked is named, and the others' word comes all the same. */
-  fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
-  answer = ask (&fleet, 0, path, OPERATOR_KEY, &status);
-  CU_ASSERT_STRING_EQUAL (word (answer, "entry-1", "outcome"), "ran");
+  /* A box that can't be asked is named, and the others' answer_field comes all the same. */
+  fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
+  answer = get_operator_api (&fleet, 0, path, OPERATOR_KEY, &status);
+  CU_ASSERT_STRING_EQUAL (answer_field (answer, "entry-1", "outcome"), "ran");
   CU_ASSERT_EQUAL (json_array_size (json_object_get (answer, "silent")), 1);
   json_decref (answer);
-  json_decref (ask (&fleet, 0, "/v1/explain/request/17", OPERATOR_KEY, &status));
+  json_decref (get_operator_api (&fleet, 0, "/v1/explain/request/17", OPERATOR_KEY, &status));
   CU_ASSERT_EQUAL (status, 404);
-  json_decref (ask (&fleet, 0, path, "nobody", &status));
+  json_decref (get_operator_api (&fleet, 0, path, "nobody", &status));
   CU_ASSERT_EQUAL (status, 401);
   fleet_stop (&fleet);
 }
@@ -533,17 +542,17 @@
   json_t *answer;
   long status = 0;
 
-  fleet_start (&fleet, OPERATORS);
+  fleet_start (&fleet, OPERATOR_SETTINGS);
   for (int a = 0; a < FLEET_MODELS; a++)
-    fleet_end (&fleet.endpoints[a].pid, SIGKILL);
+    fleet_end_process (&fleet.endpoints[a].pid, SIGKILL);
   CU_ASSERT (fleet_wait_live (&fleet, 0, 1));
-  fleet_chat (&fleet, &call, 0, true, 5);
-  fleet_wait (&call);
+  fleet_begin_chat (&fleet, &call, 0, true, 5);
+  fleet_wait_call (&call);
   CU_ASSERT_STRING_EQUAL (call.answer.outcome, "not-run");
   snprintf (path, sizeof path, "/v1/explain/request/%s", call.answer.request_id);
-  answer = ask (&fleet, 1, path, READER_KEY, &status);
-  CU_ASSERT_STRING_EQUAL (word (answer, "entry-1", "outcome"), "not-run");
-  CU_ASSERT_STRING_EQUAL (word (answer, "entry-1", "reason"), "no_endpoint");
+  answer = get_operator_api (&fleet, 1, path, READER_KEY, &status);
+  CU_ASSERT_STRING_EQUAL (answer_field (answer, "entry-1", "outcome"), "not-run");
+  CU_ASSERT_STRING_EQUAL (answer_field (answer, "entry-1", "reason"), "no_endpoint");
   json_decref (answer);
   ash_cli_answer_finish (&call.answer);
   fleet_stop (&fleet);
@@ -558,30 +567,30 @@
   struct fleet_call after[8];
   long status = 0;
 
-  fleet_start (&fleet, OPERATORS);
-  fleet_chat (&fleet, &before, 0, true, 150);
-  json_decref (operate (&fleet, 0, "/v1/drain?box=model-1", READER_KEY, "", &status));
+  fleet_start (&fleet, OPERATOR_SETTINGS);
+  fleet_begin_chat (&fleet, &before, 0, true, 150);
+  json_decref (post_operator_api (&fleet, 0, "/v1/drain?box=model-1", READER_KEY, "", &status));
   CU_ASSERT_EQUAL (status, 403);
-  json_decref (operate (&fleet, 0, "/v1/drain?box=model-9", OPERATOR_KEY, "", &status));
+  json_decref (post_operator_api (&fleet, 0, "/v1/drain?box=model-9", OPERATOR_KEY, "", &status));
   CU_ASSERT_EQUAL (status, 404);
-  json_decref (operate (&fleet, 0, "/v1/drain?box=model-1", OPERATOR_KEY, "", &status));
+  json_decref (post_operator_api (&fleet, 0, "/v1/drain?box=model-1", OPERATOR_KEY, "", &status));
   CU_ASSERT_EQUAL (status, 200);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS - 1));
   for (int i = 0; i < 8; i++)
-    fleet_chat (&fleet, &after[i], i % FLEET_ENTRIES, true, 5);
+    fleet_begin_chat (&fleet, &after[i], i % FLEET_ENTRIES, true, 5);
   for (int i = 0; i < 8; i++)
     {
-      fleet_wait (&after[i]);
+      fleet_wait_call (&after[i]);
       CU_ASSERT (fleet_stream_ok (&after[i].answer, 5));
       CU_ASSERT_STRING_EQUAL (after[i].answer.endpoint, "model-2");
       ash_cli_answer_finish (&after[i].answer);
     }
-  fleet_wait (&before);
+  fleet_wait_call (&before);
   CU_ASSERT (fleet_stream_ok (&before.answer, 150));
   ash_cli_answer_finish (&before.answer);
   /* Its next life takes work again. */
-  CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[0].pid, SIGTERM), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[0].pid, SIGTERM), 0);
   fleet_start_endpoint (&fleet, 0);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS));
@@ -590,7 +599,7 @@
 
 /* A key that may only read: plans and differences, no confirmation. */
 static void
-test_reader (void)
+test_reader_key (void)
 {
   struct fleet fleet;
   json_t *plan;
@@ -598,19 +607,20 @@
   char *text;
   long status = 0;
 
-  fleet_start (&fleet, OPERATORS);
-  plan = operate (&fleet, 0, "/v1/plan", READER_KEY, "[[hall]]\nname = \"h2\"\n", &status);
+  fleet_start (&fleet, OPERATOR_SETTINGS);
+  plan =
+      post_operator_api (&fleet, 0, "/v1/plan", READER_KEY, "[[hall]]\nname = \"h2\"\n", &status);
   CU_ASSERT_EQUAL (status, 200);
   text = json_dumps (plan, 0);
-  answer = operate (&fleet, 0, "/v1/confirm", READER_KEY, text, &status);
+  answer = post_operator_api (&fleet, 0, "/v1/confirm", READER_KEY, text, &status);
   CU_ASSERT_EQUAL (status, 403);
   json_decref (answer);
-  answer = operate (&fleet, 0, "/v1/diff", READER_KEY,
-                    json_string_value (json_object_get (plan, "document")), &status);
+  answer = post_operator_api (&fleet, 0, "/v1/diff", READER_KEY,
+                              json_string_value (json_object_get (plan, "document")), &status);
   CU_ASSERT_EQUAL (status, 200);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (answer, "changes")), 1);
   json_decref (answer);
-  answer = operate (&fleet, 0, "/v1/diff", READER_KEY, "x = [", &status);
+  answer = post_operator_api (&fleet, 0, "/v1/diff", READER_KEY, "x = [", &status);
   CU_ASSERT_EQUAL (status, 400);
   json_decref (answer);
   free (text);
@@ -633,9 +643,9 @@
   const json_t *row;
   long status = 0;
 
-  fleet_start (&fleet, OPERATORS);
+  fleet_start (&fleet, OPERATOR_SETTINGS);
   snprintf (text, sizeof text, intent, (long long) time (NULL) + 30);
-  plan = operate (&fleet, 0, "/v1/plan", OPERATOR_KEY, text, &status);
+  plan = post_operator_api (&fleet, 0, "/v1/plan", OPERATOR_KEY, text, &status);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (plan, "changes")), 2);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (plan, "not_met")), 0);
   CU_ASSERT_EQUAL (confirm (&fleet, 0, plan, ""), 200);
@@ -643,7 +653,7 @@
   for (int e = 0; e < FLEET_ENTRIES; e++)
     {
       CU_ASSERT (wait_revision (&fleet, e, 2));
-      answer = ask (&fleet, e, "/v1/events", NULL, &status);
+      answer = get_operator_api (&fleet, e, "/v1/events", NULL, &status);
       row = json_array_get (json_object_get (answer, "events"), 0);
       CU_ASSERT_STRING_EQUAL (json_string_value (json_object_get (row, "event")), "opening");
       CU_ASSERT_STRING_EQUAL (json_string_value (json_object_get (row, "state")), "lead");
@@ -651,10 +661,11 @@
     }
   json_decref (plan);
   /* One that reserves for nobody can't be met, and says so. */
-  plan = operate (&fleet, 0, "/v1/plan", OPERATOR_KEY,
-                  "[[reservation]]\nname = \"b\"\nevent = \"opening\"\naccount = \"nobody\"\n"
-                  "service = \"model\"\nrate_per_s = 50\n",
-                  &status);
+  plan = post_operator_api (
+      &fleet, 0, "/v1/plan", OPERATOR_KEY,
+      "[[reservation]]\nname = \"b\"\nevent = \"opening\"\naccount = \"nobody\"\n"
+      "service = \"model\"\nrate_per_s = 50\n",
+      &status);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (plan, "not_met")), 1);
   json_decref (plan);
   fleet_stop (&fleet);
@@ -662,7 +673,8 @@
 
 static const struct fault_test tests[] = {
   { "configuration: bad, down, older", test_configuration },
-  { "configuration: replaced while the platform answers an older one", test_replaced_on_older },
+  { "configuration: replaced while the platform answers an older one",
+    test_replaced_with_older_config },
   { "configuration: by deltas", test_deltas },
   { "plans: two operators on one base", test_operators_race },
   { "plans: the reader of the platform dies", test_reader_dies },
@@ -675,7 +687,7 @@
   { "explain: a request", test_explain_request },
   { "explain: a refusal", test_explain_refusal },
   { "drain", test_drain },
-  { "a key that may only read", test_reader },
+  { "a key that may only read", test_reader_key },
   { "a declared event", test_event },
   { NULL, NULL },
 };
--- a/test/raw.c
+++ b/test/raw.c
@@ -7,13 +7,13 @@
 #include <sys/time.h>
 #include <unistd.h>
 
-#define PATIENCE_S 8
+#define RECEIVE_TIMEOUT_S 8
 
 int
-open_raw (uint16_t port)
+raw_connect (uint16_t port)
 {
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_port = htons (port) };
-  struct timeval patience = { .tv_sec = PATIENCE_S };
+  struct timeval patience = { .tv_sec = RECEIVE_TIMEOUT_S };
   int fd = socket (AF_INET, SOCK_STREAM, 0);
 
   address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
@@ -25,7 +25,7 @@
 }
 
 void
-send_raw (int fd, const void *bytes, size_t length)
+raw_send (int fd, const void *bytes, size_t length)
 {
   size_t sent = 0;
 
@@ -40,7 +40,7 @@
 }
 
 bool
-read_to_close (int fd, char *text, size_t room)
+raw_read_until_closed (int fd, char *text, size_t room)
 {
   size_t length = 0;
   ssize_t n;
--- a/test/raw.h
+++ b/test/raw.h
@@ -10,15 +10,15 @@
 #include <stdint.h>
 
 /** @return a connected socket, or -1. */
-int open_raw (uint16_t port);
+int raw_connect (uint16_t port);
 
 /** Sends all, or as much as the other side takes before it closes. */
-void send_raw (int fd, const void *bytes, size_t length);
+void raw_send (int fd, const void *bytes, size_t length);
 
 /**
  * Reads all there is until the other side closes, and closes.
  * @return whether it closed, instead of keeping the connection open without a word.
  */
-bool read_to_close (int fd, char *text, size_t room);
+bool raw_read_until_closed (int fd, char *text, size_t room);
 
 #endif
--- a/test/router.c
+++ b/test/router.c
@@ -124,12 +124,12 @@
                                                      "/resolution?Name=shop.example", ""),
                                       other);
        i++)
-    fleet_sleep (20);
+    fleet_sleep_ms (20);
   CU_ASSERT_PTR_NOT_NULL (
       strstr (testbed_fetch (testbed.routers[0].directory_port, "GET", "/resolution", ""), other));
   /* One that stops is no longer named. */
   kill (testbed.routers[1].pid, SIGTERM);
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   CU_ASSERT_FALSE (
       strstr (testbed_fetch (testbed.routers[0].directory_port, "GET", "/resolution", ""), other));
   testbed_stop (&testbed);
@@ -146,13 +146,13 @@
   /* Taken away: refused soon, and not run. */
   testbed.has_key = false;
   testbed_publish (&testbed);
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   testbed_call (&testbed, "k2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 401);
   CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "k2"), 0);
   testbed.has_key = true;
   testbed_publish (&testbed);
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   testbed_call (&testbed, "k3", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_call (&testbed, "k4", "/nowhere/x", NULL, "", &answer);
@@ -183,17 +183,17 @@
   testbed_publish_text (&testbed,
                         "{\"Version\":900,\"Routes\":[{\"Host\":\"h\",\"RouteKind\":\"odd\","
                         "\"Service\":\"none\"}],\"Services\":[{}]}");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   CU_ASSERT (testbed_logged (&testbed, 0, "place=Services[0] why=\"has no Name\""));
   CU_ASSERT (testbed_logged (&testbed, 0, "place=Routes[0] why=\"has a RouteKind"));
   CU_ASSERT (testbed_logged (&testbed, 0, "place=Routes[0] why=\"names a service"));
   testbed_publish_text (&testbed, "no JSON");
-  fleet_sleep (100);
+  fleet_sleep_ms (100);
   /* The last good one stays, and an older one never comes back. */
   testbed_call (&testbed, "b1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_publish_text (&testbed, "{\"Version\":1,\"Routes\":[],\"Services\":[]}");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   testbed_call (&testbed, "b2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_stop (&testbed);
@@ -344,14 +344,14 @@
       char name[8];
       char id[16];
 
-      fleet_end (&testbed.servers[s].pid, SIGKILL);
+      fleet_end_process (&testbed.servers[s].pid, SIGKILL);
       snprintf (port, sizeof port, "%u", testbed.servers[s].port);
       snprintf (name, sizeof name, "%s", testbed.servers[s].name);
       snprintf (id, sizeof id, "%s", testbed.servers[s].id);
       testbed.servers[s].pid =
           fleet_spawn (testbed.folder, name, "standin-server", port, name, id, (char *) NULL);
     }
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   for (int i = 0; i < 8; i++)
     {
       char request[8];
@@ -373,11 +373,11 @@
 
   start ();
   /* Another life at the address of A, before the list tells: it turns requests away. */
-  fleet_end (&testbed.servers[0].pid, SIGKILL);
+  fleet_end_process (&testbed.servers[0].pid, SIGKILL);
   snprintf (port, sizeof port, "%u", testbed.servers[0].port);
   testbed.servers[0].pid =
       fleet_spawn (testbed.folder, "A", "standin-server", port, "A", "i-A2", (char *) NULL);
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   for (int i = 0; i < 6; i++)
     {
       char request[8];
@@ -445,7 +445,7 @@
                          atoi (testbed_fetch (testbed.servers[1].port, "GET", "/gone", "")) ==
                      0;
        i++)
-    fleet_sleep (10);
+    fleet_sleep_ms (10);
   CU_ASSERT_EQUAL (atoi (testbed_fetch (testbed.servers[0].port, "GET", "/gone", "")) +
                        atoi (testbed_fetch (testbed.servers[1].port, "GET", "/gone", "")),
                    1);
@@ -459,11 +459,11 @@
   int64_t began;
 
   start ();
-  began = fleet_now ();
+  began = fleet_now_ms ();
   testbed_call (&testbed, "x1", "/once/x", "*=mute", "", &answer);
   /* The route's time ends it, long before the caller's. */
   CU_ASSERT_EQUAL (answer.status, 504);
-  CU_ASSERT (fleet_now () - began < 3500);
+  CU_ASSERT (fleet_now_ms () - began < 3500);
   testbed_stop (&testbed);
 }
 
@@ -484,7 +484,7 @@
   CU_ASSERT_FATAL (fd >= 0 && write (fd, text, strlen (text)) > 0);
   close (fd);
   pid = fleet_spawn ("/tmp", "ash-router-settings", "ashspindle-router", path, (char *) NULL);
-  CU_ASSERT_EQUAL (fleet_end (&pid, 0), 2);
+  CU_ASSERT_EQUAL (fleet_end_process (&pid, 0), 2);
   snprintf (log, sizeof log, "/tmp/ash-router-settings.log");
   file = fopen (log, "r");
   while (file && fgets (line, sizeof line, file))
@@ -585,7 +585,7 @@
 wait_elsewhere (int r, int wanted)
 {
   for (int i = 0; i < 200 && requests_elsewhere (r) != wanted; i++)
-    fleet_sleep (20);
+    fleet_sleep_ms (20);
   return requests_elsewhere (r) == wanted;
 }
 
@@ -651,7 +651,7 @@
   close (fds[1]);
   close (fds[2]);
   CU_ASSERT (wait_elsewhere (1, 2));
-  fleet_end (&testbed.routers[1].pid, SIGKILL);
+  fleet_end_process (&testbed.routers[1].pid, SIGKILL);
   testbed_start_router (&testbed, 1);
   CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
   CU_ASSERT (wait_elsewhere (1, 2));
--- a/test/router_era.c
+++ b/test/router_era.c
@@ -29,7 +29,7 @@
   testbed_publish (&testbed);
   CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
   /* The era is known before anything goes wrong. */
-  fleet_sleep (1100);
+  fleet_sleep_ms (1100);
 }
 
 static void
@@ -57,7 +57,7 @@
   start_in_era ();
   for (int i = 0; i < 4; i++)
     store ("/put?op/other");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   store ("/mode?silent");
   restore (CONFIG_REVISION);
   testbed.has_key = false;
@@ -66,7 +66,7 @@
     store ("/put?op/other");
   store ("/mode?ok");
   for (int i = 0; i < 100 && status_of ("given", NULL) != 401; i++)
-    fleet_sleep (30);
+    fleet_sleep_ms (30);
   CU_ASSERT_EQUAL (answer.status, 401);
   CU_ASSERT (testbed_logged (&testbed, 0, " store_era "));
   testbed_stop (&testbed);
@@ -80,14 +80,14 @@
   testbed.has_key = false;
   testbed_publish (&testbed);
   for (int i = 0; i < 100 && status_of ("stays", NULL) != 401; i++)
-    fleet_sleep (20);
+    fleet_sleep_ms (20);
   for (int twice = 0; twice < 2; twice++)
     {
       restore (CONFIG_REVISION);
       for (int i = 0; i < 20; i++)
         {
           CU_ASSERT_EQUAL (status_of ("stays", NULL), 401);
-          fleet_sleep (20);
+          fleet_sleep_ms (20);
         }
     }
   /* Written again as it was, it is the same; what comes after it is new. */
@@ -96,7 +96,7 @@
   testbed.has_key = true;
   testbed_publish (&testbed);
   for (int i = 0; i < 100 && status_of ("stays", NULL) != 200; i++)
-    fleet_sleep (20);
+    fleet_sleep_ms (20);
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_stop (&testbed);
 }
@@ -107,36 +107,36 @@
 {
   start_in_era ();
   testbed_list_server (&testbed, 0, "draining");
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   restore (CONFIG_REVISION);
   CU_ASSERT (testbed_wait_logged (&testbed, 0, " store_era "));
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   for (int i = 0; i < 20; i++)
     {
       CU_ASSERT_EQUAL (status_of ("drained", NULL), 200);
-      fleet_sleep (10);
+      fleet_sleep_ms (10);
     }
   CU_ASSERT_PTR_NULL (strstr (server_log (0), "drained"));
   /* The other one left without a word. The first one's next life may be used. */
   kill (testbed.servers[0].pid, SIGKILL);
   while (!testbed_restart_servers (&testbed))
-    fleet_sleep (10);
+    fleet_sleep_ms (10);
   store ("/remove?servers/i-B1");
-  fleet_sleep (2500);
+  fleet_sleep_ms (2500);
   restore (CONFIG_REVISION);
   testbed_list_server (&testbed, 0, "ready");
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   for (int i = 0; i < 20; i++)
     {
       CU_ASSERT_EQUAL (status_of ("removed", NULL), 200);
-      fleet_sleep (10);
+      fleet_sleep_ms (10);
     }
   CU_ASSERT_PTR_NULL (strstr (server_log (1), "removed"));
   /* One that is listed on and on lives after all. */
   for (int i = 0; i < 400 && !strstr (server_log (1), "lives"); i++)
     {
       status_of ("lives", NULL);
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   CU_ASSERT_PTR_NOT_NULL (strstr (server_log (1), "lives"));
   testbed_stop (&testbed);
@@ -150,11 +150,11 @@
   restore (SERVER_A_REVISION);
   CU_ASSERT (testbed_wait_logged (&testbed, 0, " store_era "));
   testbed_publish (&testbed);
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   CU_ASSERT_EQUAL (status_of ("missing", "A=shed"), 200);
   CU_ASSERT (answer_has ("seal-i-B1"));
   testbed_list_server (&testbed, 1, "ready");
-  fleet_sleep (3000);
+  fleet_sleep_ms (3000);
   CU_ASSERT_EQUAL (status_of ("back", "A=shed"), 200);
   CU_ASSERT (answer_has ("seal-i-B1"));
   testbed_stop (&testbed);
@@ -184,7 +184,7 @@
   testbed.has_key = false;
   testbed_publish (&testbed);
   for (int i = 0; i < 100 && status_of ("none", NULL) != 401; i++)
-    fleet_sleep (20);
+    fleet_sleep_ms (20);
   CU_ASSERT_EQUAL (answer.status, 401);
   CU_ASSERT_EQUAL (testbed_count_logged (&testbed, 0, " store_era "), begun);
   testbed_stop (&testbed);
@@ -198,7 +198,7 @@
   start_in_era ();
   for (int i = 0; i < 20; i++)
     store ("/put?servers/none");
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   /* The first router is away while the store comes back. */
   kill (testbed.routers[0].pid, SIGSTOP);
   restore (CONFIG_REVISION);
@@ -206,7 +206,7 @@
   testbed_start_router (&testbed, 1);
   CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
   kill (testbed.routers[0].pid, SIGCONT);
-  fleet_sleep (1500);
+  fleet_sleep_ms (1500);
   for (int i = 0; i < 10; i++)
     for (int r = 0; r < 2; r++)
       {
--- a/test/router_maps.c
+++ b/test/router_maps.c
@@ -36,7 +36,7 @@
 
       if (fd < 0)
         {
-          fleet_sleep (50);
+          fleet_sleep_ms (50);
           continue;
         }
       testbed_send (fd, "POST /model/x HTTP/1.1\r\n" HEAD "g1\r\nContent-Length: 0\r\n\r\n");
@@ -84,7 +84,7 @@
     {
       if (testbed_group_state (&testbed, "changes") >= changes)
         return true;
-      fleet_sleep (25);
+      fleet_sleep_ms (25);
     }
   return false;
 }
@@ -153,13 +153,13 @@
 
       snprintf (target, sizeof target, "/state?shift=%d", 3 * i);
       testbed_fetch (testbed.ranks[0], "GET", target, "");
-      fleet_sleep (600 + 130 * i);
-      fleet_end (&testbed.routers[0].pid, SIGKILL);
+      fleet_sleep_ms (600 + 130 * i);
+      fleet_end_process (&testbed.routers[0].pid, SIGKILL);
       testbed_start_router (&testbed, 0);
     }
   /* Calm again: late orders are over, and the map follows once more. */
   testbed_fetch (testbed.ranks[0], "GET", "/state?late=0", "");
-  fleet_sleep (2000);
+  fleet_sleep_ms (2000);
   check_recovered (callers);
 }
 
@@ -178,12 +178,12 @@
 
       snprintf (target, sizeof target, "/state?shift=%d", 3 * i + 2);
       testbed_fetch (testbed.ranks[0], "GET", target, "");
-      fleet_sleep (90 * i);
+      fleet_sleep_ms (90 * i);
       kill (testbed.routers[0].pid, SIGSTOP);
-      fleet_sleep (i % 2 ? 1500 : 100);
+      fleet_sleep_ms (i % 2 ? 1500 : 100);
       testbed_advance_boot_clock (&testbed, i % 2 ? 5000 : 1500);
       kill (testbed.routers[0].pid, SIGCONT);
-      fleet_sleep (600);
+      fleet_sleep_ms (600);
     }
   check_recovered (callers);
 }
@@ -202,15 +202,15 @@
   testbed_fetch (testbed.ranks[0], "GET", "/state?deaf=1", "");
   testbed_fetch (testbed.ranks[0], "GET", "/state?shift=7", "");
   for (int i = 0; i < 4000 && !testbed_group_state (&testbed, "held"); i++)
-    fleet_sleep (1);
+    fleet_sleep_ms (1);
   kill (testbed.routers[0].pid, SIGSTOP);
-  stopped = fleet_now ();
+  stopped = fleet_now_ms ();
   CU_ASSERT_EQUAL (testbed_group_state (&testbed, "held"), 1);
   step = testbed_group_state (&testbed, "step");
   testbed_fetch (testbed.ranks[0], "GET", "/state?deaf=0", "");
-  while (testbed_group_state (&testbed, "step") == step && fleet_now () - stopped < 5000)
-    fleet_sleep (5);
-  CU_ASSERT (fleet_now () - stopped < 1000);
+  while (testbed_group_state (&testbed, "step") == step && fleet_now_ms () - stopped < 5000)
+    fleet_sleep_ms (5);
+  CU_ASSERT (fleet_now_ms () - stopped < 1000);
   CU_ASSERT (testbed_logged (&testbed, 1, "map_leader"));
   kill (testbed.routers[0].pid, SIGCONT);
   check_recovered (callers);
--- a/test/router_quarantine.c
+++ b/test/router_quarantine.c
@@ -90,7 +90,7 @@
       CU_ASSERT_EQUAL (restart_servers (), 1);
     }
   CU_ASSERT (testbed_wait_logged (&testbed, 1, " quarantined "));
-  fleet_end (&testbed.routers[1].pid, SIGKILL);
+  fleet_end_process (&testbed.routers[1].pid, SIGKILL);
   testbed_start_router (&testbed, 1);
   CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
   CU_ASSERT (testbed_wait_logged (&testbed, 1, "ends=2 spoke=0 for_ms=59"));
@@ -132,7 +132,7 @@
       CU_ASSERT (testbed_wait_logged (&testbed, (i + 1) % 2, " link_up "));
       testbed_call_at (&testbed, (i + 1) % 2, "often", "/once/often", NULL, "", &answer);
       CU_ASSERT_EQUAL (answer.status, 200);
-      fleet_sleep (50);
+      fleet_sleep_ms (50);
     }
   CU_ASSERT (testbed_logged (&testbed, 0, " quarantine_cleared "));
   CU_ASSERT (testbed_logged (&testbed, 1, "source=router-0"));
@@ -156,7 +156,7 @@
     {
       if (strstr (testbed_fetch (testbed.routers[1].metrics_port, "GET", "/metrics", ""), wanted))
         return s;
-      fleet_sleep (10);
+      fleet_sleep_ms (10);
     }
   CU_FAIL ("the second router does not know of the request");
   return s;
--- a/test/router_stop.c
+++ b/test/router_stop.c
@@ -27,7 +27,7 @@
                            "p1\r\nX-Do: *=slow\r\nContent-Length: 0\r\n\r\n");
     }
   for (int i = 0; i < 100 && testbed_count_runs (&testbed, "p1") < 4; i++)
-    fleet_sleep (10);
+    fleet_sleep_ms (10);
   kill (testbed.routers[0].pid, SIGTERM);
   CU_ASSERT (testbed_wait_ready (&testbed, 0, false));
   /* A caller that still answer_has the address is served too. */
@@ -40,7 +40,7 @@
       CU_ASSERT (answer.status == 200 && answer.complete);
       close (fd[i]);
     }
-  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
   testbed_start_router (&testbed, 0);
   CU_ASSERT (testbed_wait_ready (&testbed, 0, true));
   testbed_call (&testbed, "p3", "/safe/x", NULL, "", &answer);
@@ -88,7 +88,7 @@
   held[0] = hold_request ("p1");
   kill (testbed.routers[0].pid, SIGTERM);
   CU_ASSERT (testbed_wait_ready (&testbed, 0, false));
-  fleet_sleep (500);
+  fleet_sleep_ms (500);
   held[1] = hold_request ("p2");
   /* A request may last 1.5 s here, of the 3 s that the stop may take: first they are taken. */
   do
@@ -96,7 +96,7 @@
       snprintf (id, sizeof id, "l%d", served);
       testbed_call (&testbed, id, path, action, "", &answer);
       served += answer.status == 200 && answer.complete;
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   while (answer.status == 200 && answer.complete);
   CU_ASSERT (served > 0);
@@ -110,7 +110,7 @@
   CU_ASSERT (answer.status == 504 && answer.complete);
   close (held[0]);
   close (held[1]);
-  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
   testbed_stop (&testbed);
 }
 
@@ -161,7 +161,7 @@
       text[length > 0 ? length : 0] = '\0';
       begun = strstr (text, "id: 1\n") != NULL;
       if (!begun)
-        fleet_sleep (5);
+        fleet_sleep_ms (5);
     }
   CU_ASSERT (begun);
 }
@@ -259,7 +259,7 @@
   CU_ASSERT (answer.status == 503 && answer.complete && answer_has ("Retry-After:"));
   close (partly);
   close (idle);
-  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
   CU_ASSERT_FALSE (testbed_logged (&testbed, 0, "forward_resent"));
   CU_ASSERT (testbed_logged (&testbed, 0, " stopped "));
   testbed_stop (&testbed);
@@ -377,7 +377,7 @@
   CU_ASSERT (testbed_wait_logged (&testbed, 0, " stopping "));
   kill (testbed.routers[0].pid, SIGTERM);
   expect_not_run (fd, "e-up");
-  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
   close_full (&full);
   testbed_stop (&testbed);
 }
@@ -414,7 +414,7 @@
   CU_ASSERT_EQUAL (count_of (answer.text, "HTTP/1.1 200 OK\r\n"), 2);
   CU_ASSERT_EQUAL (count_of (answer.text, "Connection: close\r\n"), 1);
   CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "q-second"), 1);
-  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
   testbed_stop (&testbed);
   /* At the stop's end: the first may have run, the second answer_has not. */
   start ();
@@ -426,7 +426,7 @@
   CU_ASSERT_EQUAL (count_of (answer.text, "HTTP/1.1 502 "), 1);
   CU_ASSERT_EQUAL (count_of (answer.text, "HTTP/1.1 503 "), 1);
   CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "q-fourth"), 0);
-  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
   testbed_stop (&testbed);
 }
 
@@ -472,7 +472,7 @@
   kill (testbed.routers[0].pid, SIGSTOP);
   testbed_send (kept, "GET /once/x HTTP/1.1\r\n" HEAD "c-kept\r\n\r\n");
   fresh = begin_request ("/once/x", "HTTP/1.1", "c-fresh", "ok");
-  fleet_sleep (250);
+  fleet_sleep_ms (250);
   kill (testbed.routers[0].pid, SIGTERM);
   kill (testbed.routers[0].pid, SIGCONT);
   testbed_read (kept, &answer);
@@ -487,12 +487,12 @@
   close (idle);
   /* One that is new waits for its request, over some turns of the loop. */
   fresh = testbed_connect (&testbed, 0);
-  fleet_sleep (250);
+  fleet_sleep_ms (250);
   testbed_send (fresh, "GET /once/x HTTP/1.1\r\n" HEAD "c-new\r\n\r\n");
   testbed_read (fresh, &answer);
   CU_ASSERT (answer.status == 200 && answer.complete && answer_has ("Connection: close"));
   close (fresh);
-  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
   testbed_stop (&testbed);
   /* The same at the end. */
   start ();
@@ -505,7 +505,7 @@
   kill (testbed.routers[0].pid, SIGCONT);
   expect_truthful_answer (kept, "c-late");
   expect_truthful_answer (fresh, "c-last");
-  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
   testbed_stop (&testbed);
 }
 
@@ -525,12 +525,12 @@
   CU_ASSERT (testbed_wait_logged (&testbed, 0, " stopping "));
   testbed_call (&testbed, "n-2", "/safe/x", NULL, "", &answer);
   CU_ASSERT (answer.status == 503 && answer.complete);
-  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
   /* Twice, before anything else. */
   testbed_start_router (&testbed, 0);
   kill (testbed.routers[0].pid, SIGTERM);
   kill (testbed.routers[0].pid, SIGINT);
-  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
   /* New settings while it stops. */
   testbed_publish (&testbed);
   testbed_start_router (&testbed, 0);
@@ -543,7 +543,7 @@
   CU_ASSERT (answer.status == 200 && answer.complete);
   close (fd);
   CU_ASSERT (testbed_wait_ready (&testbed, 0, false));
-  CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
   testbed_stop (&testbed);
 }
 
@@ -558,7 +558,7 @@
     {
       kill (testbed.routers[0].pid, SIGTERM);
       kill (testbed.routers[0].pid, SIGINT);
-      CU_ASSERT_EQUAL (fleet_end (&testbed.routers[0].pid, 0), 0);
+      CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
       testbed_start_router (&testbed, 0);
     }
   testbed_stop (&testbed);
--- a/test/router_store.c
+++ b/test/router_store.c
@@ -16,7 +16,7 @@
 {
   start ();
   testbed_list_server (&testbed, 0, "draining");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   for (int i = 0; i < 6; i++)
     {
       testbed_call (&testbed, "g1", "/safe/x", NULL, "", &answer);
@@ -25,7 +25,7 @@
   CU_ASSERT_PTR_NULL (strstr (server_log (0), "g1"));
   /* Gone from the list without a word: gone too. */
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   testbed_call (&testbed, "g2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
   CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "g2"), 0);
@@ -37,7 +37,7 @@
 {
   start ();
   testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
-  fleet_sleep (1500);
+  fleet_sleep_ms (1500);
   CU_ASSERT (testbed_logged (&testbed, 0, "platform_down"));
   testbed_call (&testbed, "w1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
@@ -45,18 +45,18 @@
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-A1", "");
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
   testbed_fetch (testbed.store_port, "PUT", "/mode?ok", "");
-  fleet_sleep (700);
+  fleet_sleep_ms (700);
   testbed_call (&testbed, "w2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_list_server (&testbed, 0, "ready");
-  fleet_sleep (2500);
+  fleet_sleep_ms (2500);
   /* The one that did not come back is gone, the other is not. */
   testbed_call (&testbed, "w3", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT_PTR_NULL (strstr (server_log (1), "w3"));
   /* What is missing from now on answer_has not lapsed: it is gone at once. */
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-A1", "");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   testbed_call (&testbed, "w4", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
   CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "w4"), 0);
@@ -94,10 +94,10 @@
       testbed_fetch (testbed.store_port, "PUT", target,
                      "{\"Service\":\"other\",\"Address\":\"127.0.0.1:1\",\"Zone\":\"hall-a\","
                      "\"Slots\":8,\"State\":\"ready\"}");
-      fleet_sleep (15);
+      fleet_sleep_ms (15);
     }
   for (int i = 0; i < 100 && !testbed_logged (&testbed, 0, "endpoint=i-burst59"); i++)
-    fleet_sleep (10);
+    fleet_sleep_ms (10);
   CU_ASSERT (testbed_logged (&testbed, 0, "endpoint=i-burst59"));
   CU_ASSERT (metric_value (0, "\nash_store_calls_total{} ") - before < STARTS / 2);
   testbed_stop (&testbed);
@@ -111,12 +111,12 @@
   start ();
   testbed_call (&testbed, "v1", "/safe/x", NULL, "", &answer);
   testbed_fetch (testbed.store_port, "PUT", "/mode?silent", "");
-  fleet_sleep (1300);
+  fleet_sleep_ms (1300);
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-A1", "");
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
   testbed_fetch (testbed.store_port, "PUT", "/mode?ok", "");
   for (int i = 0; i < 100 && !testbed_logged (&testbed, 0, "endpoint_missing"); i++)
-    fleet_sleep (10);
+    fleet_sleep_ms (10);
   testbed_call (&testbed, "v2", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
   testbed_stop (&testbed);
@@ -136,7 +136,7 @@
       strncat (id, " ", sizeof id - strlen (id) - 1);
       if (!strstr (server_log (s), id))
         return true;
-      fleet_sleep (100);
+      fleet_sleep_ms (100);
     }
   return false;
 }
@@ -150,7 +150,7 @@
       testbed_call (&testbed, "unused", "/safe/x", NULL, "", &answer);
       if (answer.status == 503)
         return true;
-      fleet_sleep (100);
+      fleet_sleep_ms (100);
     }
   return false;
 }
@@ -160,11 +160,11 @@
 {
   start ();
   testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   testbed_list_server (&testbed, 0, "draining");
   testbed_fetch (testbed.store_port, "PUT", "/mode?forget", "");
   testbed_fetch (testbed.store_port, "PUT", "/mode?ok", "");
-  fleet_sleep (800);
+  fleet_sleep_ms (800);
   for (int i = 0; i < 4; i++)
     testbed_call (&testbed, "h1", "/safe/x", NULL, "", &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
@@ -182,7 +182,7 @@
 {
   start ();
   testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
   testbed_fetch (testbed.store_port, "PUT", "/mode?forget", "");
   testbed_fetch (testbed.store_port, "PUT", "/mode?ok", "");
@@ -206,7 +206,7 @@
   CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
   /* A router that starts while the store is away learns all from its peer. */
   testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
-  fleet_end (&testbed.routers[0].pid, SIGKILL);
+  fleet_end_process (&testbed.routers[0].pid, SIGKILL);
   testbed_start_router (&testbed, 0);
   CU_ASSERT (testbed_wait_ready (&testbed, 0, true));
   testbed_call (&testbed, "e1", "/safe/x", NULL, "", &answer);
@@ -226,7 +226,7 @@
   testbed.store_wait_ms = LONG_WAIT_MS;
   testbed.list_wait_ms = LONG_WAIT_MS;
   restart_router ();
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
 }
 
 /* The first router's questions wait for good, the second one asks anew after a second at most. */
@@ -236,7 +236,7 @@
   start_with_long_polls ();
   testbed.short_wait_ms = LONG_WAIT_MS;
   restart_router ();
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   testbed_fetch (testbed.store_port, "PUT", "/deafen", "");
   testbed.short_wait_ms = 300;
   testbed_start_router (&testbed, 1);
@@ -252,8 +252,8 @@
   testbed.store_wait_ms = testbed.list_wait_ms = testbed.short_wait_ms = LONG_WAIT_MS;
   testbed_start_router (&testbed, 1);
   CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 1, true));
-  fleet_sleep (300);
-  fleet_end (&testbed.routers[0].pid, SIGKILL);
+  fleet_sleep_ms (300);
+  fleet_end_process (&testbed.routers[0].pid, SIGKILL);
   testbed_fetch (testbed.store_port, "PUT", "/deafen", "");
   testbed_fetch (testbed.store_port, "PUT", "/remove?servers/i-B1", "");
 }
@@ -328,7 +328,7 @@
   while (answer.status == 200);
   /* The key comes back: once this router knows that there is something newer, it may not say
    * that there is none. Its question for that is at the store by now. */
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   testbed_fetch (testbed.store_port, "PUT", "/deafen", "");
   testbed.has_key = true;
   testbed_publish (&testbed);
@@ -378,7 +378,7 @@
     {
       long before = store_calls (r);
 
-      fleet_sleep (2000);
+      fleet_sleep_ms (2000);
       if (store_calls (r) == before)
         return true;
     }
@@ -401,9 +401,9 @@
     }
   CU_ASSERT_TRUE_FATAL (wait_polls_pending (3));
   before = store_calls (3);
-  fleet_end (&testbed.routers[0].pid, SIGKILL);
+  fleet_end_process (&testbed.routers[0].pid, SIGKILL);
   for (int i = 0; i < 500 && store_calls (3) == before; i++)
-    fleet_sleep (20);
+    fleet_sleep_ms (20);
   CU_ASSERT_NOT_EQUAL (store_calls (3), before);
   testbed_stop (&testbed);
 }
@@ -418,7 +418,7 @@
 {
   start ();
   testbed_fetch (testbed.store_port, "PUT", "/mode?slow500", "");
-  fleet_end (&testbed.routers[0].pid, SIGKILL);
+  fleet_end_process (&testbed.routers[0].pid, SIGKILL);
   testbed_start_router (&testbed, 0);
   CU_ASSERT (testbed_wait_ready (&testbed, 0, true));
   testbed_call (&testbed, "sl1", "/safe/x", NULL, "", &answer);
@@ -465,7 +465,7 @@
   start ();
   testbed.list_wait_ms = testbed.short_wait_ms = LONG_WAIT_MS;
   restart_router ();
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   silence_store ();
   CU_ASSERT (testbed_wait_logged (&testbed, 0, "the other one is silent"));
   expire_entries_and_call ();
@@ -485,7 +485,7 @@
   CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 1, true));
   testbed.store_wait_ms = testbed.list_wait_ms = testbed.short_wait_ms = LONG_WAIT_MS;
   restart_router ();
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   silence_store ();
   CU_ASSERT (testbed_wait_logged (&testbed, 1, "no answer in time"));
   expire_entries_and_call ();
@@ -521,7 +521,7 @@
   testbed_list_server (&testbed, 1, "draining");
   testbed_publish (&testbed);
   CU_ASSERT (follower_logged ("endpoint_leaving", "endpoint=i-B1"));
-  fleet_sleep (1000);
+  fleet_sleep_ms (1000);
 }
 
 /* 149 routers that all asked the store made 231 calls a second, most of them to learn of the same
@@ -545,9 +545,9 @@
   CU_ASSERT (follower_logged ("config_accepted", version));
   CU_ASSERT_EQUAL (store_calls (FOLLOWER), before);
   /* One that asked is gone: this one asks from now on. */
-  fleet_end (&testbed.routers[0].pid, SIGKILL);
+  fleet_end_process (&testbed.routers[0].pid, SIGKILL);
   CU_ASSERT (follower_logged ("store_reader", "reads=1"));
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   CU_ASSERT (store_calls (FOLLOWER) > before);
   testbed_stop (&testbed);
 }
--- a/test/router_suspended.c
+++ b/test/router_suspended.c
@@ -28,7 +28,7 @@
 suspend (void)
 {
   kill (testbed.routers[0].pid, SIGSTOP);
-  fleet_sleep (50);
+  fleet_sleep_ms (50);
 }
 
 static void
@@ -43,7 +43,7 @@
 wait_resumed (void)
 {
   CU_ASSERT (testbed_wait_logged (&testbed, 0, " woke "));
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
 }
 
 /* A request on a connection of its own. @return the connection. */
@@ -169,7 +169,7 @@
   CU_ASSERT (answer.status == 502 || answer.status == 504);
   for (int i = 0; i < 50 && !ended; i++)
     {
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
       ended = waitpid (testbed.routers[0].pid, &status, WNOHANG) == testbed.routers[0].pid;
     }
   CU_ASSERT (ended);
@@ -203,7 +203,7 @@
           for (int n = 0; n < 100 && answer.status != wanted; n++)
             {
               testbed_call_at (&testbed, r, "change", "/safe/x", NULL, "", &answer);
-              fleet_sleep (20);
+              fleet_sleep_ms (20);
             }
           CU_ASSERT_EQUAL (answer.status, wanted);
         }
--- a/test/router_terms.c
+++ b/test/router_terms.c
@@ -66,13 +66,13 @@
   call_all ("A=limit", 6);
   wait_known (0, "limit_milli=1000");
   before = arrived (0);
-  began_ms = fleet_now ();
+  began_ms = fleet_now_ms ();
   do
     {
       served += call_all ("A=limit", 1);
       calls += ROUTERS;
-      fleet_sleep (ROUTERS * CALL_PAUSE_MS);
-      ended_ms = fleet_now ();
+      fleet_sleep_ms (ROUTERS * CALL_PAUSE_MS);
+      ended_ms = fleet_now_ms ();
     }
   while (ended_ms < began_ms + WINDOW_MS);
   CU_ASSERT ((arrived (0) - before) <=
@@ -108,7 +108,7 @@
   for (int i = 0; i < 400 && !testbed_logged (&testbed, 0, "limit_milli=0 before_milli=1000"); i++)
     {
       call_all (NULL, 1);
-      fleet_sleep (ROUTERS * CALL_PAUSE_MS);
+      fleet_sleep_ms (ROUTERS * CALL_PAUSE_MS);
     }
   wait_known (0, "limit_milli=0 before_milli=1000");
   before = arrived (0);
@@ -130,7 +130,7 @@
     {
       for (int r = 0; r < ROUTERS - 1; r++)
         testbed_call_at (&testbed, r, "c", "/safe/x", NULL, "", &answer);
-      fleet_sleep (ROUTERS * CALL_PAUSE_MS);
+      fleet_sleep_ms (ROUTERS * CALL_PAUSE_MS);
     }
   kill (testbed.routers[ROUTERS - 1].pid, SIGCONT);
   wait_known (0, "limit_milli=0 before_milli=1000");
--- a/test/router_testbed.c
+++ b/test/router_testbed.c
@@ -333,9 +333,9 @@
 static void
 wait_port (uint16_t port)
 {
-  int64_t until = fleet_now () + WAIT_MS;
+  int64_t until = fleet_now_ms () + WAIT_MS;
 
-  while (fleet_now () < until)
+  while (fleet_now_ms () < until)
     {
       int fd = connect_to (port);
 
@@ -427,15 +427,15 @@
 bool
 testbed_wait_ready (struct testbed *testbed, int r, bool ready)
 {
-  int64_t until = fleet_now () + WAIT_MS;
+  int64_t until = fleet_now_ms () + WAIT_MS;
 
-  while (fleet_now () < until)
+  while (fleet_now_ms () < until)
     {
       const char *body = testbed_fetch (testbed->routers[r].readiness_port, "GET", "/readyz", "");
 
       if ((strcmp (body, "ready\n") == 0) == ready)
         return true;
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   return false;
 }
@@ -570,16 +570,16 @@
 
   for (int r = 0; r < TESTBED_ROUTERS; r++)
     if (testbed->routers[r].pid)
-      fleet_end (&testbed->routers[r].pid, SIGKILL);
+      fleet_end_process (&testbed->routers[r].pid, SIGKILL);
   for (int s = 0; s < TESTBED_SERVERS; s++)
     if (testbed->servers[s].pid)
-      fleet_end (&testbed->servers[s].pid, SIGKILL);
+      fleet_end_process (&testbed->servers[s].pid, SIGKILL);
   for (int i = 0; i < TESTBED_LINKS; i++)
     if (testbed->links[i].pid)
-      fleet_end (&testbed->links[i].pid, SIGKILL);
+      fleet_end_process (&testbed->links[i].pid, SIGKILL);
   if (testbed->group)
-    fleet_end (&testbed->group, SIGKILL);
-  fleet_end (&testbed->store, SIGKILL);
+    fleet_end_process (&testbed->group, SIGKILL);
+  fleet_end_process (&testbed->store, SIGKILL);
   if (getenv ("FLEET_KEEP"))
     {
       printf ("logs: %s\n", testbed->folder);
@@ -635,13 +635,13 @@
 bool
 testbed_wait_logged (struct testbed *testbed, int r, const char *text)
 {
-  int64_t until = fleet_now () + WAIT_MS;
+  int64_t until = fleet_now_ms () + WAIT_MS;
 
-  while (fleet_now () < until)
+  while (fleet_now_ms () < until)
     {
       if (testbed_logged (testbed, r, text))
         return true;
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   return false;
 }
--- a/test/router_tests.c
+++ b/test/router_tests.c
@@ -29,7 +29,7 @@
 void
 restart_router (void)
 {
-  fleet_end (&testbed.routers[0].pid, SIGKILL);
+  fleet_end_process (&testbed.routers[0].pid, SIGKILL);
   testbed_start_router (&testbed, 0);
   CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
 }
@@ -38,7 +38,7 @@
 wait_arrived (const char *id)
 {
   for (int i = 0; i < 100 && !testbed_count_runs (&testbed, id); i++)
-    fleet_sleep (10);
+    fleet_sleep_ms (10);
 }
 
 bool
--- a/test/silence.c
+++ b/test/silence.c
@@ -40,7 +40,8 @@
 static void
 print_elapsed (const char *what, int silence, int64_t began_ms)
 {
-  printf ("\n    %s, silence %d: %lld ms ", what, silence, (long long) (fleet_now () - began_ms));
+  printf ("\n    %s, silence %d: %lld ms ", what, silence,
+          (long long) (fleet_now_ms () - began_ms));
 }
 
 /* ---- to endpoints ---- */
@@ -154,7 +155,7 @@
       start ();
       keep_connections ();
       silence_endpoints ((enum testbed_silence) silence);
-      began_ms = fleet_now ();
+      began_ms = fleet_now_ms ();
       failed = count_failed (path, action, repeatable);
       print_elapsed (path, silence, began_ms);
       CU_ASSERT (failed <= failed_max);
@@ -219,10 +220,10 @@
       testbed_send (fd, "POST /long/x HTTP/1.1\r\n" HEAD
                         "mid-1\r\nX-Do: *=stream\r\nContent-Length: 0\r\n\r\n");
       for (int i = 0; i < 200 && !testbed_count_runs (&testbed, "mid-1"); i++)
-        fleet_sleep (5);
-      fleet_sleep (STREAM_STARTED_MS);
+        fleet_sleep_ms (5);
+      fleet_sleep_ms (STREAM_STARTED_MS);
       silence_endpoints ((enum testbed_silence) silence);
-      began_ms = fleet_now ();
+      began_ms = fleet_now_ms ();
       testbed_read (fd, &answer);
       close (fd);
       print_elapsed ("midway", silence, began_ms);
@@ -269,7 +270,7 @@
       LARGE_BYTES);
   memset (text + length, 'x', LARGE_BYTES);
   testbed_send (fd, text);
-  fleet_sleep (SUSPECTED_MS);
+  fleet_sleep_ms (SUSPECTED_MS);
   CU_ASSERT_EQUAL (count_failed ("/once/x", NULL, false), 0);
   /* This one may have run for all that its router knows. */
   testbed_read (fd, &answer);
@@ -324,7 +325,7 @@
   start ();
   keep_connections ();
   fd = testbed_connect (&testbed, 0);
-  fleet_sleep (100);
+  fleet_sleep_ms (100);
   for (int s = 0; s < TESTBED_SERVERS; s++)
     CU_ASSERT (count_probed (testbed.links[TESTBED_LINK_SERVERS + s].port, false) > 0);
   CU_ASSERT (count_probed (testbed.links[TESTBED_LINK_STORE].port, false) > 0);
@@ -364,12 +365,12 @@
       start ();
       testbed.store_wait_ms = LONG_WAIT_MS;
       testbed.list_wait_ms = LONG_WAIT_MS;
-      fleet_end (&testbed.routers[0].pid, SIGKILL);
+      fleet_end_process (&testbed.routers[0].pid, SIGKILL);
       testbed_start_router (&testbed, 0);
       CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, 0, true));
-      fleet_sleep (200);
+      fleet_sleep_ms (200);
       testbed_silence (&testbed, TESTBED_LINK_STORE, (enum testbed_silence) silence);
-      began_ms = fleet_now ();
+      began_ms = fleet_now_ms ();
       testbed_publish (&testbed);
       testbed_list_server (&testbed, 0, "draining");
       snprintf (accepted, sizeof accepted, "version=%u before=", testbed.version);
@@ -406,7 +407,7 @@
     {
       if (count_logged (r, text) >= count)
         return true;
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   return false;
 }
@@ -425,17 +426,17 @@
       testbed_start_router (&testbed, 1);
       CU_ASSERT (testbed_wait_ready (&testbed, 1, true));
       CU_ASSERT (wait_counted (1, "link_up", 1));
-      fleet_sleep (300);
+      fleet_sleep_ms (300);
       ups = count_logged (1, "link_up");
       for (int r = 0; r < TESTBED_ROUTERS; r++)
         testbed_silence (&testbed, TESTBED_LINK_PEERS + r, (enum testbed_silence) silence);
-      began_ms = fleet_now ();
+      began_ms = fleet_now_ms ();
       CU_ASSERT (wait_counted (1, "link_up", ups + 1));
       print_elapsed ("peers, up again", silence, began_ms);
       CU_ASSERT (count_logged (0, "why=\"silent\"") + count_logged (1, "why=\"silent\"") > 0);
       /* The first router's way to the store is closed: it learns from the other one. */
       testbed_fetch (testbed.links[TESTBED_LINK_STORE].control, "POST", "/control?mode=1", "");
-      fleet_end (&testbed.routers[0].pid, SIGKILL);
+      fleet_end_process (&testbed.routers[0].pid, SIGKILL);
       testbed_start_router (&testbed, 0);
       CU_ASSERT (testbed_wait_logged (&testbed, 0, "source=router-1"));
       snprintf (accepted, sizeof accepted, "version=%u before=", testbed.version);
@@ -475,9 +476,9 @@
             testbed_send (fds[i], "POST /once/x HTTP/1.1\r\n" HEAD
                                   "mute-1\r\nX-Do: *=mute\r\nContent-Length: 0\r\n\r\n");
         }
-      fleet_sleep (300);
+      fleet_sleep_ms (300);
       testbed_silence (&testbed, TESTBED_LINK_CALLERS, (enum testbed_silence) silence);
-      began_ms = fleet_now ();
+      began_ms = fleet_now_ms ();
       fd = testbed_connect (&testbed, 0);
       testbed_send (fd, "GET /safe/x HTTP/1.1\r\n" HEAD "next-1\r\n\r\n");
       testbed_read (fd, &answer);
@@ -490,7 +491,7 @@
                               atoi (testbed_fetch (testbed.servers[1].port, "GET", "/gone", "")) <
                           3;
            i++)
-        fleet_sleep (10);
+        fleet_sleep_ms (10);
       CU_ASSERT_EQUAL (testbed_count_runs (&testbed, "mute-1"), 3);
       for (int i = 0; i < CALLERS; i++)
         close (fds[i]);
@@ -519,7 +520,7 @@
 
       if (fd < 0)
         {
-          fleet_sleep (50);
+          fleet_sleep_ms (50);
           continue;
         }
       testbed_send (fd, "POST /model/x HTTP/1.1\r\n" HEAD "g1\r\nContent-Length: 0\r\n\r\n");
@@ -538,7 +539,7 @@
     {
       if (testbed_group_state (&testbed, "changes") >= changes)
         return true;
-      fleet_sleep (25);
+      fleet_sleep_ms (25);
     }
   return false;
 }
@@ -572,13 +573,13 @@
       changes = testbed_group_state (&testbed, "changes");
       snprintf (target, sizeof target, "/state?shift=%d", 3 * n + 2);
       testbed_fetch (testbed.ranks[0], "GET", target, "");
-      began_ms = fleet_now ();
+      began_ms = fleet_now_ms ();
       for (int i = 0; i < SILENCES && testbed_group_state (&testbed, "changes") == changes; i++)
         {
           for (int rank = 0; rank < TESTBED_RANKS; rank++)
             testbed_silence (&testbed, TESTBED_LINK_RANKS + rank,
                              (enum testbed_silence) (1 + n % 3));
-          fleet_sleep (BETWEEN_MS);
+          fleet_sleep_ms (BETWEEN_MS);
         }
       CU_ASSERT (wait_changes (changes + 1));
       print_elapsed ("ranks, the next change", 1 + n % 3, began_ms);
--- a/test/standin.c
+++ b/test/standin.c
@@ -31,7 +31,7 @@
 }
 
 int64_t
-standin_number (struct standin_request *request, const char *name, int64_t fallback)
+standin_query_number (struct standin_request *request, const char *name, int64_t fallback)
 {
   const char *value =
       MHD_lookup_connection_value (request->connection, MHD_GET_ARGUMENT_KIND, name);
@@ -66,7 +66,7 @@
             size_t *upload_bytes,
             void **context)
 {
-  standin_handle *handle = *(standin_handle **) data;
+  standin_handler *handle = *(standin_handler **) data;
   struct standin_request *request = *context;
 
   (void) version;
@@ -113,7 +113,7 @@
 }
 
 int
-standin_serve (uint16_t port, standin_handle *handle)
+standin_serve (uint16_t port, standin_handler *handle)
 {
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_port = htons (port) };
   struct MHD_Daemon *daemon;
--- a/test/standin.h
+++ b/test/standin.h
@@ -22,10 +22,10 @@
   size_t body_bytes;
 };
 
-typedef enum MHD_Result standin_handle (struct standin_request *request);
+typedef enum MHD_Result standin_handler (struct standin_request *request);
 
 /** Serves HTTP at the port of 127.0.0.1 until SIGTERM or SIGINT. */
-int standin_serve (uint16_t port, standin_handle *handle);
+int standin_serve (uint16_t port, standin_handler *handle);
 
 /** Answers with a text. */
 enum MHD_Result standin_reply (struct standin_request *request,
@@ -35,7 +35,7 @@
                                size_t length);
 
 /** @return a query argument as a number, or @p fallback. */
-int64_t standin_number (struct standin_request *request, const char *name, int64_t fallback);
+int64_t standin_query_number (struct standin_request *request, const char *name, int64_t fallback);
 
 /** @return milliseconds on a monotonic clock. */
 int64_t standin_now_ms (void);
--- a/test/standin_engine.c
+++ b/test/standin_engine.c
@@ -28,7 +28,7 @@
 #define TOKENS_DEFAULT 16
 #define CACHE_EVENTS 64
 #define CACHE_LAG_MS 300
-#define CACHE_GAP 7
+#define CACHE_LOST_EVERY 7
 
 struct generation
 {
@@ -36,7 +36,7 @@
   bool stream;
   int64_t tokens;
   int64_t sent;
-  bool closing; /* the end of the stream was sent */
+  bool done_sent; /* the end of the stream was sent */
 };
 
 struct cache_event
@@ -56,12 +56,12 @@
 static int64_t waiting;
 static int64_t break_after = -1;
 static bool drop;
-static int64_t shown_running;
-static int64_t shown_waiting;
+static int64_t reported_running;
+static int64_t reported_waiting;
 static int64_t shown_ms;
 
 static void
-count (const char *id, const char *what)
+count_run (const char *id, const char *what)
 {
   json_t *row;
 
@@ -119,20 +119,20 @@
 }
 
 static ssize_t
-on_more (void *data, uint64_t position, char *out, size_t room)
+read_answer (void *data, uint64_t position, char *out, size_t room)
 {
   struct generation *generation = data;
 
   (void) position;
   if (room < 512)
     return 0;
-  if (generation->closing)
+  if (generation->done_sent)
     return MHD_CONTENT_READER_END_OF_STREAM;
   if (break_after >= 0 && generation->sent >= break_after)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   if (generation->sent == generation->tokens)
     {
-      generation->closing = true;
+      generation->done_sent = true;
       return sprintf (out, "data: [DONE]\n\n");
     }
   wait_step ();
@@ -141,20 +141,20 @@
 }
 
 static void
-on_free (void *data)
+end_generation (void *data)
 {
   struct generation *generation = data;
 
   leave_batch ();
-  count (generation->id, generation->closing ? "ended" : "cancelled");
+  count_run (generation->id, generation->done_sent ? "ended" : "cancelled");
   free (generation);
 }
 
 static enum MHD_Result
 reply_stream (struct standin_request *request, struct generation *generation)
 {
-  struct MHD_Response *response =
-      MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, 1024, on_more, generation, on_free);
+  struct MHD_Response *response = MHD_create_response_from_callback (
+      MHD_SIZE_UNKNOWN, 1024, read_answer, generation, end_generation);
   enum MHD_Result result;
 
   MHD_add_response_header (response, "Content-Type", "text/event-stream");
@@ -181,15 +181,15 @@
     }
   length += sprintf (text + length, "\"}}]}\n");
   result = standin_reply (request, MHD_HTTP_OK, "application/json", text, (size_t) length);
-  generation->closing = true;
-  on_free (generation);
+  generation->done_sent = true;
+  end_generation (generation);
   free (text);
   return result;
 }
 
 /* A prefix was put into the cache. Events are shown CACHE_LAG_MS later. */
 static void
-note_cached (const char *id)
+add_cache_event (const char *id)
 {
   struct cache_event *event;
 
@@ -213,8 +213,8 @@
   generation->tokens = tokens ? json_integer_value (tokens) : TOKENS_DEFAULT;
   json_decref (body);
   enter_batch ();
-  count (id, "runs");
-  note_cached (id);
+  count_run (id, "runs");
+  add_cache_event (id);
   return generation->stream ? reply_stream (request, generation)
                             : reply_whole (request, generation);
 }
@@ -226,10 +226,10 @@
   int length;
 
   enter_batch ();
-  count (id, "runs");
-  standin_sleep_ms (standin_number (request, "work_ms", 1));
+  count_run (id, "runs");
+  standin_sleep_ms (standin_query_number (request, "work_ms", 1));
   leave_batch ();
-  count (id, "ended");
+  count_run (id, "ended");
   length = snprintf (text, sizeof text,
                      "{\"id\":\"%s\",\"method\":\"%s\",\"path\":\"%s\",\"body_bytes\":%zu}\n", id,
                      request->method, request->path, request->body_bytes);
@@ -242,9 +242,9 @@
 handle_resume (struct standin_request *request)
 {
   const char *id = MHD_lookup_connection_value (request->connection, MHD_GET_ARGUMENT_KIND, "id");
-  struct generation generation = { .tokens =
-                                       standin_number (request, "max_tokens", TOKENS_DEFAULT) };
-  size_t offset = (size_t) standin_number (request, "offset", 0);
+  struct generation generation = { .tokens = standin_query_number (request, "max_tokens",
+                                                                   TOKENS_DEFAULT) };
+  size_t offset = (size_t) standin_query_number (request, "offset", 0);
   char *text = calloc ((size_t) generation.tokens + 1, 256);
   size_t length = 0;
   enum MHD_Result result;
@@ -264,7 +264,7 @@
 static enum MHD_Result
 handle_cache (struct standin_request *request)
 {
-  int64_t after = standin_number (request, "after", 0);
+  int64_t after = standin_query_number (request, "after", 0);
   json_t *list = json_array ();
   enum MHD_Result result;
   char *text;
@@ -274,7 +274,7 @@
     {
       const struct cache_event *event = &cache_events[i];
 
-      if (event->number > after && event->number % CACHE_GAP &&
+      if (event->number > after && event->number % CACHE_LOST_EVERY &&
           event->shown_ms <= standin_now_ms ())
         json_array_append_new (list, json_pack ("{s:I, s:s}", "number", (json_int_t) event->number,
                                                 "prefix", event->id));
@@ -310,13 +310,13 @@
   pthread_mutex_lock (&lock);
   if (standin_now_ms () - shown_ms > LOAD_LAG_MS)
     {
-      shown_running = running;
-      shown_waiting = waiting;
+      reported_running = running;
+      reported_waiting = waiting;
       shown_ms = standin_now_ms ();
     }
-  length =
-      sprintf (text, "{\"running\":%lld,\"waiting\":%lld,\"step_us\":%lld}\n",
-               (long long) shown_running, (long long) shown_waiting, (long long) step_ms * 1000);
+  length = sprintf (text, "{\"running\":%lld,\"waiting\":%lld,\"step_us\":%lld}\n",
+                    (long long) reported_running, (long long) reported_waiting,
+                    (long long) step_ms * 1000);
   pthread_mutex_unlock (&lock);
   return standin_reply (request, MHD_HTTP_OK, "application/json", text, (size_t) length);
 }
@@ -337,16 +337,16 @@
     return handle_cache (request);
   if (strcmp (request->path, "/control") == 0)
     {
-      break_after = standin_number (request, "break_after", break_after);
-      drop = standin_number (request, "drop", drop) != 0;
-      step_ms = standin_number (request, "step_ms", step_ms);
+      break_after = standin_query_number (request, "break_after", break_after);
+      drop = standin_query_number (request, "drop", drop) != 0;
+      step_ms = standin_query_number (request, "step_ms", step_ms);
       return standin_reply (request, MHD_HTTP_OK, "text/plain", "ok\n", 3);
     }
   if (!id)
     id = "direct";
   if (drop)
     {
-      count (id, "runs");
+      count_run (id, "runs");
       return MHD_NO;
     }
   if (strcmp (request->path, "/v1/chat/completions") == 0 ||
--- a/test/standin_group.c
+++ b/test/standin_group.c
@@ -8,9 +8,9 @@
  * POST /rank/N/order        an order; answers the state
  * GET  /rank/N/loads        tokens of each expert in the last interval
  * POST /replace?rank=N      the rank is replaced and forgets all; with &other=M that one too
- * POST /control?lose=K       orders of that kind are lost (0: none)
- * POST /control?unchecked=1    the ranks check no fence from now on
- * POST /control?hot=E       expert E gets as many tokens as all others together
+ * POST /control?dropped_kind=K       orders of that kind are lost (0: none)
+ * POST /control?unfenced=1    the ranks check no fence from now on
+ * POST /control?hot_expert=E       expert E gets as many tokens as all others together
  * GET  /check               steps begun by all, differences, changes in use, longest wait
  */
 #include "controllers/expert_policy.h"
@@ -24,7 +24,7 @@
 #include <string.h>
 
 #define RANKS_MAX 64
-#define STEPS_KEPT 4096
+#define STEP_HISTORY 4096
 #define MAPS_MAX 256
 #define TOKENS 1000
 
@@ -37,15 +37,15 @@
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static struct ash_expert_rank ranks[RANKS_MAX];
-static uint64_t used[RANKS_MAX][STEPS_KEPT];
+static uint64_t step_maps[RANKS_MAX][STEP_HISTORY];
 static struct known_map maps[MAPS_MAX]; /* a ring; what was staged last */
 static unsigned map_count;
 static uint32_t rank_count;
 static uint32_t expert_count;
-static int64_t hot = -1;
-static int64_t lose;
-static int64_t unchecked;
-static uint64_t lives = 1;
+static int64_t hot_expert = -1;
+static int64_t dropped_kind;
+static int64_t unfenced;
+static uint64_t last_incarnation = 1;
 static unsigned differences;
 static unsigned changes;
 static int64_t last_step_ms;
@@ -61,7 +61,7 @@
 }
 
 static void
-stage (uint64_t digest, const ProtobufCBinaryData *placement)
+add_known_map (uint64_t digest, const ProtobufCBinaryData *placement)
 {
   struct known_map *map;
 
@@ -76,7 +76,7 @@
 /* ---- lock-step ---- */
 
 static bool
-is_behind (uint32_t r)
+is_no_rank_behind (uint32_t r)
 {
   for (uint32_t q = 0; q < rank_count; q++)
     if (ranks[q].blank || ranks[q].begun < ranks[r].begun)
@@ -87,15 +87,15 @@
 static void
 begin_step (uint32_t r)
 {
-  uint64_t before = used[r][ranks[r].begun % STEPS_KEPT];
+  uint64_t before = step_maps[r][ranks[r].begun % STEP_HISTORY];
   uint64_t map = ash_expert_rank_begin (&ranks[r]);
   uint64_t step = ranks[r].begun;
 
-  used[r][step % STEPS_KEPT] = map;
+  step_maps[r][step % STEP_HISTORY] = map;
   if (r == 0 && before && before != map)
     changes++;
   for (uint32_t q = 0; q < rank_count; q++)
-    if (ranks[q].begun == step && used[q][step % STEPS_KEPT] != map)
+    if (ranks[q].begun == step && step_maps[q][step % STEP_HISTORY] != map)
       {
         differences++;
         fprintf (stderr, "stand-in group: step %llu: rank %u and rank %u have two maps\n",
@@ -116,7 +116,7 @@
       standin_sleep_ms (step_ms);
       pthread_mutex_lock (&lock);
       for (uint32_t r = 0; r < rank_count; r++)
-        if (ash_expert_rank_may_begin (&ranks[r]) && is_behind (r))
+        if (ash_expert_rank_may_begin (&ranks[r]) && is_no_rank_behind (r))
           begin_step (r);
       pthread_mutex_unlock (&lock);
     }
@@ -155,12 +155,12 @@
 /* Gives the rank an order and takes its answer. The state alone is the answer to
  * a prepare that promises nothing. */
 static json_t *
-order_rank (uint32_t r, struct Ash__RankOrder *order)
+apply_order (uint32_t r, struct Ash__RankOrder *order)
 {
   json_t *object = NULL;
   struct ash_sink sink = { on_state, &object };
 
-  stage (order->map, &order->placement);
+  add_known_map (order->map, &order->placement);
   ash_expert_rank_handle_order (&ranks[r], order, "", &sink);
   return object;
 }
@@ -172,7 +172,7 @@
 
   for (uint32_t e = 0; e < expert_count; e++)
     json_array_append_new (
-        tokens, json_integer (e == hot ? (json_int_t) TOKENS * expert_count / 2 : TOKENS));
+        tokens, json_integer (e == hot_expert ? (json_int_t) TOKENS * expert_count / 2 : TOKENS));
   return json_pack ("{s:o}", "tokens", tokens);
 }
 
@@ -198,14 +198,14 @@
   ask.ballot = ranks[r].fence.promised;
   ask.sequence = ranks[r].fence.sequence;
   ask.life = ranks[r].life;
-  lost = order && lose && order->kind == lose;
-  if (order && unchecked)
+  lost = order && dropped_kind && order->kind == dropped_kind;
+  if (order && unfenced)
     {
       ranks[r].fence.promised = 0;
       ranks[r].fence.sequence = 0;
       order->life = ranks[r].life;
     }
-  answer = lost ? NULL : order_rank (r, order ? order : &ask);
+  answer = lost ? NULL : apply_order (r, order ? order : &ask);
   pthread_mutex_unlock (&lock);
   if (order)
     ash__rank_order__free_unpacked (order, NULL);
@@ -217,8 +217,8 @@
 static void
 replace_rank (unsigned r)
 {
-  ash_expert_rank_init_blank (&ranks[r], "g", r, ++lives);
-  memset (used[r], 0, sizeof used[r]);
+  ash_expert_rank_init_blank (&ranks[r], "g", r, ++last_incarnation);
+  memset (step_maps[r], 0, sizeof step_maps[r]);
 }
 
 static enum MHD_Result
@@ -233,13 +233,13 @@
   pthread_mutex_lock (&lock);
   if (strcmp (request->path, "/replace") == 0)
     {
-      replace_rank ((unsigned) standin_number (request, "rank", 0) % rank_count);
-      if (standin_number (request, "other", -1) >= 0)
-        replace_rank ((unsigned) standin_number (request, "other", 0) % rank_count);
+      replace_rank ((unsigned) standin_query_number (request, "rank", 0) % rank_count);
+      if (standin_query_number (request, "other", -1) >= 0)
+        replace_rank ((unsigned) standin_query_number (request, "other", 0) % rank_count);
     }
-  hot = standin_number (request, "hot", hot);
-  lose = standin_number (request, "lose", lose);
-  unchecked = standin_number (request, "unchecked", unchecked);
+  hot_expert = standin_query_number (request, "hot", hot_expert);
+  dropped_kind = standin_query_number (request, "lose", dropped_kind);
+  unfenced = standin_query_number (request, "unchecked", unfenced);
   answer = json_pack ("{s:I, s:i, s:i, s:I}", "steps", (json_int_t) ranks[0].begun, "differences",
                       (int) differences, "changes", (int) changes, "longest_wait_ms",
                       (json_int_t) longest_wait_ms);
@@ -268,9 +268,9 @@
   ash_expert_repack (&placement, even);
   first.data = (uint8_t *) placement.slots;
   first.len = (size_t) 2 * rank_count * placement.rank_slots;
-  stage (1, &first);
+  add_known_map (1, &first);
   for (uint32_t r = 0; r < rank_count; r++)
-    ash_expert_rank_init (&ranks[r], "g", r, ++lives, 1);
+    ash_expert_rank_init (&ranks[r], "g", r, ++last_incarnation, 1);
   pthread_create (&thread, NULL, run_steps, &step_ms);
   return standin_serve ((uint16_t) atoi (argv[1]), handle);
 }
--- a/test/standin_link.c
+++ b/test/standin_link.c
@@ -7,10 +7,10 @@
  * POST /control?mode=2  one way: only towards the target
  * POST /control?mode=3  closes connections and takes no new ones
  * POST /control?silence=1  the connections that are open now are silent for good, both ways and
- *                          without an end; new ones pass
+ *                          without an end; new ones forward_bytes
  * POST /control?silence=2  the same, only towards the caller: what it sends still arrives
  * POST /control?silence=3  the same, only towards the target
- * GET /control          how many connections it has taken
+ * GET /control          how many connections it has accepted_count
  */
 #include "test/standin.h"
 
@@ -37,19 +37,19 @@
 #define POLL_MS 5
 
 /* What a connection holds unread: more than this stays unacknowledged while it is silent. */
-#define RECEIVE_BYTES 8192
+#define RECEIVE_BUFFER_BYTES 8192
 
 /* Ways of a connection, as bits. */
 #define TO_CALLER 1
 #define TO_TARGET 2
 
 static atomic_int mode;
-static atomic_int taken;        /* connections so far */
-static atomic_int silent_taken; /* those up to this one are silent */
-static atomic_int silent_ways;
+static atomic_int accepted_count; /* connections so far */
+static atomic_int silent_up_to;   /* those up to this one are silent */
+static atomic_int silent_directions;
 static uint16_t target_port;
 
-struct pair
+struct relay
 {
   int caller;
   int target;
@@ -72,7 +72,7 @@
 
 /* Passes on what there is. @return false at the end of the connection. */
 static bool
-pass (int from, int to)
+forward_bytes (int from, int to)
 {
   char bytes[65536];
   ssize_t length = recv (from, bytes, sizeof bytes, MSG_DONTWAIT);
@@ -92,26 +92,26 @@
 
 /* @return the ways that are silent, once they are for good. */
 static int
-ways_silent (struct pair *pair)
+update_silent_directions (struct relay *relay)
 {
-  if (pair->number <= silent_taken)
-    pair->silent |= silent_ways;
-  return pair->silent;
+  if (relay->number <= silent_up_to)
+    relay->silent |= silent_directions;
+  return relay->silent;
 }
 
 static void *
-serve_pair (void *data)
+serve_relay (void *data)
 {
-  struct pair *pair = data;
+  struct relay *relay = data;
   bool open = true;
 
   while (open && mode != MODE_CLOSED)
     {
       enum mode now = (enum mode) mode;
-      int silent = ways_silent (pair);
+      int silent = update_silent_directions (relay);
       /* poll() leaves out what is negative: bytes and ends on a silent way stay where they are. */
-      struct pollfd fds[] = { { silent & TO_TARGET ? -1 : pair->caller, POLLIN, 0 },
-                              { silent & TO_CALLER ? -1 : pair->target, POLLIN, 0 } };
+      struct pollfd fds[] = { { silent & TO_TARGET ? -1 : relay->caller, POLLIN, 0 },
+                              { silent & TO_CALLER ? -1 : relay->target, POLLIN, 0 } };
 
       if (now == MODE_CUT)
         {
@@ -119,44 +119,44 @@
           continue;
         }
       poll (fds, 2, POLL_MS);
-      if (ways_silent (pair) != silent)
+      if (update_silent_directions (relay) != silent)
         continue;
       if (fds[0].revents)
-        open = pass (pair->caller, pair->target);
+        open = forward_bytes (relay->caller, relay->target);
       if (open && now == MODE_PASS && fds[1].revents)
-        open = pass (pair->target, pair->caller);
+        open = forward_bytes (relay->target, relay->caller);
       if (now == MODE_ONE_WAY && fds[1].revents)
         standin_sleep_ms (POLL_MS);
     }
-  close (pair->caller);
-  close (pair->target);
-  free (pair);
+  close (relay->caller);
+  close (relay->target);
+  free (relay);
   return NULL;
 }
 
 static void *
-accept_pairs (void *data)
+accept_connections (void *data)
 {
   int listener = *(int *) data;
 
   for (;;)
     {
-      struct pair *pair = calloc (1, sizeof *pair);
+      struct relay *relay = calloc (1, sizeof *relay);
       pthread_t thread;
       int on = 1;
 
-      pair->caller = accept (listener, NULL, NULL);
-      pair->target = mode == MODE_CLOSED ? -1 : connect_target ();
-      if (pair->target < 0)
+      relay->caller = accept (listener, NULL, NULL);
+      relay->target = mode == MODE_CLOSED ? -1 : connect_target ();
+      if (relay->target < 0)
         {
-          close (pair->caller);
-          free (pair);
+          close (relay->caller);
+          free (relay);
           continue;
         }
-      pair->number = ++taken;
-      setsockopt (pair->caller, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-      setsockopt (pair->target, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-      pthread_create (&thread, NULL, serve_pair, pair);
+      relay->number = ++accepted_count;
+      setsockopt (relay->caller, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+      setsockopt (relay->target, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+      pthread_create (&thread, NULL, serve_relay, relay);
       pthread_detach (thread);
     }
   return NULL;
@@ -165,16 +165,18 @@
 static enum MHD_Result
 handle (struct standin_request *request)
 {
-  int silence = (int) standin_number (request, "silence", 0);
+  int silence = (int) standin_query_number (request, "silence", 0);
   char text[16];
 
-  mode = (int) standin_number (request, "mode", mode);
+  mode = (int) standin_query_number (request, "mode", mode);
   if (silence)
     {
-      silent_ways = silence == 1 ? TO_CALLER | TO_TARGET : silence == 2 ? TO_CALLER : TO_TARGET;
-      silent_taken = taken;
+      silent_directions = silence == 1   ? TO_CALLER | TO_TARGET
+                          : silence == 2 ? TO_CALLER
+                                         : TO_TARGET;
+      silent_up_to = accepted_count;
     }
-  snprintf (text, sizeof text, "%d\n", taken);
+  snprintf (text, sizeof text, "%d\n", accepted_count);
   return standin_reply (request, MHD_HTTP_OK, "text/plain", text, strlen (text));
 }
 
@@ -190,7 +192,7 @@
   target_port = (uint16_t) atoi (argv[2]);
   listener = socket (AF_INET, SOCK_STREAM, 0);
   setsockopt (listener, SOL_SOCKET, SO_REUSEADDR, &(int){ 1 }, sizeof (int));
-  setsockopt (listener, SOL_SOCKET, SO_RCVBUF, &(int){ RECEIVE_BYTES }, sizeof (int));
+  setsockopt (listener, SOL_SOCKET, SO_RCVBUF, &(int){ RECEIVE_BUFFER_BYTES }, sizeof (int));
   address.sin_port = htons ((uint16_t) atoi (argv[1]));
   address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
   if (bind (listener, (struct sockaddr *) &address, sizeof address) < 0 ||
@@ -199,6 +201,6 @@
       perror ("stand-in link");
       return EXIT_FAILURE;
     }
-  pthread_create (&thread, NULL, accept_pairs, &listener);
+  pthread_create (&thread, NULL, accept_connections, &listener);
   return standin_serve ((uint16_t) atoi (argv[3]), handle);
 }
--- a/test/standin_platform.c
+++ b/test/standin_platform.c
@@ -8,7 +8,7 @@
  * PUT  /control/config?revision=R     publishes (without R: the next one)
  * PUT  /control/box?box=B&state=S     as the list will say after its lag
  * POST /control/mode?config=M&list=M&lag_ms=L
- *      M: 0 answers, 1 fails, 2 stale (nothing new is seen), 3 an older one, 4 silent: what
+ *      M: 0 answers, 1 fails, 2 stale (nothing new is seen), 3 an previous one, 4 silent: what
  *      waits for a change is never answered, also when the mode has changed again; who asks
  *      for an answer at once gets it
  * GET  /control/calls                 how many calls there were, by kind
@@ -24,7 +24,7 @@
 #define NAME_BYTES 40
 
 /* A question that gets no answer is held for longer than anybody waits for one. */
-#define SILENCE_MS 60000
+#define UNANSWERED_HOLD_MS 60000
 
 enum mode
 {
@@ -35,28 +35,28 @@
   MODE_SILENT,
 };
 
-struct published
+struct document_version
 {
   uint64_t revision;
   char *text;
 };
 
-struct listed
+struct listed_box
 {
   char name[NAME_BYTES];
   char state[16];
-  char next_state[16];
-  int64_t next_ms; /* when next_state shows */
+  char pending_state[16];
+  int64_t pending_from_ms; /* when pending_state shows */
 };
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static struct published present;
-static struct published older;
+static struct document_version current;
+static struct document_version previous;
 static uint64_t stale_revision; /* in MODE_STALE nothing above it is shown */
 static enum mode config_mode;
 static enum mode list_mode;
 static int64_t list_lag_ms;
-static struct listed boxes[BOXES_MAX];
+static struct listed_box boxes[BOXES_MAX];
 static unsigned box_count;
 static unsigned config_calls;
 static unsigned list_calls;
@@ -64,14 +64,14 @@
 static void
 publish (const char *text, uint64_t revision)
 {
-  free (older.text);
-  older = present;
-  present.revision = revision ? revision : older.revision + 1;
-  present.text = strdup (text);
+  free (previous.text);
+  previous = current;
+  current.revision = revision ? revision : previous.revision + 1;
+  current.text = strdup (text);
 }
 
 static enum MHD_Result
-reply_document (struct standin_request *request, const struct published *document)
+reply_document (struct standin_request *request, const struct document_version *document)
 {
   struct MHD_Response *response = MHD_create_response_from_buffer (
       strlen (document->text), document->text, MHD_RESPMEM_MUST_COPY);
@@ -86,21 +86,21 @@
 }
 
 /* What a read sees now, or NULL. */
-static const struct published *
-visible (uint64_t after)
+static const struct document_version *
+find_visible (uint64_t after)
 {
   if (config_mode == MODE_OLDER)
-    return older.text ? &older : NULL;
-  if (!present.text || present.revision <= after)
+    return previous.text ? &previous : NULL;
+  if (!current.text || current.revision <= after)
     return NULL;
-  if (config_mode == MODE_STALE && present.revision > stale_revision)
+  if (config_mode == MODE_STALE && current.revision > stale_revision)
     return NULL;
-  return &present;
+  return &current;
 }
 
 /* Whether a question is one that the platform never answers. */
 static bool
-is_lost (int64_t wait_ms)
+is_never_answered (int64_t wait_ms)
 {
   return config_mode == MODE_SILENT && wait_ms > 0;
 }
@@ -108,36 +108,36 @@
 static enum MHD_Result
 handle_config (struct standin_request *request)
 {
-  uint64_t after = (uint64_t) standin_number (request, "after", 0);
-  int64_t wait_ms = standin_number (request, "wait_ms", 0);
+  uint64_t after = (uint64_t) standin_query_number (request, "after", 0);
+  int64_t wait_ms = standin_query_number (request, "wait_ms", 0);
   int64_t until_ms = standin_now_ms () + wait_ms;
   enum MHD_Result result;
   bool is_older;
 
   pthread_mutex_lock (&lock);
   config_calls++;
-  while (config_mode != MODE_FAIL && !is_lost (wait_ms) && !visible (after) &&
+  while (config_mode != MODE_FAIL && !is_never_answered (wait_ms) && !find_visible (after) &&
          standin_now_ms () < until_ms)
     {
       pthread_mutex_unlock (&lock);
       standin_sleep_ms (5);
       pthread_mutex_lock (&lock);
     }
-  if (is_lost (wait_ms))
+  if (is_never_answered (wait_ms))
     {
       pthread_mutex_unlock (&lock);
-      standin_sleep_ms (SILENCE_MS);
+      standin_sleep_ms (UNANSWERED_HOLD_MS);
       return MHD_NO;
     }
   if (config_mode == MODE_FAIL)
     result = standin_reply (request, MHD_HTTP_SERVICE_UNAVAILABLE, "text/plain", "down\n", 5);
-  else if (visible (after))
-    result = reply_document (request, visible (after));
+  else if (find_visible (after))
+    result = reply_document (request, find_visible (after));
   else
     result = standin_reply (request, MHD_HTTP_NOT_MODIFIED, "text/plain", "", 0);
   is_older = config_mode == MODE_OLDER;
   pthread_mutex_unlock (&lock);
-  /* An older answer comes at once whatever is asked for: keep that bearable. */
+  /* An previous answer comes at once whatever is asked for: keep that bearable. */
   if (is_older)
     standin_sleep_ms (50);
   return result;
@@ -156,10 +156,10 @@
   length = (size_t) sprintf (text, "{\"boxes\":[");
   for (unsigned i = 0; i < box_count; i++)
     {
-      if (boxes[i].next_ms && standin_now_ms () >= boxes[i].next_ms)
+      if (boxes[i].pending_from_ms && standin_now_ms () >= boxes[i].pending_from_ms)
         {
-          strcpy (boxes[i].state, boxes[i].next_state);
-          boxes[i].next_ms = 0;
+          strcpy (boxes[i].state, boxes[i].pending_state);
+          boxes[i].pending_from_ms = 0;
         }
       length += (size_t) sprintf (text + length, "%s{\"box\":\"%s\",\"state\":\"%s\"}",
                                   i ? "," : "", boxes[i].name, boxes[i].state);
@@ -192,8 +192,8 @@
       strcpy (boxes[i].state, "live");
       box_count++;
     }
-  snprintf (boxes[i].next_state, sizeof boxes[i].next_state, "%s", state);
-  boxes[i].next_ms = standin_now_ms () + list_lag_ms;
+  snprintf (boxes[i].pending_state, sizeof boxes[i].pending_state, "%s", state);
+  boxes[i].pending_from_ms = standin_now_ms () + list_lag_ms;
 }
 
 static enum MHD_Result
@@ -206,10 +206,10 @@
   pthread_mutex_lock (&lock);
   if (strcmp (request->path, "/control/config") == 0)
     {
-      uint64_t revision = (uint64_t) standin_number (request, "revision", 0);
+      uint64_t revision = (uint64_t) standin_query_number (request, "revision", 0);
 
-      /* A platform numbers what it holds: nothing is published twice under one. */
-      if (revision && revision <= present.revision)
+      /* A platform numbers what it holds: nothing is document_version twice under one. */
+      if (revision && revision <= current.revision)
         status = MHD_HTTP_CONFLICT;
       else
         publish (request->body, revision);
@@ -218,13 +218,13 @@
     set_box (request);
   else if (strcmp (request->path, "/control/mode") == 0)
     {
-      config_mode = (enum mode) standin_number (request, "config", config_mode);
-      list_mode = (enum mode) standin_number (request, "list", list_mode);
-      list_lag_ms = standin_number (request, "lag_ms", list_lag_ms);
-      stale_revision = present.revision;
+      config_mode = (enum mode) standin_query_number (request, "config", config_mode);
+      list_mode = (enum mode) standin_query_number (request, "list", list_mode);
+      list_lag_ms = standin_query_number (request, "lag_ms", list_lag_ms);
+      stale_revision = current.revision;
     }
   length = sprintf (text, "{\"config\":%u,\"list\":%u,\"revision\":%llu}\n", config_calls,
-                    list_calls, (unsigned long long) present.revision);
+                    list_calls, (unsigned long long) current.revision);
   pthread_mutex_unlock (&lock);
   return standin_reply (request, status, "application/json", text, (size_t) length);
 }
