--- a/test/expert_schedule.c
+++ b/test/expert_schedule.c
@@ -139,7 +139,7 @@
 {
   struct Ash__RankState state = ASH__RANK_STATE__INIT;
 
-  state.life = sim->ranks[r].life;
+  state.life = sim->ranks[r].incarnation;
   ash_expert_guard_answer (&sim->guards[r], sim->now, false, &state);
 }
 
@@ -194,7 +194,7 @@
            (sim->engine_order_count - index) * sizeof frame);
   trace (sim, rank_names[frame.to_rank], ASH__EVENT__KIND_RANK_ORDER, &frame.order);
   rank->fence = (struct ash_expert_fence){ 0 };
-  frame.order.life = rank->life;
+  frame.order.life = rank->incarnation;
   ash_expert_rank_handle_order (rank, &frame.order, "", &sink);
   if (frame.agent_incarnation != guard->incarnation)
     return;
--- a/test/router.c
+++ b/test/router.c
@@ -565,17 +565,18 @@
   start ();
   testbed_call (&testbed, "n1", "/once/x", "*=shed", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 503);
-  check_trace ("n1", "each endpoint that was asked said that it has no room", "It did not run");
+  check_trace ("n1", "each endpoint that got the request rejected it because it had no room",
+               "It did not run");
   testbed_call (&testbed, "n2", "/once/x", "*=reset", "", &answer);
   CU_ASSERT_EQUAL (answer.status, 502);
-  check_trace ("n2", "the endpoint broke off", "may have run");
+  check_trace ("n2", "the endpoint ended its answer early", "may have run");
   testbed_call (&testbed, "n3", "/stream/x", "*=streamcut", "", &answer);
   CU_ASSERT_FALSE (answer.complete);
-  check_trace ("n3", "the endpoint broke off", "It was last at i-");
+  check_trace ("n3", "the endpoint ended its answer early", "It was last at i-");
   testbed_call (&testbed, "n4", "/safe/x", NULL, "", &answer);
-  check_trace ("n4", "Answered with 200 by i-", " ms after it came");
+  check_trace ("n4", "Answered with 200 by i-", " ms after it arrived");
   /* An id that is only a prefix of a logged one is another request. */
-  check_trace ("n", "No line among", "tells of it");
+  check_trace ("n", "None of the ", "is about this request");
   testbed_stop (&testbed);
 }
 
--- a/test/router_store.c
+++ b/test/router_store.c
@@ -471,7 +471,7 @@
   restart_router ();
   fleet_sleep_ms (300);
   silence_store ();
-  CU_ASSERT (testbed_wait_logged (&testbed, 0, "the other one is silent"));
+  CU_ASSERT (testbed_wait_logged (&testbed, 0, "the other request timed out"));
   expire_entries_and_call ();
   testbed_stop (&testbed);
 }
--- a/test/standin_group.c
+++ b/test/standin_group.c
@@ -198,13 +198,13 @@
     }
   query.ballot = ranks[r].fence.promised;
   query.sequence = ranks[r].fence.sequence;
-  query.life = ranks[r].life;
+  query.life = ranks[r].incarnation;
   dropped = order && dropped_kind && order->kind == dropped_kind;
   if (order && unfenced)
     {
       ranks[r].fence.promised = 0;
       ranks[r].fence.sequence = 0;
-      order->life = ranks[r].life;
+      order->life = ranks[r].incarnation;
     }
   answer = dropped ? NULL : submit_order (r, order ? order : &query);
   pthread_mutex_unlock (&lock);
--- a/test/unit_platform.c
+++ b/test/unit_platform.c
@@ -143,9 +143,9 @@
           &facts),
       "Address");
   CU_ASSERT_STRING_EQUAL (read_entry ("{}", &facts), "Service");
-  CU_ASSERT_STRING_EQUAL (read_entry ("[1]", &facts), "the whole");
-  CU_ASSERT_STRING_EQUAL (read_entry ("\xff\xfe", &facts), "the whole");
-  CU_ASSERT_STRING_EQUAL (read_entry ("", &facts), "the whole");
+  CU_ASSERT_STRING_EQUAL (read_entry ("[1]", &facts), "not a JSON object");
+  CU_ASSERT_STRING_EQUAL (read_entry ("\xff\xfe", &facts), "not a JSON object");
+  CU_ASSERT_STRING_EQUAL (read_entry ("", &facts), "not a JSON object");
 }
 
 static const struct ash_http_head *kept_head;
--- a/test/unit_trace.c
+++ b/test/unit_trace.c
@@ -40,7 +40,7 @@
   CU_ASSERT_EQUAL (trace.count, 2);
   CU_ASSERT_EQUAL (trace.lines[0].event, 404);
   CU_ASSERT_EQUAL (trace.read, 4);
-  CU_ASSERT_STRING_EQUAL (end, "Answered with 200 by i-7, 30 ms after it came.");
+  CU_ASSERT_STRING_EQUAL (end, "Answered with 200 by i-7, 30 ms after it arrived.");
   ash_trace_finish (&trace);
 }
 
@@ -61,18 +61,19 @@
 
   explain (&trace, refused, end, sizeof end);
   CU_ASSERT_PTR_NOT_NULL (strstr (end, "Refused after 81 ms: each endpoint had"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (end, "did not run; the caller was told to come back in 250 ms"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (end, "did not run; the caller was asked to retry in 250 ms"));
   ash_trace_finish (&trace);
   explain (&trace, denied, end, sizeof end);
   CU_ASSERT_STRING_EQUAL (end, "Denied with 401 under configuration 7: no such key.");
   ash_trace_finish (&trace);
   /* An unknown result is reported as unknown. */
   explain (&trace, unended, end, sizeof end);
-  CU_ASSERT_PTR_NOT_NULL (strstr (end, "No line tells how it ended"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (end, "No line shows how it ended"));
   CU_ASSERT_PTR_NOT_NULL (strstr (end, "(12 were). It was last at i-7 and may have run."));
   ash_trace_finish (&trace);
   explain (&trace, "nothing of it\n", end, sizeof end);
-  CU_ASSERT_PTR_NOT_NULL (strstr (end, "No line among 1 tells of it; 0 were left out."));
+  CU_ASSERT_PTR_NOT_NULL (
+      strstr (end, "None of the 1 lines is about this request; 0 lines were dropped."));
   ash_trace_finish (&trace);
 }
 
