--- a/bench/faults.c
+++ b/bench/faults.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * Figures of faults with real processes: how soon a leaving endpoint gets nothing
- * new, what callers are told when an agent dies, and how soon work of a dead entry
- * is cancelled. Markdown on standard output.
+ * Measures faults with real processes: how soon a leaving endpoint receives no new
+ * requests, which outcomes callers get when an agent is killed, and how soon the work
+ * of a dead entry is cancelled. Prints Markdown tables to standard output.
  */
 #include "test/fleet.h"
 
@@ -15,18 +15,18 @@
 
 #define CALLERS 16
 #define WATCH_MS 4000
-#define ORDERS 600
-#define ORDER_PERIOD_MS 5
+#define REQUESTS 600
+#define REQUEST_PERIOD_MS 5
 #define STREAMS 20
 #define CANCEL_WATCH_MS 40000
 #define SETTINGS "log_level = \"warn\"\nguard_ms = 0\n"
 
-/* ---- leaving ---- */
+/* ---- a leaving endpoint ---- */
 
 struct caller
 {
   struct fleet *fleet;
-  int entry; /* -1: both in turn */
+  int entry; /* index of the entry to call; -1: alternate between both */
   volatile bool stop;
   pthread_t thread;
 };
@@ -40,39 +40,40 @@
     {
       struct fleet_call call;
 
-      fleet_chat (caller->fleet, &call, caller->entry < 0 ? i % FLEET_ENTRIES : caller->entry, true,
-                  1);
-      fleet_wait (&call);
+      fleet_begin_chat (caller->fleet, &call, caller->entry < 0 ? i % FLEET_ENTRIES : caller->entry,
+                        true, 1);
+      fleet_wait_call (&call);
       ash_cli_answer_finish (&call.answer);
     }
   return NULL;
 }
 
-/* @return milliseconds from now to the last new start at the first model. */
+/* @return milliseconds from now until the last request started on the first model endpoint. */
 static int64_t
 watch_starts (struct fleet *fleet)
 {
-  int64_t start_ms = fleet_now ();
+  int64_t start_ms = fleet_now_ms ();
   int64_t last_ms = 0;
-  int runs = fleet_runs (fleet, 0, NULL, "runs");
+  int runs = fleet_count_runs (fleet, 0, NULL, "runs");
 
-  while (fleet_now () - start_ms < WATCH_MS)
+  while (fleet_now_ms () - start_ms < WATCH_MS)
     {
-      int now_runs = fleet_runs (fleet, 0, NULL, "runs");
+      int now_runs = fleet_count_runs (fleet, 0, NULL, "runs");
 
       if (now_runs != runs)
-        last_ms = fleet_now () - start_ms;
+        last_ms = fleet_now_ms () - start_ms;
       runs = now_runs;
-      fleet_sleep (5);
+      fleet_sleep_ms (5);
     }
   return last_ms;
 }
 
+/* How an entry learns that an endpoint is leaving. */
 enum source
 {
-  SOURCE_OWN,
-  SOURCE_LIST,
-  SOURCE_HEARSAY,
+  SOURCE_OWN,  /* from the endpoint */
+  SOURCE_LIST, /* from the box list of the platform */
+  SOURCE_PEER, /* from another entry */
 };
 
 static void
@@ -83,9 +84,9 @@
   int64_t last_ms;
 
   fleet_start (&fleet, SETTINGS);
-  if (source == SOURCE_HEARSAY)
+  if (source == SOURCE_PEER)
     {
-      fleet_end (&fleet.entries[1].pid, SIGKILL);
+      fleet_end_process (&fleet.entries[1].pid, SIGKILL);
       fleet.entries[1].platform_port = fleet.endpoints[0].peer_port;
       fleet_start_entry (&fleet, 1);
       fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS);
@@ -93,10 +94,10 @@
   for (int i = 0; i < CALLERS; i++)
     {
       callers[i].fleet = &fleet;
-      callers[i].entry = source == SOURCE_HEARSAY ? 1 : -1;
+      callers[i].entry = source == SOURCE_PEER ? 1 : -1;
       pthread_create (&callers[i].thread, NULL, keep_calling, &callers[i]);
     }
-  fleet_sleep (1000);
+  fleet_sleep_ms (1000);
   if (source == SOURCE_OWN)
     kill (fleet.endpoints[0].pid, SIGTERM);
   else
@@ -111,31 +112,31 @@
   fleet_stop (&fleet);
 }
 
-/* ---- an agent dies ---- */
+/* ---- a killed agent ---- */
 
 static void
 measure_unknown (void)
 {
-  static struct fleet_call calls[ORDERS];
+  static struct fleet_call calls[REQUESTS];
   struct fleet fleet;
-  int counts[4] = { 0 }; /* ran, not run, unknown, false "not run" */
-  int in_hands = 0;
+  int counts[4] = { 0 }; /* outcome ran, not-run, unknown, and not-run although it ran */
+  int in_flight = 0;
 
   fleet_start (&fleet, SETTINGS);
-  for (int i = 0; i < ORDERS; i++)
+  for (int i = 0; i < REQUESTS; i++)
     {
-      fleet_order (&fleet, &calls[i], i % FLEET_ENTRIES, NULL, 0, 50, 3000);
-      fleet_sleep (ORDER_PERIOD_MS);
-      if (i != ORDERS / 3)
+      fleet_begin_order (&fleet, &calls[i], i % FLEET_ENTRIES, NULL, 0, 50, 3000);
+      fleet_sleep_ms (REQUEST_PERIOD_MS);
+      if (i != REQUESTS / 3)
         continue;
-      in_hands = fleet_runs (&fleet, FLEET_STOCK, NULL, "runs") -
-                 fleet_runs (&fleet, FLEET_STOCK, NULL, "ended");
-      fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
+      in_flight = fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs") -
+                  fleet_count_runs (&fleet, FLEET_STOCK, NULL, "ended");
+      fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
       fleet_start_endpoint (&fleet, FLEET_STOCK);
     }
-  for (int i = 0; i < ORDERS; i++)
-    fleet_wait (&calls[i]);
-  for (int i = 0; i < ORDERS; i++)
+  for (int i = 0; i < REQUESTS; i++)
+    fleet_wait_call (&calls[i]);
+  for (int i = 0; i < REQUESTS; i++)
     {
       const struct ash_cli_answer *answer = &calls[i].answer;
       bool not_run = strcmp (answer->outcome, "not-run") == 0;
@@ -143,17 +144,18 @@
       counts[0] += strcmp (answer->outcome, "ran") == 0;
       counts[1] += not_run;
       counts[2] += strcmp (answer->outcome, "unknown") == 0;
-      counts[3] += not_run && fleet_runs (&fleet, FLEET_STOCK, answer->request_id, "runs") > 0;
+      counts[3] +=
+          not_run && fleet_count_runs (&fleet, FLEET_STOCK, answer->request_id, "runs") > 0;
       ash_cli_answer_finish (&calls[i].answer);
     }
-  printf ("| %d | %d | %d | %d | %d | %d |\n", ORDERS, counts[0], counts[1], counts[2], in_hands,
+  printf ("| %d | %d | %d | %d | %d | %d |\n", REQUESTS, counts[0], counts[1], counts[2], in_flight,
           counts[3]);
   fleet_stop (&fleet);
 }
 
-/* ---- an entry dies ---- */
+/* ---- a killed entry ---- */
 
-/* @param orphans whether work that no entry asks for is cancelled before its deadline. */
+/* @param orphans whether agents cancel requests without a connected entry before their deadline. */
 static void
 measure_cancel (const char *what, int signal, bool orphans)
 {
@@ -164,22 +166,22 @@
 
   fleet_start (&fleet, orphans ? SETTINGS : SETTINGS "orphan_ms = 600000\n");
   for (int i = 0; i < STREAMS; i++)
-    fleet_chat (&fleet, &calls[i], 0, true, 4000);
-  fleet_sleep (500);
+    fleet_begin_chat (&fleet, &calls[i], 0, true, 4000);
+  fleet_sleep_ms (500);
   kill (fleet.entries[0].pid, signal);
-  killed_ms = fleet_now ();
-  while (cancelled < STREAMS && fleet_now () - killed_ms < CANCEL_WATCH_MS)
+  killed_ms = fleet_now_ms ();
+  while (cancelled < STREAMS && fleet_now_ms () - killed_ms < CANCEL_WATCH_MS)
     {
-      cancelled =
-          fleet_runs (&fleet, 0, NULL, "cancelled") + fleet_runs (&fleet, 1, NULL, "cancelled");
-      fleet_sleep (5);
+      cancelled = fleet_count_runs (&fleet, 0, NULL, "cancelled") +
+                  fleet_count_runs (&fleet, 1, NULL, "cancelled");
+      fleet_sleep_ms (5);
     }
   printf ("| %s | %d | %d | %lld |\n", what, STREAMS, cancelled,
-          (long long) (fleet_now () - killed_ms));
-  fleet_end (&fleet.entries[0].pid, SIGKILL);
+          (long long) (fleet_now_ms () - killed_ms));
+  fleet_end_process (&fleet.entries[0].pid, SIGKILL);
   for (int i = 0; i < STREAMS; i++)
     {
-      fleet_wait (&calls[i]);
+      fleet_wait_call (&calls[i]);
       ash_cli_answer_finish (&calls[i].answer);
     }
   fleet_stop (&fleet);
@@ -193,7 +195,7 @@
   printf ("| an endpoint is leaving, known from | last new start there after, ms |\n|---|---|\n");
   measure_leaving ("its own signal alone", SOURCE_OWN);
   measure_leaving ("the platform's list alone, from when the list shows it", SOURCE_LIST);
-  measure_leaving ("another entry's word alone", SOURCE_HEARSAY);
+  measure_leaving ("another entry's word alone", SOURCE_PEER);
   printf (
       "\n| orders, the agent is killed among them | ran | not run | unknown | in its hands when "
       "killed | told not run, and ran |\n|---|---|---|---|---|---|\n");
--- a/bench/load.c
+++ b/bench/load.c
@@ -19,10 +19,10 @@
   pthread_t thread;
 };
 
-static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
+static pthread_mutex_t results_lock = PTHREAD_MUTEX_INITIALIZER;
 
 static size_t
-ignore (char *bytes, size_t size, size_t count, void *data)
+discard_body (char *bytes, size_t size, size_t count, void *data)
 {
   (void) bytes;
   (void) data;
@@ -51,7 +51,7 @@
   curl_easy_setopt (easy, CURLOPT_URL, load->url);
   curl_easy_setopt (easy, CURLOPT_PROXY, "");
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, *headers);
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, ignore);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, discard_body);
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, 20000L);
   if (load->body)
     curl_easy_setopt (easy, CURLOPT_POSTFIELDS, load->body);
@@ -59,7 +59,7 @@
 }
 
 static void *
-work (void *data)
+run_worker (void *data)
 {
   struct worker *worker = data;
   struct load *load = worker->load;
@@ -69,21 +69,21 @@
   for (uint32_t i = worker->index; i < load->count; i += THREADS)
     {
       int64_t due_us = worker->start_us + (int64_t) i * US_PER_S / load->rate_per_s;
-      int64_t began_us;
+      int64_t sent_us;
       int64_t took_us;
       long status = 0;
 
       sleep_until_us (due_us);
-      began_us = ash_clock_now_us ();
+      sent_us = ash_clock_now_us ();
       if (curl_easy_perform (easy) == CURLE_OK)
         curl_easy_getinfo (easy, CURLINFO_RESPONSE_CODE, &status);
-      took_us = ash_clock_now_us () - began_us;
-      pthread_mutex_lock (&lock);
+      took_us = ash_clock_now_us () - sent_us;
+      pthread_mutex_lock (&results_lock);
       if (status == 200)
         load->took_us[load->ok++] = took_us;
       else
         load->failed++;
-      pthread_mutex_unlock (&lock);
+      pthread_mutex_unlock (&results_lock);
     }
   curl_easy_cleanup (easy);
   curl_slist_free_all (headers);
@@ -91,7 +91,7 @@
 }
 
 static int
-by_size (const void *a, const void *b)
+compare_durations (const void *a, const void *b)
 {
   int64_t left = *(const int64_t *) a;
   int64_t right = *(const int64_t *) b;
@@ -111,11 +111,11 @@
   for (uint32_t i = 0; i < THREADS; i++)
     {
       workers[i] = (struct worker){ .load = load, .index = i, .start_us = start_us };
-      pthread_create (&workers[i].thread, NULL, work, &workers[i]);
+      pthread_create (&workers[i].thread, NULL, run_worker, &workers[i]);
     }
   for (uint32_t i = 0; i < THREADS; i++)
     pthread_join (workers[i].thread, NULL);
-  qsort (load->took_us, load->ok, sizeof *load->took_us, by_size);
+  qsort (load->took_us, load->ok, sizeof *load->took_us, compare_durations);
 }
 
 void
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -1,8 +1,9 @@
 /**
  * @file
- * Slopes of the real code for docs/CAPACITY.md: bytes an account, an endpoint,
- * a ledger entry, a request; microseconds a decision, a message, a change of
- * configuration; each at three sizes or more. Markdown on standard output.
+ * Measures how memory and CPU time of the real code grow, for docs/CAPACITY.md: bytes per
+ * account, endpoint, ledger entry and request; microseconds per routing decision, message
+ * and check of a document row; each at several sizes. Prints Markdown tables to standard
+ * output.
  */
 #include "common/clock.h"
 #include "net/frame.h"
@@ -15,7 +16,7 @@
 #define SERVICES 18
 #define ACCOUNT_KEY "account-%u"
 
-/* ---- documents of any size ---- */
+/* ---- configuration documents ---- */
 
 static char *
 make_document (uint32_t accounts, uint32_t endpoints, uint32_t entries, size_t *length)
@@ -87,7 +88,7 @@
   free (text);
 }
 
-/* ---- an entry of any size ---- */
+/* ---- entry ---- */
 
 static uint64_t emitted;
 
@@ -112,15 +113,15 @@
   session_settings (&session->settings, "e0", true);
   session->emitted = on_emitted;
   session_init (session, 1, (struct ash_time){ 1000 });
-  session_offer (session, (struct ash_time){ 1000 }, 1, text, length);
+  session_offer_config (session, (struct ash_time){ 1000 }, 1, text, length);
   free (text);
   up.role = ASH__ROLE__ENDPOINT;
   for (uint32_t i = 0; i < endpoints; i++)
     {
       snprintf (name, sizeof name, "m%u", i);
       up.incarnation = i + 1;
-      session_give_message (session, (struct ash_time){ 1000 }, name, ASH__EVENT__KIND_LINK_UP,
-                            &up);
+      session_deliver_message (session, (struct ash_time){ 1000 }, name, ASH__EVENT__KIND_LINK_UP,
+                               &up);
     }
 }
 
@@ -134,30 +135,30 @@
   snprintf (text, sizeof text, ACCOUNT_KEY, 0u);
   ash_key_hash (text, strlen (text), hash);
   message.call = number;
-  message.service = ash_text ("s3");
-  message.method = ash_text ("POST");
-  message.path = ash_text ("/v1/chat/completions");
+  message.service = ash_proto_text ("s3");
+  message.method = ash_proto_text ("POST");
+  message.path = ash_proto_text ("/v1/chat/completions");
   message.key_hash.data = hash;
   message.key_hash.len = sizeof hash;
   message.stream = true;
   message.unix_s = 1000000;
   if (key)
     {
-      message.idempotency_key = ash_text (key);
+      message.idempotency_key = ash_proto_text (key);
       message.caller_attempt = 1;
       message.no_repeat = true;
     }
-  session_give_message (session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_CALL, &message);
+  session_deliver_message (session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_CALL, &message);
 }
 
 static void
-answer (struct session *session, uint64_t number)
+disconnect_caller (struct session *session, uint64_t number)
 {
   struct Ash__CallerGone gone = ASH__CALLER_GONE__INIT;
 
   gone.call = number;
-  session_give_message (session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_CALLER_GONE,
-                        &gone);
+  session_deliver_message (session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_CALLER_GONE,
+                           &gone);
 }
 
 static void
@@ -167,8 +168,8 @@
   size_t before = used_bytes ();
   size_t entry_bytes;
   int64_t start_us;
-  double free_us;
-  double homed_us;
+  double unkeyed_us;
+  double keyed_us;
   const uint32_t rounds = 2000;
   char key[32];
 
@@ -178,19 +179,19 @@
   for (uint32_t i = 0; i < rounds; i++)
     {
       call (&session, i + 1, NULL);
-      answer (&session, i + 1);
+      disconnect_caller (&session, i + 1);
     }
-  free_us = (double) (ash_clock_now_us () - start_us) / rounds;
+  unkeyed_us = (double) (ash_clock_now_us () - start_us) / rounds;
   start_us = ash_clock_now_us ();
   for (uint32_t i = 0; i < rounds; i++)
     {
       snprintf (key, sizeof key, "k%u", i);
       call (&session, rounds + i + 1, key);
-      answer (&session, rounds + i + 1);
+      disconnect_caller (&session, rounds + i + 1);
     }
-  homed_us = (double) (ash_clock_now_us () - start_us) / rounds;
-  printf ("| %u | %.0f | %.2f | %.2f |\n", endpoints, (double) entry_bytes / endpoints, free_us,
-          homed_us);
+  keyed_us = (double) (ash_clock_now_us () - start_us) / rounds;
+  printf ("| %u | %.0f | %.2f | %.2f |\n", endpoints, (double) entry_bytes / endpoints, unkeyed_us,
+          keyed_us);
   session_finish (&session);
 }
 
@@ -209,13 +210,13 @@
     call (&session, i + 1, NULL);
   bytes = used_bytes () - before;
   start_us = ash_clock_now_us ();
-  session_give_message (&session, (struct ash_time){ 2050 }, "", ASH__EVENT__KIND_TICK, &tick);
+  session_deliver_message (&session, (struct ash_time){ 2050 }, "", ASH__EVENT__KIND_TICK, &tick);
   printf ("| request in an entry | %u | %.0f | %.3f a tick |\n", count, (double) bytes / count,
           (double) (ash_clock_now_us () - start_us) / count);
   session_finish (&session);
 }
 
-/* ---- an agent ---- */
+/* ---- agent ---- */
 
 static void
 start_agent (struct session *session, uint32_t slots)
@@ -237,10 +238,11 @@
   submit.incarnation = 1;
   submit.attempt = number;
   submit.budget_ms = 30000;
-  submit.service = ash_text ("s3");
-  submit.method = ash_text ("POST");
-  submit.path = ash_text ("/v1/chat/completions");
-  session_give_message (session, (struct ash_time){ 2000 }, "e0", ASH__EVENT__KIND_SUBMIT, &submit);
+  submit.service = ash_proto_text ("s3");
+  submit.method = ash_proto_text ("POST");
+  submit.path = ash_proto_text ("/v1/chat/completions");
+  session_deliver_message (session, (struct ash_time){ 2000 }, "e0", ASH__EVENT__KIND_SUBMIT,
+                           &submit);
 }
 
 static void
@@ -260,8 +262,8 @@
     {
       submit_one (&session, i);
       end.run = i;
-      session_give_message (&session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_ENGINE_END,
-                            &end);
+      session_deliver_message (&session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_ENGINE_END,
+                               &end);
     }
   took_us = (double) (ash_clock_now_us () - start_us) / count;
   printf ("| ledger entry, ended, no answer kept | %u | %.0f | %.2f submit to end |\n", count,
@@ -290,16 +292,16 @@
     {
       submit_one (&session, i);
       head.run = i;
-      session_give_message (&session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_ENGINE_HEAD,
-                            &head);
+      session_deliver_message (&session, (struct ash_time){ 2000 }, "",
+                               ASH__EVENT__KIND_ENGINE_HEAD, &head);
     }
   start_us = ash_clock_now_us ();
   for (uint32_t t = 0; t < tokens; t++)
     for (uint32_t i = 1; i <= streams; i++)
       {
         data.run = i;
-        session_give_message (&session, (struct ash_time){ 2000 }, "", ASH__EVENT__KIND_ENGINE_DATA,
-                              &data);
+        session_deliver_message (&session, (struct ash_time){ 2000 }, "",
+                                 ASH__EVENT__KIND_ENGINE_DATA, &data);
       }
   printf ("| stream in an agent, 15 kB kept | %u | %.0f | %.2f a token |\n", streams,
           (double) (used_bytes () - before) / streams,
@@ -328,7 +330,7 @@
     {
       ash_frame_write (&buffer, &out_key, &event);
       length = buffer.length;
-      if (ash_frame_read (&buffer, &in_key, &read) == ASH_FRAME_READ)
+      if (ash_frame_read (&buffer, &in_key, &read) == ASH_FRAME_COMPLETE)
         ash__event__free_unpacked (read, NULL);
     }
   printf ("| %s | %zu | %.2f |\n", what, length,
@@ -353,10 +355,10 @@
   submit.id_hi = submit.id_lo = submit.incarnation = UINT64_MAX;
   submit.attempt = 100000;
   submit.budget_ms = 30000;
-  submit.service = ash_text ("parts-model");
-  submit.method = ash_text ("POST");
-  submit.path = ash_text ("/v1/chat/completions");
-  submit.content_type = ash_text ("application/json");
+  submit.service = ash_proto_text ("parts-model");
+  submit.method = ash_proto_text ("POST");
+  submit.path = ash_proto_text ("/v1/chat/completions");
+  submit.content_type = ash_proto_text ("application/json");
   submit.body.data = bytes;
   submit.body.len = sizeof bytes;
   measure_frame ("submit, body of 2,000 bytes", ASH__EVENT__KIND_SUBMIT, &submit);
--- a/cli/fetch.c
+++ b/cli/fetch.c
@@ -6,8 +6,9 @@
 
 #define CONNECT_TIMEOUT_MS 1000L
 
-/* Past the deadline that the entry keeps, before the tool stops waiting. */
-#define PATIENCE_MS 5000L
+/* How long after the deadline of the request the tool stops waiting; the entry should have answered
+ * by the deadline. */
+#define TIMEOUT_MARGIN_MS 5000L
 #define DEADLINE_DEFAULT_MS 30000L
 
 struct transfer
@@ -71,7 +72,7 @@
   return length;
 }
 
-/* Adds `NAME: VALUE`, if there is a value. */
+/* Adds a header field unless @p value is NULL. @return the new list. */
 static struct curl_slist *
 add_header (struct curl_slist *headers, const char *name, const char *value)
 {
@@ -113,8 +114,8 @@
   struct transfer transfer = { request, answer };
   struct curl_slist *headers = make_headers (request);
   CURL *easy = curl_easy_init ();
-  long patience_ms =
-      (request->deadline_ms ? (long) request->deadline_ms : DEADLINE_DEFAULT_MS) + PATIENCE_MS;
+  long timeout_ms = (request->deadline_ms ? (long) request->deadline_ms : DEADLINE_DEFAULT_MS) +
+                    TIMEOUT_MARGIN_MS;
   curl_off_t connect_us = 0;
   CURLcode code;
 
@@ -127,7 +128,7 @@
   curl_easy_setopt (easy, CURLOPT_HEADERFUNCTION, on_header);
   curl_easy_setopt (easy, CURLOPT_HEADERDATA, &transfer);
   curl_easy_setopt (easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
-  curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, patience_ms);
+  curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, timeout_ms);
   if (request->body)
     curl_easy_setopt (easy, CURLOPT_POSTFIELDS, request->body);
   else if (strcmp (request->method, "POST") == 0)
--- a/cli/trace.c
+++ b/cli/trace.c
@@ -24,7 +24,8 @@
 
 /* ---- fields ---- */
 
-/* The value after " key=" in a line of text; one in quotes ends with the quote. */
+/* Copies the value of a field of a line in text format; the value may be quoted. Without such a
+ * field @p value stays unchanged. */
 static void
 text_field (const char *line, const char *key, char *value)
 {
@@ -57,7 +58,7 @@
   json_decref (root);
 }
 
-/* A field of a line of either form; empty if it has none. */
+/* @return the value of a field of a line in text or JSON format; empty if the field is missing. */
 static const char *
 field (const char *line, const char *key, char value[FIELD_BYTES])
 {
@@ -70,7 +71,7 @@
 }
 
 static int
-event_of (const char *line)
+line_event (const char *line)
 {
   char value[FIELD_BYTES];
   int event = 0;
@@ -81,7 +82,7 @@
 }
 
 static void
-time_of (const char *line, char *time, size_t time_bytes)
+line_time (const char *line, char *time, size_t time_bytes)
 {
   char value[FIELD_BYTES];
 
@@ -94,23 +95,23 @@
 /* ---- reading ---- */
 
 static bool
-keep (struct ash_trace *trace, const char *text)
+add_line (struct ash_trace *trace, const char *text)
 {
   struct ash_trace_line *line;
 
-  if (trace->count == trace->room)
+  if (trace->count == trace->capacity)
     {
-      uint32_t room = trace->room ? 2 * trace->room : 16;
-      struct ash_trace_line *grown = realloc (trace->lines, room * sizeof *grown);
+      uint32_t capacity = trace->capacity ? 2 * trace->capacity : 16;
+      struct ash_trace_line *grown = realloc (trace->lines, capacity * sizeof *grown);
 
       if (!grown)
         return false;
       trace->lines = grown;
-      trace->room = room;
+      trace->capacity = capacity;
     }
   line = &trace->lines[trace->count];
-  *line = (struct ash_trace_line){ .text = strdup (text), .event = event_of (text) };
-  time_of (text, line->time, sizeof line->time);
+  *line = (struct ash_trace_line){ .text = strdup (text), .event = line_event (text) };
+  line_time (text, line->time, sizeof line->time);
   trace->count += line->text != NULL;
   return line->text != NULL;
 }
@@ -120,17 +121,17 @@
 {
   char value[FIELD_BYTES];
   char *text = NULL;
-  size_t room = 0;
+  size_t capacity = 0;
   bool ok = true;
 
-  while (ok && getline (&text, &room, log) > 0)
+  while (ok && getline (&text, &capacity, log) > 0)
     {
       trace->read++;
-      if (event_of (text) == ASH_EV_LOG_LEFT_OUT)
-        trace->left_out += strtoull (field (text, "lines", value), NULL, 10);
-      /* The search is quick, the comparison exact. */
+      if (line_event (text) == ASH_EV_LOG_LEFT_OUT)
+        trace->dropped_lines += strtoull (field (text, "lines", value), NULL, 10);
+      /* strstr() is a fast filter; the comparison of the field is exact. */
       if (strstr (text, trace->id) && strcmp (field (text, "id", value), trace->id) == 0)
-        ok = keep (trace, text);
+        ok = add_line (trace, text);
     }
   free (text);
   return ok;
@@ -139,7 +140,7 @@
 /* ---- explaining ---- */
 
 static int
-by_time (const void *a, const void *b)
+compare_lines (const void *a, const void *b)
 {
   const struct ash_trace_line *first = a;
   const struct ash_trace_line *second = b;
@@ -157,25 +158,25 @@
 }
 
 static const char *
-meaning_of (const char *reason)
+describe_reason (const char *reason)
 {
   static const struct
   {
     const char *reason;
     const char *meaning;
   } meanings[] = {
-    { "no_endpoint", "no endpoint of the service may be used: see events 206 to 209 before it" },
-    { "no_room", "each endpoint had as many requests as it may have, also after a short wait" },
+    { "no_endpoint", "no endpoint of the service was available: see earlier events 206 to 209" },
+    { "no_room", "each endpoint had its maximum number of requests, even after a short wait" },
     { "held_back",
-      "each endpoint with room was at the rate that it names, or had asked this router "
-      "for rest: see events 215 and 216" },
-    { "turned_away", "each endpoint that was asked said that it has no room" },
-    { "failed", "the endpoint broke off, or answered with something that is no answer" },
-    { "timeout", "the caller's or the route's time was over" },
-    { "leaving", "the router was stopping, with too little time left for it" },
+      "each endpoint with room had reached the rate limit that it announced, or had asked this "
+      "router to send none for a while: see events 215 and 216" },
+    { "turned_away", "each endpoint that got the request rejected it because it had no room" },
+    { "failed", "the endpoint ended its answer early, or the answer was invalid" },
+    { "timeout", "the timeout of the caller or of the route expired" },
+    { "leaving", "the router was stopping, with too little time left for the request" },
     { "quarantined",
-      "endpoints ended under it before, so it is kept away from others: see event 413" },
-    { "no_budget", "sending it again would have been over the fleet's bound on resends" },
+      "endpoints ended earlier while they ran it, so it is not sent to others: see event 413" },
+    { "no_budget", "sending it again would have exceeded the fleet's limit of resends" },
   };
 
   for (size_t i = 0; i < sizeof meanings / sizeof meanings[0]; i++)
@@ -184,14 +185,14 @@
   return reason;
 }
 
-/* The endpoint that it was last sent to before that line. */
+/* @return the endpoint in the last line before index @p before that names one. */
 static const char *
 last_endpoint (const struct ash_trace *trace, uint32_t before, char value[FIELD_BYTES])
 {
   for (uint32_t i = before; i-- > 0;)
     if (*field (trace->lines[i].text, "endpoint", value))
       return value;
-  return "an endpoint that these logs don't name";
+  return "an endpoint that is not in these logs";
 }
 
 static void
@@ -202,8 +203,8 @@
   char age[FIELD_BYTES];
 
   snprintf (text, text_bytes,
-            "Refused after %s ms: %s. It did not run; the caller was told to come back in %s ms.",
-            field (line, "age_ms", age), meaning_of (field (line, "reason", reason)),
+            "Refused after %s ms: %s. It did not run; the caller was asked to retry in %s ms.",
+            field (line, "age_ms", age), describe_reason (field (line, "reason", reason)),
             field (line, "retry_after_ms", wait));
 }
 
@@ -218,7 +219,7 @@
   bool may_have_run = atoi (field (line, "unsure", unsure)) > 0;
 
   snprintf (text, text_bytes, "Failed after %s ms: %s. It was last at %s and %s.",
-            field (line, "age_ms", age), meaning_of (field (line, "reason", reason)),
+            field (line, "age_ms", age), describe_reason (field (line, "reason", reason)),
             last_endpoint (trace, i, endpoint), may_have_run ? "may have run" : "did not run");
 }
 
@@ -233,7 +234,7 @@
   switch (trace->lines[i].event)
     {
     case ASH_EV_FORWARD_SERVED:
-      snprintf (text, text_bytes, "Answered with %s by %s, %s ms after it came.",
+      snprintf (text, text_bytes, "Answered with %s by %s, %s ms after it arrived.",
                 field (line, "status", a), last_endpoint (trace, i, b), field (line, "age_ms", c));
       break;
     case ASH_EV_FORWARD_REFUSED:
@@ -243,7 +244,8 @@
       explain_failure (trace, i, text, text_bytes);
       break;
     case ASH_EV_FORWARD_GONE:
-      snprintf (text, text_bytes, "The caller left %s ms after it came; it was last at %s.",
+      snprintf (text, text_bytes,
+                "The caller disconnected %s ms after the request arrived; it was last at %s.",
                 field (line, "age_ms", a), last_endpoint (trace, i, b));
       break;
     case ASH_EV_FORWARD_DENIED:
@@ -252,7 +254,7 @@
       break;
     default:
       snprintf (text, text_bytes, "Ended with %s: %s.", field (line, "status", a),
-                meaning_of (field (line, "reason", b)));
+                describe_reason (field (line, "reason", b)));
       break;
     }
 }
@@ -263,7 +265,7 @@
   char endpoint[FIELD_BYTES];
 
   if (trace->count)
-    qsort (trace->lines, trace->count, sizeof *trace->lines, by_time);
+    qsort (trace->lines, trace->count, sizeof *trace->lines, compare_lines);
   for (uint32_t i = trace->count; i-- > 0;)
     if (is_final (trace->lines[i].event))
       {
@@ -271,11 +273,13 @@
         return;
       }
   if (!trace->count)
-    snprintf (text, text_bytes, "No line among %llu tells of it; %llu were left out.",
-              (unsigned long long) trace->read, (unsigned long long) trace->left_out);
-  else
     snprintf (text, text_bytes,
-              "No line tells how it ended: the process that had it ended first, or the line was "
-              "left out (%llu were). It was last at %s and may have run.",
-              (unsigned long long) trace->left_out, last_endpoint (trace, trace->count, endpoint));
+              "None of the %llu lines is about this request; %llu lines were dropped.",
+              (unsigned long long) trace->read, (unsigned long long) trace->dropped_lines);
+  else
+    snprintf (
+        text, text_bytes,
+        "No line shows how it ended: the process that handled it exited first, or the line was "
+        "dropped (%llu were). It was last at %s and may have run.",
+        (unsigned long long) trace->dropped_lines, last_endpoint (trace, trace->count, endpoint));
 }
--- a/controllers/expert_change.c
+++ b/controllers/expert_change.c
@@ -2,8 +2,9 @@
 
 #include <string.h>
 
-/* A ballot is a round and, below it, the salt of who runs it: another process, or
- * this one in an earlier life, never has the same. */
+/* The upper bits of a ballot are a round number, the lower bits the coordinator's
+ * random salt, so that two processes, or a process and its restarted successor,
+ * do not use the same ballot. */
 #define BALLOT_SALT_BITS 32
 
 void
@@ -26,17 +27,17 @@
          change->phase != ASH_EXPERT_FAILED;
 }
 
-/* ---- what the ranks' answers say together ---- */
+/* ---- state of the whole group, from the answers of the PREPARE phase ---- */
 
-/* A rank that is not blank and has the newest map, or NULL if all are blank. */
-static const struct ash_expert_answer *
-newest (const struct ash_expert_change *change)
+/* @return a rank with the newest committed map, or NULL if all ranks are blank. */
+static const struct ash_expert_rank_answer *
+newest_rank (const struct ash_expert_change *change)
 {
-  const struct ash_expert_answer *found = NULL;
+  const struct ash_expert_rank_answer *found = NULL;
 
   for (uint32_t i = 0; i < change->rank_count; i++)
     {
-      const struct ash_expert_answer *answer = &change->answers[i];
+      const struct ash_expert_rank_answer *answer = &change->answers[i];
 
       if (!answer->blank && (!found || answer->version > found->version))
         found = answer;
@@ -45,9 +46,9 @@
 }
 
 static bool
-is_behind (const struct ash_expert_change *change, const struct ash_expert_answer *answer)
+is_behind (const struct ash_expert_change *change, const struct ash_expert_rank_answer *answer)
 {
-  return !answer->blank && answer->version < newest (change)->version;
+  return !answer->blank && answer->version < newest_rank (change)->version;
 }
 
 static uint64_t
@@ -61,11 +62,11 @@
   return latest;
 }
 
-/* A replaced rank goes on where the others are. Where one of them has begun a
- * step, the one that is replaced had begun the step before: that is not run
- * again, and with which map it was run need not be known any more. */
+/* A replaced rank resumes at the step of the others. If one of them has begun a
+ * step, the replaced rank had begun the step before it: that step is not run
+ * again, so the map that it was run with is no longer needed. */
 static uint64_t
-step_to_go_on_from (const struct ash_expert_change *change)
+resume_step (const struct ash_expert_change *change)
 {
   uint64_t latest = latest_begun (change);
 
@@ -74,9 +75,9 @@
 
 /* ---- phases ---- */
 
-/* Which ranks a phase is for. */
+/* Whether the present phase sends orders to that rank. */
 static bool
-is_meant (const struct ash_expert_change *change, const struct ash_expert_answer *answer)
+is_addressed (const struct ash_expert_change *change, const struct ash_expert_rank_answer *answer)
 {
   switch (change->phase)
     {
@@ -94,7 +95,7 @@
 static void
 fill_order (const struct ash_expert_change *change, struct Ash__RankOrder *order)
 {
-  const struct ash_expert_answer *found = newest (change);
+  const struct ash_expert_rank_answer *found = newest_rank (change);
 
   switch (change->phase)
     {
@@ -112,7 +113,7 @@
       order->map = found->map;
       order->step = found->from;
       order->before = found->before;
-      order->begun = step_to_go_on_from (change);
+      order->begun = resume_step (change);
       order->placement.data = (uint8_t *) (uintptr_t) change->found.placement;
       order->placement.len = change->found.length;
       break;
@@ -135,7 +136,7 @@
 {
   struct Ash__RankOrder order = ASH__RANK_ORDER__INIT;
 
-  order.group = ash_text (change->group);
+  order.group = ash_proto_text (change->group);
   order.ballot = change->ballot;
   order.sequence = change->sequence;
   fill_order (change, &order);
@@ -145,12 +146,12 @@
       if (!change->answers[i].awaited)
         continue;
       order.rank = i;
-      order.life = change->answers[i].life;
+      order.life = change->answers[i].incarnation;
       ash_emit (&change->sink, change->boxes[i], ASH__EVENT__KIND_RANK_ORDER, &order);
     }
 }
 
-/* @return whether any rank has something to do in it. */
+/* @return whether the phase has an order for any rank. */
 static bool
 begin_phase (struct ash_expert_change *change, struct ash_time now, enum ash_expert_phase phase)
 {
@@ -161,7 +162,7 @@
   change->since = now;
   for (uint32_t i = 0; i < change->rank_count; i++)
     {
-      change->answers[i].awaited = is_meant (change, &change->answers[i]);
+      change->answers[i].awaited = is_addressed (change, &change->answers[i]);
       any |= change->answers[i].awaited;
     }
   if (any)
@@ -181,18 +182,19 @@
   begin_phase (change, now, ASH_EXPERT_ARM);
 }
 
-/* After all ranks are read, in this order: what one has committed all must
- * have, or, if there is nothing newer, older arms are taken back; then replaced
- * ranks are brought in; then the choice of a map is free. */
+/* Once all ranks have answered PREPARE: if one rank has committed a newer map, the
+ * others commit it too (FINISH), otherwise ranks that are still armed are disarmed
+ * (DISARM); then replaced ranks receive the state of the group (ADOPT); only then
+ * can a new map be armed and committed. */
 static void
 next_phase (struct ash_expert_change *change, struct ash_time now)
 {
   switch (change->phase)
     {
     case ASH_EXPERT_PREPARE:
-      if (!newest (change))
+      if (!newest_rank (change))
         {
-          /* All are new: there is no state to give them. */
+          /* All ranks were replaced: no rank has the group's state. */
           change->phase = ASH_EXPERT_FAILED;
           return;
         }
@@ -206,7 +208,7 @@
         return;
       __attribute__ ((fallthrough));
     case ASH_EXPERT_ADOPT:
-      if (change->wanted.digest && change->wanted.digest != newest (change)->map)
+      if (change->wanted.digest && change->wanted.digest != newest_rank (change)->map)
         begin_arm (change, now);
       else
         change->phase = ASH_EXPERT_DONE;
@@ -241,13 +243,13 @@
 }
 
 static void
-keep_answer (struct ash_expert_change *change,
-             struct ash_expert_answer *answer,
-             const struct Ash__RankState *state)
+store_answer (struct ash_expert_change *change,
+              struct ash_expert_rank_answer *answer,
+              const struct Ash__RankState *state)
 {
-  /* The placement of the newest map, for ranks that are behind or replaced. */
+  /* Ranks that are behind or were replaced are sent the placement of the newest map. */
   if (!state->blank && state->placement.len <= sizeof change->found.placement &&
-      (!change->found.digest || state->version > newest (change)->version))
+      (!change->found.digest || state->version > newest_rank (change)->version))
     {
       change->found.digest = state->map;
       change->found.length = (uint32_t) state->placement.len;
@@ -255,7 +257,7 @@
         memcpy (change->found.placement, state->placement.data, state->placement.len);
     }
   answer->blank = state->blank;
-  answer->life = state->life;
+  answer->incarnation = state->life;
   answer->begun = state->begun;
   answer->version = state->version;
   answer->map = state->map;
@@ -273,16 +275,17 @@
 }
 
 static void
-take_refusal (struct ash_expert_change *change,
-              struct ash_time now,
-              const struct Ash__RankState *state)
+handle_refusal (struct ash_expert_change *change,
+                struct ash_time now,
+                const struct Ash__RankState *state)
 {
-  struct ash_expert_answer *answer = &change->answers[state->rank];
+  struct ash_expert_rank_answer *answer = &change->answers[state->rank];
 
-  /* It has begun the step, or its last map is not in use yet: arm all again at
-   * a later step. Anything else needs a look at all ranks anew. */
+  /* The rank has already begun the step, or does not use its last committed map yet:
+   * all ranks are armed again for a later step. After any other refusal the state of all
+   * ranks must be read again, by a new change. */
   if (change->phase != ASH_EXPERT_ARM || state->promised != change->ballot ||
-      state->life != answer->life)
+      state->life != answer->incarnation)
     {
       change->phase = ASH_EXPERT_FAILED;
       return;
@@ -292,11 +295,11 @@
 }
 
 void
-ash_expert_change_take (struct ash_expert_change *change,
-                        struct ash_time now,
-                        const struct Ash__RankState *state)
+ash_expert_change_handle_state (struct ash_expert_change *change,
+                                struct ash_time now,
+                                const struct Ash__RankState *state)
 {
-  struct ash_expert_answer *answer;
+  struct ash_expert_rank_answer *answer;
 
   if (state->promised > change->highest)
     change->highest = state->promised;
@@ -308,14 +311,14 @@
     return;
   if (!state->accepted)
     {
-      take_refusal (change, now, state);
+      handle_refusal (change, now, state);
       return;
     }
   answer->awaited = false;
-  /* Of the phases after the first, only steps that went on are news: what was
-   * read at first decides until the next phase begins. */
+  /* Later phases only update the step that the rank has begun: the change relies on the
+   * remaining state as it was in the PREPARE phase. */
   if (change->phase == ASH_EXPERT_PREPARE)
-    keep_answer (change, answer, state);
+    store_answer (change, answer, state);
   else
     answer->begun = state->begun;
   if (all_answered (change))
@@ -327,7 +330,7 @@
 {
   if (!ash_expert_change_running (change))
     return;
-  if (ash_time_diff (change->since, now) >= ASH_EXPERT_GIVE_UP_MS)
+  if (ash_time_diff (change->since, now) >= ASH_EXPERT_CHANGE_TIMEOUT_MS)
     change->phase = ASH_EXPERT_FAILED;
   else if (ash_time_diff (change->sent, now) >= ASH_EXPERT_RESEND_MS)
     send_orders (change, now);
--- a/controllers/expert_policy.c
+++ b/controllers/expert_policy.c
@@ -2,23 +2,24 @@
 
 #include <string.h>
 
-/* A new report counts so much in the smoothed loads. */
-#define FAST_SHARE 0.5
-#define SLOW_SHARE 0.1
+/* Weight of a new report in the smoothed loads. */
+#define FAST_WEIGHT 0.5
+#define SLOW_WEIGHT 0.1
 
-/* Reports before anything is moved: one alone says little. */
+/* Reports needed before the first move: a single report is too noisy. */
 #define REPORTS_MIN 3
 
-/* The maximum alone does not see that one of several equal maxima was lowered. */
-#define SPREAD_SHARE 0.05
+/* Weight of the loads' spread in the objective. The maximum alone does not change if one of several
+ * equally loaded ranks is relieved. */
+#define SPREAD_WEIGHT 0.05
 
-/* A gain below this is noise. */
+/* Smallest gain that is not noise. */
 #define GAIN_MIN 0.01
 
-/* Loads of the ranks under a placement, and what makes them up. */
+/* Loads of the ranks under a placement. */
 struct loads
 {
-  double tokens[ASH_EXPERTS_MAX]; /* as shares that add up to 1 */
+  double tokens[ASH_EXPERTS_MAX]; /* share of each expert; the sum is 1 */
   uint16_t replicas[ASH_EXPERTS_MAX];
   double ranks[ASH_EXPERT_POLICY_RANKS_MAX];
 };
@@ -35,8 +36,8 @@
 ash_expert_policy_report (struct ash_expert_policy *policy, const double *tokens)
 {
   double sum = 0;
-  double fast = policy->reports ? FAST_SHARE : 1;
-  double slow = policy->reports ? SLOW_SHARE : 1;
+  double fast = policy->reports ? FAST_WEIGHT : 1;
+  double slow = policy->reports ? SLOW_WEIGHT : 1;
 
   for (uint32_t e = 0; e < policy->expert_count; e++)
     sum += tokens[e];
@@ -51,7 +52,7 @@
 }
 
 void
-ash_expert_policy_expect (struct ash_expert_policy *policy, const double *tokens)
+ash_expert_policy_set_forecast (struct ash_expert_policy *policy, const double *tokens)
 {
   double sum = 0;
 
@@ -63,7 +64,7 @@
 }
 
 void
-ash_expert_policy_expect_no_more (struct ash_expert_policy *policy, bool begun)
+ash_expert_policy_end_forecast (struct ash_expert_policy *policy, bool begun)
 {
   if (policy->forecast && begun)
     {
@@ -116,9 +117,9 @@
   return slowest;
 }
 
-/* What is to be made small: the skew, and a little of the loads' spread. */
+/* The objective to minimize: the skew, plus a small weight on the spread of the loads. */
 static double
-badness (const double *ranks, uint32_t rank_count)
+objective (const double *ranks, uint32_t rank_count)
 {
   double most = 0;
   double squares = 0;
@@ -128,8 +129,8 @@
       most = ranks[r] > most ? ranks[r] : most;
       squares += ranks[r] * ranks[r];
     }
-  /* The mean load is 1 / rank_count, as shares add up to 1. */
-  return most * rank_count + SPREAD_SHARE * squares * rank_count;
+  /* The mean load is 1 / rank_count, since the shares add up to 1. */
+  return most * rank_count + SPREAD_WEIGHT * squares * rank_count;
 }
 
 double
@@ -145,7 +146,7 @@
 
 /* ---- candidates ---- */
 
-/* One move, or two that exchange experts. */
+/* A possible change: one move, or two that exchange the experts of two slots. */
 struct candidate
 {
   uint32_t count;
@@ -161,8 +162,8 @@
   return false;
 }
 
-/* The expert gets one more replica, and the one that it displaces one less: all
- * their other replicas get lighter or heavier. */
+/* Updates the ranks' loads for a move: the moved expert gains a replica, so its other replicas
+ * carry less; the replaced expert loses one, so its other replicas carry more. */
 static void
 shift_replica (double *ranks,
                const struct loads *loads,
@@ -171,10 +172,10 @@
                const struct ash_expert_move *move)
 {
   uint16_t other = placement->slots[move->slot];
-  double shares = loads->replicas[move->expert];
-  double others = loads->replicas[other];
-  double relief = loads->tokens[move->expert] * (1 / shares - 1 / (shares + 1));
-  double burden = loads->tokens[other] * (1 / (others - 1) - 1 / others);
+  double replicas = loads->replicas[move->expert];
+  double other_replicas = loads->replicas[other];
+  double relief = loads->tokens[move->expert] * (1 / replicas - 1 / (replicas + 1));
+  double burden = loads->tokens[other] * (1 / (other_replicas - 1) - 1 / other_replicas);
   uint32_t to = move->slot / placement->rank_slots;
 
   for (uint32_t s = 0; s < slot_count (placement); s++)
@@ -187,9 +188,11 @@
         ranks[rank] += burden / speeds[rank];
     }
   ranks[to] +=
-      (loads->tokens[move->expert] / (shares + 1) - loads->tokens[other] / others) / speeds[to];
+      (loads->tokens[move->expert] / (replicas + 1) - loads->tokens[other] / other_replicas) /
+      speeds[to];
 }
 
+/* Updates the ranks' loads for an exchange of the experts of two slots. */
 static void
 exchange (double *ranks,
           const struct loads *loads,
@@ -209,10 +212,10 @@
 }
 
 static double
-badness_with (const struct loads *loads,
-              const struct ash_expert_placement *placement,
-              const double *speeds,
-              const struct candidate *candidate)
+objective_with (const struct loads *loads,
+                const struct ash_expert_placement *placement,
+                const double *speeds,
+                const struct candidate *candidate)
 {
   double ranks[ASH_EXPERT_POLICY_RANKS_MAX] = { 0 };
 
@@ -221,38 +224,40 @@
     shift_replica (ranks, loads, placement, speeds, &candidate->moves[0]);
   else
     exchange (ranks, loads, placement, speeds, candidate);
-  return badness (ranks, placement->rank_count);
+  return objective (ranks, placement->rank_count);
 }
 
-/* What the state is, on both smoothings, before a candidate is weighed. */
-struct weighing
+/* State against which candidates are evaluated, under both smoothed loads. */
+struct evaluation
 {
   const struct ash_expert_placement *placement;
   const double *speeds;
   struct loads fast;
   struct loads slow;
-  double fast_badness;
-  double slow_badness;
+  double fast_objective;
+  double slow_objective;
 };
 
-/* A gain counts as far as it shows in what is new and in what lasts: popularity
- * that swings to and fro shows in one of them only. */
+/* The smaller of the gains under the recent and the lasting loads: a popularity that oscillates
+ * shows a gain under only one of them. */
 static double
-gain_of (const struct weighing *weighing, const struct candidate *candidate)
+gain_of (const struct evaluation *evaluation, const struct candidate *candidate)
 {
-  double fast = weighing->fast_badness -
-                badness_with (&weighing->fast, weighing->placement, weighing->speeds, candidate);
+  double fast =
+      evaluation->fast_objective -
+      objective_with (&evaluation->fast, evaluation->placement, evaluation->speeds, candidate);
   double slow;
 
   if (fast <= GAIN_MIN)
     return fast;
-  slow = weighing->slow_badness -
-         badness_with (&weighing->slow, weighing->placement, weighing->speeds, candidate);
+  slow = evaluation->slow_objective -
+         objective_with (&evaluation->slow, evaluation->placement, evaluation->speeds, candidate);
   return fast < slow ? fast : slow;
 }
 
-/* Gives the expert a replica in that slot, or, where what it holds has no other,
- * exchanges the two. */
+/* Proposes a replica of the expert in slot @from in slot @to, or an exchange of the two slots'
+ * experts if slot @to holds the last replica of its expert.
+ * @return whether the move is possible. */
 static bool
 make_candidate (const struct ash_expert_placement *placement,
                 const struct loads *loads,
@@ -275,22 +280,25 @@
     return false;
   candidate->moves[1] = (struct ash_expert_move){ (uint16_t) from, other };
   candidate->count = 2;
-  /* Only an exchange for something lighter helps. */
+  /* An exchange only helps if the other expert carries less load. */
   return loads->tokens[other] < loads->tokens[expert] / loads->replicas[expert];
 }
 
-/* The half of the ranks that have less than the others are worth looking at. */
+/* Only ranks with less than the mean load are considered as destinations. */
 static bool
-is_light (const struct loads *loads, uint32_t rank, uint32_t rank_count)
+is_below_mean (const struct loads *loads, uint32_t rank, uint32_t rank_count)
 {
   return loads->ranks[rank] * rank_count < 1;
 }
 
+/* Finds the candidate with the highest gain per move that takes a replica from the slowest rank.
+ * @param room maximum number of moves.
+ * @return its gain per move; 0: there is none. */
 static double
-find_best (const struct weighing *weighing, uint32_t room, struct candidate *best)
+find_best (const struct evaluation *evaluation, uint32_t room, struct candidate *best)
 {
-  const struct ash_expert_placement *placement = weighing->placement;
-  const struct loads *loads = &weighing->fast;
+  const struct ash_expert_placement *placement = evaluation->placement;
+  const struct loads *loads = &evaluation->fast;
   double best_gain = 0;
   uint32_t first = slowest_rank (loads, placement->rank_count) * placement->rank_slots;
 
@@ -300,10 +308,10 @@
         struct candidate candidate;
         double gain;
 
-        if (!is_light (loads, to / placement->rank_slots, placement->rank_count) ||
+        if (!is_below_mean (loads, to / placement->rank_slots, placement->rank_count) ||
             !make_candidate (placement, loads, from, to, &candidate) || candidate.count > room)
           continue;
-        gain = gain_of (weighing, &candidate) / candidate.count;
+        gain = gain_of (evaluation, &candidate) / candidate.count;
         if (gain <= best_gain)
           continue;
         best_gain = gain;
@@ -331,7 +339,7 @@
   const double *fast = policy->forecast ? policy->expected : policy->fast;
   const double *slow = policy->forecast ? policy->expected : policy->slow;
   struct ash_expert_placement changed = *placement;
-  struct weighing weighing = { .placement = &changed, .speeds = speeds };
+  struct evaluation evaluation = { .placement = &changed, .speeds = speeds };
   struct candidate best;
 
   *decision = (struct ash_expert_decision){ 0 };
@@ -345,11 +353,11 @@
 
       if (room > ASH_EXPERT_MOVES_MAX - decision->move_count)
         room = ASH_EXPERT_MOVES_MAX - decision->move_count;
-      compute_loads (&weighing.fast, &changed, fast, speeds);
-      compute_loads (&weighing.slow, &changed, slow, speeds);
-      weighing.fast_badness = badness (weighing.fast.ranks, changed.rank_count);
-      weighing.slow_badness = badness (weighing.slow.ranks, changed.rank_count);
-      gain = find_best (&weighing, room, &best);
+      compute_loads (&evaluation.fast, &changed, fast, speeds);
+      compute_loads (&evaluation.slow, &changed, slow, speeds);
+      evaluation.fast_objective = objective (evaluation.fast.ranks, changed.rank_count);
+      evaluation.slow_objective = objective (evaluation.slow.ranks, changed.rank_count);
+      gain = find_best (&evaluation, room, &best);
       if (gain <= GAIN_MIN || gain * weights->skew * weights->horizon <= weights->cost)
         {
           decision->refused_gain = gain;
@@ -366,7 +374,7 @@
 /* ---- the full repack ---- */
 
 static uint16_t
-heaviest (const struct loads *loads, uint32_t expert_count, const uint16_t *left)
+most_loaded_expert (const struct loads *loads, uint32_t expert_count, const uint16_t *left)
 {
   uint32_t found = 0;
   double most = -1;
@@ -384,14 +392,15 @@
 }
 
 static uint32_t
-lightest_rank (const struct ash_expert_placement *placement,
-               const double *load,
-               const uint32_t *used,
-               uint16_t expert)
+least_loaded_rank (const struct ash_expert_placement *placement,
+                   const double *load,
+                   const uint32_t *used,
+                   uint16_t expert)
 {
   uint32_t found = placement->rank_count;
 
-  /* Two replicas on one rank share nothing; allowed only if there is no room. */
+  /* Two replicas of an expert on one rank do not spread its load: only if there is no other
+   * room. */
   for (int strict = 1; strict >= 0 && found == placement->rank_count; strict--)
     for (uint32_t r = 0; r < placement->rank_count; r++)
       {
@@ -420,12 +429,12 @@
       loads.replicas[e] = 1;
     }
   for (uint32_t s = placement->expert_count; s < slot_count (placement); s++)
-    loads.replicas[heaviest (&loads, placement->expert_count, NULL)]++;
+    loads.replicas[most_loaded_expert (&loads, placement->expert_count, NULL)]++;
   memcpy (left, loads.replicas, sizeof left);
   for (uint32_t s = 0; s < slot_count (placement); s++)
     {
-      uint16_t expert = heaviest (&loads, placement->expert_count, left);
-      uint32_t rank = lightest_rank (placement, load, used, expert);
+      uint16_t expert = most_loaded_expert (&loads, placement->expert_count, left);
+      uint32_t rank = least_loaded_rank (placement, load, used, expert);
 
       placement->slots[rank * placement->rank_slots + used[rank]++] = expert;
       load[rank] += loads.tokens[expert] / loads.replicas[expert];
--- a/controllers/layer_policy.c
+++ b/controllers/layer_policy.c
@@ -7,17 +7,19 @@
 #define WORD_BITS 64
 #define WORDS_MAX ((ASH_LAYER_RANKS_MAX + WORD_BITS - 1) / WORD_BITS)
 
-/* The weights are for groups of up to so many ranks. With more, a move must gain less and a rank
- * may have more of them, by the number of ranks. */
-#define WEIGHTS_RANKS 12
+/* Number of ranks up to which the configured weights apply as they are. In larger groups the
+ * minimum gain of a move falls, and the maximum number of moves per rank rises, with the number of
+ * ranks. */
+#define WEIGHTS_RANK_COUNT 12
 
-/* Replicas that slow ranks give up in one change, at most. */
-#define GIVEN_UP_MAX 1024
+/* Maximum number of replicas that are dropped from slow ranks in one change. */
+#define DROPS_MAX 1024
 
-/* Giving up alone must take so much off the skew: a change has the group stand for a moment. */
-#define GIVEN_UP_LEAST 0.05
+/* Minimum reduction of the skew for a change that only drops replicas: every change stalls the
+ * group for a moment. */
+#define DROP_ONLY_SKEW_GAIN_MIN 0.05
 
-/* Ranks of a group, a bit each. */
+/* A set of ranks, one bit per rank. */
 struct rank_set
 {
   uint64_t words[WORDS_MAX];
@@ -25,46 +27,47 @@
 
 /* One layer while it is being changed.
  *
- * Loads are compared by the sum of a high power: close to comparing the most loaded
- * ranks, but with a slope where several ranks share the top. The eighth is three
- * squarings. */
+ * Loads are compared by their 8-norm, the eighth root of the sum of their eighth powers. It is
+ * close to the maximum load, but also falls when one of several most loaded ranks is relieved. An
+ * eighth power takes three squarings. */
 struct layer
 {
   const struct ash_layer_policy *policy;
-  const double *pace; /* of each rank; NULL: none is slow */
+  const double *pace; /* slowdown of each rank, 1: normal; NULL: no rank is slow */
   struct ash_layer_map *map;
   uint32_t index;
   uint32_t replicas[ASH_LAYER_EXPERTS_MAX];
-  struct rank_set holders[ASH_LAYER_EXPERTS_MAX]; /* ranks that hold it */
-  double load[ASH_LAYER_RANKS_MAX];               /* over the mean rank's */
+  struct rank_set holders[ASH_LAYER_EXPERTS_MAX]; /* ranks that hold the expert */
+  double load[ASH_LAYER_RANKS_MAX];               /* in multiples of the mean load */
   double power;                                   /* sum of the loads' eighth powers */
-  uint32_t new_count[ASH_LAYER_RANKS_MAX];
-  bool is_new[ASH_LAYER_RANKS_MAX][ASH_LAYER_SLOTS_MAX];
+  uint32_t new_count[ASH_LAYER_RANKS_MAX];        /* slots assigned in this change */
+  /* Whether the slot was assigned in this change. */
+  bool is_assigned[ASH_LAYER_RANKS_MAX][ASH_LAYER_SLOTS_MAX];
 };
 
-/* A replica of an expert into a rank's slot. */
+/* A move: a rank's slot gets a replica of an expert. */
 struct move
 {
   uint32_t rank;
   uint32_t slot;
-  uint16_t expert; /* ASH_NO_EXPERT: none helps */
-  double gain;     /* what it takes off the layer's norm */
+  uint16_t expert; /* ASH_NO_EXPERT: the slot becomes empty, or there is no useful move */
+  double gain;     /* by which the layer's norm falls */
 };
 
-/* All layers of a map while a change is drawn up, and the moves made so far, in order. */
+/* A change being computed: all layers of the map, and the moves made so far, in order. */
 struct change
 {
   struct ash_layer_map map;
   struct layer layers[ASH_LAYERS_MAX];
   struct move best[ASH_LAYERS_MAX];
-  uint32_t rank_moves[ASH_LAYER_RANKS_MAX]; /* in all layers */
-  uint32_t rank_limit;                      /* of these, for now */
+  uint32_t rank_moves[ASH_LAYER_RANKS_MAX]; /* experts copied by each rank, all layers */
+  uint32_t rank_limit;                      /* present maximum of rank_moves[] */
   uint32_t made_count;
   struct
   {
     uint32_t layer;
     struct move move;
-  } made[GIVEN_UP_MAX + ASH_LAYER_RANKS_MAX * ASH_CHANGE_COPIES_MAX];
+  } made[DROPS_MAX + ASH_LAYER_RANKS_MAX * ASH_CHANGE_COPIES_MAX];
 };
 
 void
@@ -101,19 +104,19 @@
 {
   double *demand = policy->demand[layer];
   double total = 0;
-  double kept = policy->weights.decay;
+  double weight = policy->weights.decay;
 
   for (uint32_t expert = 0; expert < policy->expert_count; expert++)
     total += counts[expert];
   if (total <= 0)
     return;
-  if (cosine (demand, counts, policy->expert_count) < policy->weights.alike)
+  if (cosine (demand, counts, policy->expert_count) < policy->weights.similarity_min)
     {
-      kept = 0;
+      weight = 0;
       policy->shifts++;
     }
   for (uint32_t expert = 0; expert < policy->expert_count; expert++)
-    demand[expert] = kept * demand[expert] + (1 - kept) * counts[expert] / total;
+    demand[expert] = weight * demand[expert] + (1 - weight) * counts[expert] / total;
 }
 
 void
@@ -148,7 +151,7 @@
 /* ---- loads ---- */
 
 static double
-raise (double load)
+eighth_power (double load)
 {
   double square = load * load;
   double fourth = square * square;
@@ -162,14 +165,14 @@
   return sqrt (sqrt (sqrt (power)));
 }
 
-/* The time that a rank takes for a load. */
+/* The time that a rank takes for a load, relative to a rank of normal speed. */
 static double
 time_of (const struct layer *layer, uint32_t rank, double load)
 {
   return layer->pace ? layer->pace[rank] * load : load;
 }
 
-/* What a replica of the expert carries, over the mean rank's load. */
+/* The load of one of an expert's replicas, in multiples of the mean rank's load. */
 static double
 share_of (const struct layer *layer, uint16_t expert, uint32_t replicas)
 {
@@ -181,11 +184,11 @@
 {
   layer->power = 0;
   for (uint32_t rank = 0; rank < layer->map->rank_count; rank++)
-    layer->power += raise (layer->load[rank]);
+    layer->power += eighth_power (layer->load[rank]);
 }
 
 static void
-count_layer (struct layer *layer)
+update_loads (struct layer *layer)
 {
   const struct ash_layer_map *map = layer->map;
 
@@ -214,17 +217,17 @@
   sum_power (layer);
 }
 
-/* What a move would change: the shares of the replicas of the expert that comes and of the one that
- * goes. */
+/* Effect of a move on the loads of the replicas of the expert that is added to a slot and of the
+ * expert that it replaces. */
 struct swap
 {
   uint32_t rank;
-  const struct rank_set *gains;  /* ranks that hold what comes */
-  const struct rank_set *losses; /* ranks that hold what goes; NULL: the slot is empty */
-  double share;                  /* of each replica of what comes, afterwards */
-  double gain;                   /* how much more each former one of these carries */
-  double dropped;                /* what the replica that goes carries */
-  double loss;                   /* how much more each other one of these carries */
+  const struct rank_set *gains;  /* ranks that hold the added expert */
+  const struct rank_set *losses; /* ranks that hold the replaced expert; NULL: the slot is empty */
+  double share;                  /* load of each replica of the added expert, after the move */
+  double gain;                   /* change, negative, of the load of its former replicas */
+  double dropped;                /* load of the replaced replica */
+  double loss;                   /* change of the load of the replaced expert's other replicas */
 };
 
 static struct swap
@@ -261,8 +264,8 @@
   return layer->load[rank] + time_of (layer, rank, more);
 }
 
-/* The norm if @p expert came into the rank's slot in place of @p old. Only ranks that hold
- * one of them change. */
+/* The layer's norm if @p expert replaced @p old in a slot of the rank. Only the loads of ranks that
+ * hold one of the two change. */
 static double
 norm_after (const struct layer *layer, uint32_t rank, uint16_t old, uint16_t expert)
 {
@@ -281,7 +284,8 @@
         {
           uint32_t other = i * WORD_BITS + (uint32_t) __builtin_ctzll (ranks);
 
-          power += raise (load_after (layer, &swap, other)) - raise (layer->load[other]);
+          power +=
+              eighth_power (load_after (layer, &swap, other)) - eighth_power (layer->load[other]);
         }
     }
   return eighth_root (power > 0 ? power : 0);
@@ -301,7 +305,7 @@
 /* ---- moves ---- */
 
 static void
-try_rank (const struct layer *layer, uint16_t expert, uint32_t rank, double now, struct move *best)
+try_rank (const struct layer *layer, uint16_t expert, uint32_t rank, double norm, struct move *best)
 {
   const struct ash_layer_map *map = layer->map;
 
@@ -310,25 +314,25 @@
       uint16_t old = map->slots[layer->index][rank][slot];
       double gain;
 
-      /* The last replica must stay, and what was just decided too. */
-      if (layer->is_new[rank][slot] || (old != ASH_NO_EXPERT && layer->replicas[old] < 2))
+      /* Keep the last replica of an expert, and slots that were assigned in this change. */
+      if (layer->is_assigned[rank][slot] || (old != ASH_NO_EXPERT && layer->replicas[old] < 2))
         continue;
-      gain = now - norm_after (layer, rank, old, expert);
+      gain = norm - norm_after (layer, rank, old, expert);
       if (gain > best->gain)
         *best = (struct move){ rank, slot, expert, gain };
-      /* All empty slots are alike. */
+      /* The other empty slots of the rank would give the same gain. */
       if (old == ASH_NO_EXPERT)
         break;
     }
 }
 
-/* The best replica of any expert of the layer's most loaded rank. */
+/* The best move that adds a replica of an expert of the layer's most loaded rank. */
 static struct move
 find_move (const struct change *change, const struct layer *layer)
 {
   const struct ash_layer_weights *weights = &layer->policy->weights;
   const struct ash_layer_map *map = layer->map;
-  double now = eighth_root (layer->power);
+  double norm = eighth_root (layer->power);
   uint32_t most = most_loaded (layer);
   struct move best = { .expert = ASH_NO_EXPERT };
 
@@ -342,17 +346,17 @@
         if (!has_rank (&layer->holders[expert], rank) &&
             layer->new_count[rank] < weights->layer_moves &&
             change->rank_moves[rank] < change->rank_limit)
-          try_rank (layer, expert, rank, now, &best);
+          try_rank (layer, expert, rank, norm, &best);
     }
   return best;
 }
 
-/* The layer whose best move gains most; the layer count if none is worth it. */
+/* The index of the layer whose best move gains most; the layer count if no move gains enough. */
 static uint32_t
-best_layer (const struct change *change, const struct ash_layer_map *map, double least_gain)
+best_layer_index (const struct change *change, const struct ash_layer_map *map, double min_gain)
 {
   uint32_t best = map->layer_count;
-  double gain = least_gain;
+  double gain = min_gain;
 
   for (uint32_t i = 0; i < map->layer_count; i++)
     if (change->best[i].expert != ASH_NO_EXPERT && change->best[i].gain > gain)
@@ -363,24 +367,23 @@
   return best;
 }
 
-/* Makes a layer's best move. */
 static void
 make_move (struct change *change, struct layer *layer)
 {
   struct move move = change->best[layer->index];
 
   layer->map->slots[layer->index][move.rank][move.slot] = move.expert;
-  layer->is_new[move.rank][move.slot] = true;
+  layer->is_assigned[move.rank][move.slot] = true;
   layer->new_count[move.rank]++;
   change->rank_moves[move.rank]++;
   change->made[change->made_count].layer = layer->index;
   change->made[change->made_count].move = move;
   change->made_count++;
-  count_layer (layer);
+  update_loads (layer);
 }
 
 static void
-open_layer (struct layer *layer,
+init_layer (struct layer *layer,
             const struct ash_layer_policy *policy,
             const double *pace,
             struct ash_layer_map *map,
@@ -391,7 +394,7 @@
   layer->pace = pace;
   layer->map = map;
   layer->index = index;
-  count_layer (layer);
+  update_loads (layer);
 }
 
 double
@@ -403,7 +406,7 @@
     {
       struct layer layer;
 
-      open_layer (&layer, policy, NULL, (struct ash_layer_map *) (uintptr_t) map, i);
+      init_layer (&layer, policy, NULL, (struct ash_layer_map *) (uintptr_t) map, i);
       sum += layer.load[most_loaded (&layer)];
     }
   return map->layer_count ? sum / map->layer_count : 1;
@@ -420,7 +423,7 @@
   return layer_count ? sum / layer_count : 1;
 }
 
-/* Whether ranks that have their part of copies keep a move from being made. */
+/* Whether any rank has reached the limit of copies, so that further moves may be possible later. */
 static bool
 is_limited (const struct change *change)
 {
@@ -430,37 +433,39 @@
   return false;
 }
 
-/* What a move must gain at least. Where many ranks share the top, the norm of all hardly falls with
- * one of them: by the bound for few ranks no move would pay after a shift. */
+/* Minimum gain of a move. In a large group many ranks are similarly loaded, and relieving one of
+ * them hardly lowers the norm: with the minimum for small groups, no move would be made after a
+ * shift. */
 static double
-least_gain_of (const struct change *change, const struct ash_layer_weights *weights)
+min_gain_of (const struct change *change, const struct ash_layer_weights *weights)
 {
   uint32_t rank_count = change->map.rank_count;
 
-  return rank_count > WEIGHTS_RANKS ? weights->least_gain * WEIGHTS_RANKS / rank_count
-                                    : weights->least_gain;
+  return rank_count > WEIGHTS_RANK_COUNT ? weights->min_gain * WEIGHTS_RANK_COUNT / rank_count
+                                         : weights->min_gain;
 }
 
-/* Copies of a rank at most. A rank of a large group has a small part of the experts, and each hot
- * one is to stand at many ranks. In groups of few ranks more copies gain nothing. */
+/* Maximum number of experts that a rank copies. A rank of a large group holds a small part of the
+ * experts, and each popular expert needs replicas on many ranks. In small groups more copies gain
+ * nothing. */
 static uint32_t
-most_copies (const struct ash_layer_map *map, const struct ash_layer_weights *weights)
+max_copies (const struct ash_layer_map *map, const struct ash_layer_weights *weights)
 {
   uint32_t most = weights->rank_moves;
 
-  if (map->rank_count > WEIGHTS_RANKS)
-    most = most * map->rank_count / WEIGHTS_RANKS;
+  if (map->rank_count > WEIGHTS_RANK_COUNT)
+    most = most * map->rank_count / WEIGHTS_RANK_COUNT;
   return most < ASH_CHANGE_COPIES_MAX ? most : ASH_CHANGE_COPIES_MAX;
 }
 
-/* A slow rank gives up the replica whose loss shortens the layer's norm most. That needs no copy.
- * @return whether there was one. */
+/* Drops the replica of a slow rank whose removal lowers the layer's norm most. This needs no copy.
+ * @return whether a replica was dropped. */
 static bool
-give_up (struct change *change, struct layer *layer, uint32_t rank)
+drop_replica (struct change *change, struct layer *layer, uint32_t rank)
 {
   const struct ash_layer_map *map = layer->map;
   struct move best = { .rank = rank, .expert = ASH_NO_EXPERT };
-  double now = eighth_root (layer->power);
+  double norm = eighth_root (layer->power);
 
   for (uint32_t slot = 0; slot < map->slot_count; slot++)
     {
@@ -469,48 +474,48 @@
 
       if (old == ASH_NO_EXPERT || layer->replicas[old] < 2)
         continue;
-      gain = now - norm_after (layer, rank, old, ASH_NO_EXPERT);
+      gain = norm - norm_after (layer, rank, old, ASH_NO_EXPERT);
       if (gain > best.gain)
         best = (struct move){ rank, slot, ASH_NO_EXPERT, gain };
     }
-  if (best.gain <= 0 || change->made_count == GIVEN_UP_MAX)
+  if (best.gain <= 0 || change->made_count == DROPS_MAX)
     return false;
   layer->map->slots[layer->index][rank][best.slot] = ASH_NO_EXPERT;
   change->made[change->made_count].layer = layer->index;
   change->made[change->made_count++].move = best;
-  count_layer (layer);
+  update_loads (layer);
   return true;
 }
 
 static void
-relieve_slow (struct change *change, const struct ash_change_terms *terms)
+relieve_slow_ranks (struct change *change, const struct ash_change_terms *terms)
 {
   for (uint32_t rank = 0; terms->pace && rank < change->map.rank_count; rank++)
     for (uint32_t i = 0; terms->pace[rank] > 1 && i < change->map.layer_count; i++)
-      while (give_up (change, &change->layers[i], rank))
+      while (drop_replica (change, &change->layers[i], rank))
         ;
 }
 
-/* Makes the moves that are worth it while no rank may have more copies than the limit. */
+/* Makes the best moves that gain enough, within the present limit of copies per rank. */
 static void
-make_moves (struct change *change, double least_gain)
+make_moves (struct change *change, double min_gain)
 {
   const struct ash_layer_map *map = &change->map;
   uint32_t layer;
 
   for (uint32_t i = 0; i < map->layer_count; i++)
     change->best[i] = find_move (change, &change->layers[i]);
-  while ((layer = best_layer (change, map, least_gain)) < map->layer_count)
+  while ((layer = best_layer_index (change, map, min_gain)) < map->layer_count)
     {
       make_move (change, &change->layers[layer]);
-      /* A rank that has its part of copies now is no longer open to any layer. */
+      /* A rank that has just reached its limit takes no further copies for any layer. */
       for (uint32_t i = 0; i < map->layer_count; i++)
         if (i == layer || change->rank_moves[change->best[i].rank] >= change->rank_limit)
           change->best[i] = find_move (change, &change->layers[i]);
     }
 }
 
-/* Makes the first moves that were drawn up in the map itself. */
+/* Applies the first @p count computed moves to the map. */
 static void
 apply_moves (const struct change *change, uint32_t count, struct ash_layer_map *map)
 {
@@ -529,7 +534,7 @@
                          struct ash_layer_decision *decision)
 {
   struct change *change = calloc (1, sizeof *change);
-  /* With so many copies a rank. */
+  /* Skew and number of moves with 0, 1, 2 ... copies per rank. */
   double skews[ASH_CHANGE_COPIES_MAX + 1] = { 0 };
   uint32_t counts[ASH_CHANGE_COPIES_MAX + 1] = { 0 };
   uint32_t most = 0;
@@ -543,25 +548,25 @@
     }
   ash_layer_map_copy (&change->map, map);
   for (uint32_t i = 0; i < map->layer_count; i++)
-    open_layer (&change->layers[i], policy, terms->pace, &change->map, i);
+    init_layer (&change->layers[i], policy, terms->pace, &change->map, i);
   decision->skew_before = mean_skew (change);
-  relieve_slow (change, terms);
+  relieve_slow_ranks (change, terms);
   skews[0] = mean_skew (change);
   counts[0] = change->made_count;
-  while (most < most_copies (map, &policy->weights))
+  while (most < max_copies (map, &policy->weights))
     {
       change->rank_limit = most + 1;
-      make_moves (change, least_gain_of (change, &policy->weights));
+      make_moves (change, min_gain_of (change, &policy->weights));
       if (change->made_count == counts[most])
         break;
       most++;
       skews[most] = mean_skew (change);
       counts[most] = change->made_count;
     }
-  decision->copies = ash_change_plan (terms, skews[0], skews + 1, most);
+  decision->copies = ash_change_plan_copies (terms, skews[0], skews + 1, most);
   decision->moves = counts[decision->copies];
   decision->skew_after = skews[decision->copies];
-  if (!decision->copies && decision->skew_before - skews[0] < GIVEN_UP_LEAST)
+  if (!decision->copies && decision->skew_before - skews[0] < DROP_ONLY_SKEW_GAIN_MIN)
     {
       decision->moves = 0;
       decision->skew_after = decision->skew_before;
--- a/controllers/membership.c
+++ b/controllers/membership.c
@@ -61,7 +61,7 @@
     return false;
   is_new = box->incarnation != incarnation;
   box->linked = true;
-  box->heard = now;
+  box->heartbeat_at = now;
   box->suspect = false;
   box->role = role;
   box->revision = revision;
@@ -88,8 +88,7 @@
 {
   if (box->leaving_incarnation && box->leaving_incarnation == box->incarnation)
     return true;
-  /* The list lags: when a box comes back with a new life, its old entry in the
-   * list says nothing about that one. */
+  /* The platform's list lags: an entry from before a restart isn't about the new incarnation. */
   return box->listed_leaving && box->listed_incarnation == box->incarnation;
 }
 
@@ -102,14 +101,14 @@
 bool
 ash_box_preferred (const struct ash_box *box)
 {
-  return ash_box_usable (box) && !box->suspect && !box->passed_until.ms;
+  return ash_box_usable (box) && !box->suspect && !box->ejected_until.ms;
 }
 
-/* Fewer boxes than this say nothing. */
-#define ALONE_BOXES_MIN 3
+/* With fewer declared boxes, the number of links is no evidence for isolation. */
+#define ISOLATED_BOXES_MIN 3
 
-/* All declared boxes are looked up for it, at the size to come some thousands. */
-#define ALONE_PERIOD_MS 500
+/* Period of the isolation check, which looks up all declared boxes: up to some thousands. */
+#define ISOLATED_PERIOD_MS 500
 
 static uint32_t
 is_linked (const struct ash_membership *membership, const char *name)
@@ -120,9 +119,9 @@
 }
 
 bool
-ash_membership_alone (const struct ash_membership *membership,
-                      const struct ash_document *document,
-                      const char *self)
+ash_membership_isolated (const struct ash_membership *membership,
+                         const struct ash_document *document,
+                         const char *self)
 {
   uint32_t declared = 0;
   uint32_t linked = 0;
@@ -138,7 +137,7 @@
       declared++;
       linked += is_linked (membership, document->endpoints[i].name);
     }
-  return declared >= ALONE_BOXES_MIN && 2 * linked < declared;
+  return declared >= ISOLATED_BOXES_MIN && 2 * linked < declared;
 }
 
 void
@@ -149,14 +148,14 @@
 {
   for (struct ash_box *box = membership->boxes; box; box = box->hh.next)
     {
-      box->suspect = ash_time_diff (box->heard, now) >= settings->suspect_ms;
-      if (box->passed_until.ms && !ash_time_before (now, box->passed_until))
-        box->passed_until = (struct ash_time){ 0 };
+      box->suspect = ash_time_diff (box->heartbeat_at, now) >= settings->suspect_ms;
+      if (box->ejected_until.ms && !ash_time_before (now, box->ejected_until))
+        box->ejected_until = (struct ash_time){ 0 };
     }
-  if (ash_time_before (now, membership->alone_until))
+  if (ash_time_before (now, membership->isolated_recheck_at))
     return;
-  membership->alone_until = ash_time_add (now, ALONE_PERIOD_MS);
-  membership->alone = ash_membership_alone (membership, document, settings->box);
+  membership->isolated_recheck_at = ash_time_add (now, ISOLATED_PERIOD_MS);
+  membership->isolated = ash_membership_isolated (membership, document, settings->box);
 }
 
 bool
@@ -173,7 +172,7 @@
 {
   if (!box || !incarnation || box->leaving_incarnation == incarnation)
     return false;
-  /* Hearsay of a life that is not the present one must not replace it. */
+  /* A peer's report about another incarnation must not affect the current one. */
   if (box->incarnation && box->incarnation != incarnation)
     return false;
   box->leaving_incarnation = incarnation;
@@ -205,7 +204,9 @@
 }
 
 bool
-ash_membership_listed (struct ash_membership *membership, const char *name, bool leaving)
+ash_membership_set_listed_leaving (struct ash_membership *membership,
+                                   const char *name,
+                                   bool leaving)
 {
   struct ash_box *box = ash_membership_find (membership, name);
 
--- /dev/null
+++ b/controllers/peer_version.h
@@ -0,0 +1,44 @@
+/**
+ * @file
+ * Detects by the versions that peers report that this process misses a newer configuration or
+ * endpoint list. Usually the own source delivers the same version within milliseconds. If it does
+ * not, the source is stuck for this process, even if its connection looks healthy.
+ */
+#ifndef ASH_PEER_VERSION_H
+#define ASH_PEER_VERSION_H
+
+#include "common/clock.h"
+
+#include <stdbool.h>
+#include <stdint.h>
+
+/** State for one versioned object. Zeroed memory is a valid start. */
+struct ash_peer_version
+{
+  uint64_t newest;       /**< newest reported version that may have content missing here */
+  uint64_t same;         /**< newest version known to have the same content as the own one */
+  uint64_t own;          /**< own version at the last call */
+  struct ash_time since; /**< since when the own version has not advanced */
+};
+
+/** Handles a version reported by a peer. @param own version that this process has. */
+void ash_peer_version_reported (struct ash_peer_version *tracker,
+                                struct ash_time now,
+                                uint64_t reported,
+                                uint64_t own);
+
+/** Handles a peer's report that its version has the same content as the own one, so nothing up to
+ * that version is missing here. */
+void ash_peer_version_equal (struct ash_peer_version *tracker,
+                             struct ash_time now,
+                             uint64_t reported,
+                             uint64_t own);
+
+/** @return whether a newer version has been known for at least @p for_ms without the own one
+ * advancing. */
+bool ash_peer_version_is_behind (struct ash_peer_version *tracker,
+                                 struct ash_time now,
+                                 uint64_t own,
+                                 int64_t for_ms);
+
+#endif
--- a/daemon/api.c
+++ b/daemon/api.c
@@ -64,7 +64,7 @@
   ash_http_headers_add (headers, "Ash-Retry-After-Ms", "%u", retry_ms);
 }
 
-/* A call that does not get as far as the core: it ran nowhere. */
+/* Answers a request with an error before it reaches the core. Its outcome is "not-run". */
 static void
 reply_bad (struct ash_api *api, uint64_t number, int reason, const char *message)
 {
@@ -79,10 +79,10 @@
 }
 
 static void
-add_served (struct ash_api *api,
-            struct ash_http_headers *headers,
-            const char *id,
-            const struct Ash__Reply *reply)
+add_reply_headers (struct ash_api *api,
+                   struct ash_http_headers *headers,
+                   const char *id,
+                   const struct Ash__Reply *reply)
 {
   add_outcome (headers, id, (int) reply->outcome);
   ash_http_headers_add (headers, "Ash-Entry", "%s", api->daemon->settings->box);
@@ -93,7 +93,7 @@
 }
 
 static void
-take_reply (struct ash_api *api, const struct Ash__Reply *reply)
+handle_reply (struct ash_api *api, const struct Ash__Reply *reply)
 {
   struct ash_http_headers headers = { 0 };
   char id[ASH_ID_TEXT_BYTES];
@@ -110,7 +110,7 @@
                       ash_entry_outcome_name ((int) reply->outcome), reply->retry_ms));
       return;
     }
-  add_served (api, &headers, id, reply);
+  add_reply_headers (api, &headers, id, reply);
   if (reply->final)
     ash_http_reply (&api->server, reply->call, reply->status, &headers, reply->body.data,
                     reply->body.len);
@@ -118,10 +118,10 @@
     ash_http_begin (&api->server, reply->call, reply->status, &headers);
 }
 
-/* A stream that can't be whole says so, and then is no well-formed answer
- * either, for callers that read no events. */
+/* A stream that ends early gets a final error event. Then the connection is broken before the
+ * end of the body, for callers that don't parse events. */
 static void
-take_reply_end (struct ash_api *api, const struct Ash__ReplyEnd *end)
+handle_reply_end (struct ash_api *api, const struct Ash__ReplyEnd *end)
 {
   char event[512];
   int length;
@@ -140,19 +140,19 @@
 }
 
 bool
-ash_api_take (struct ash_api *api, const struct Ash__Event *event)
+ash_api_handle_event (struct ash_api *api, const struct Ash__Event *event)
 {
   switch (event->kind_case)
     {
     case ASH__EVENT__KIND_REPLY:
-      take_reply (api, event->reply);
+      handle_reply (api, event->reply);
       return true;
     case ASH__EVENT__KIND_REPLY_DATA:
       ash_http_append (&api->server, event->reply_data->call, event->reply_data->bytes.data,
                        event->reply_data->bytes.len);
       return true;
     case ASH__EVENT__KIND_REPLY_END:
-      take_reply_end (api, event->reply_end);
+      handle_reply_end (api, event->reply_end);
       return true;
     default:
       return false;
@@ -173,9 +173,10 @@
   return true;
 }
 
-/* Reads a whole number from a header. @return false if there is one and it is none. */
+/* Parses a header that holds a whole number above 0. A missing header gives 0.
+ * @return false if the header is malformed. */
 static bool
-number_header (const struct ash_http_request *request, const char *name, uint32_t *number)
+read_number_header (const struct ash_http_request *request, const char *name, uint32_t *number)
 {
   const char *value = ash_http_header (request, name);
   char *end;
@@ -191,7 +192,8 @@
   return true;
 }
 
-/* Fills what all calls have in their headers. @return what is wrong, or NULL. */
+/* Fills the fields of a call that don't depend on the path.
+ * @return an error message, or NULL. */
 static const char *
 read_headers (struct ash_api *api, const struct ash_http_request *request, struct Ash__Call *call)
 {
@@ -199,36 +201,36 @@
   const char *no_repeat = ash_http_header (request, "Ash-No-Repeat");
   const char *type = ash_http_header (request, "Content-Type");
 
-  if (!number_header (request, "Ash-Deadline-Ms", &call->deadline_ms))
+  if (!read_number_header (request, "Ash-Deadline-Ms", &call->deadline_ms))
     return "header Ash-Deadline-Ms must be a whole number above 0";
-  if (!number_header (request, "Ash-Attempt", &call->caller_attempt))
+  if (!read_number_header (request, "Ash-Attempt", &call->caller_attempt))
     return "header Ash-Attempt must be a whole number above 0";
   if (key && strlen (key) > IDEMPOTENCY_KEY_MAX)
     return "header Idempotency-Key is longer than 200 characters";
   if (no_repeat && strcmp (no_repeat, "1") != 0 && strcmp (no_repeat, "0") != 0)
     return "header Ash-No-Repeat must be 0 or 1";
   call->call = request->number;
-  call->method = ash_text (request->method);
-  call->idempotency_key = ash_text (key ? key : "");
+  call->method = ash_proto_text (request->method);
+  call->idempotency_key = ash_proto_text (key ? key : "");
   call->no_repeat = no_repeat && *no_repeat == '1';
-  call->content_type = ash_text (type ? type : "");
+  call->content_type = ash_proto_text (type ? type : "");
   call->body.data = (uint8_t *) (uintptr_t) request->body;
   call->body.len = request->body_bytes;
   call->unix_s = (int64_t) time (NULL);
-  call->may_be_old = ash_time_before (ash_clock_now (), api->woke_until);
+  call->may_be_old = ash_time_before (ash_clock_now (), api->maybe_stale_until);
   return NULL;
 }
 
 static void
-give_call (struct ash_api *api, const struct ash_http_request *request, struct Ash__Call *call)
+submit_call (struct ash_api *api, const struct ash_http_request *request, struct Ash__Call *call)
 {
   struct Ash__Event event = ASH__EVENT__INIT;
   uint8_t hash[ASH_KEY_HASH_BYTES];
-  const char *wrong = read_headers (api, request, call);
+  const char *problem = read_headers (api, request, call);
 
-  if (wrong)
+  if (problem)
     {
-      reply_bad (api, request->number, ASH__REASON__BAD_REQUEST, wrong);
+      reply_bad (api, request->number, ASH__REASON__BAD_REQUEST, problem);
       return;
     }
   if (ash_api_hash_bearer (request, hash))
@@ -263,16 +265,16 @@
     reply_bad (api, request->number, ASH__REASON__BAD_REQUEST, "'stream' must be true or false");
   else
     {
-      call.service = ash_text (model);
-      call.path = ash_text (request->path);
+      call.service = ash_proto_text (model);
+      call.path = ash_proto_text (request->path);
       call.stream = json_is_true (stream);
-      give_call (api, request, &call);
+      submit_call (api, request, &call);
     }
   json_decref (body);
 }
 
-/* The service's name ends at a slash, a question mark, or the end; the rest goes
- * to the endpoint as the caller wrote it. */
+/* The service's name ends at a slash, a question mark or the end of the target. The rest is passed
+ * to the endpoint unchanged. */
 static void
 handle_service (struct ash_api *api, const struct ash_http_request *request)
 {
@@ -298,10 +300,10 @@
   service[length] = '\0';
   call.service = service;
   call.path = path;
-  give_call (api, request, &call);
+  submit_call (api, request, &call);
 }
 
-/* ---- the other paths ---- */
+/* ---- other paths ---- */
 
 static void
 handle_addresses (struct ash_api *api, const struct ash_http_request *request)
@@ -341,8 +343,8 @@
                                  (json_int_t) entry->config.document.revision));
 }
 
-/* A key for a request that may not be repeated: names its home and that home's
- * present life, so that it needs no word on which attempt it is. */
+/* Mints an idempotency key that names the home of the request and the home's incarnation, so that
+ * the caller need not number its attempts. */
 static void
 handle_mint (struct ash_api *api, const struct ash_http_request *request)
 {
@@ -424,7 +426,7 @@
   else if (box->linked && box->suspect)
     state = "suspect";
   else if (box->linked)
-    state = box->passed_until.ms ? "stalled" : "live";
+    state = box->ejected_until.ms ? "stalled" : "live";
   return json_pack ("{s:s, s:s, s:s, s:I, s:i, s:i}", "box", box->name, "role",
                     box->role == ASH__ROLE__ENTRY ? "entry" : "endpoint", "state", state,
                     "revision", (json_int_t) box->revision, "in_flight", (int) box->in_flight,
@@ -522,19 +524,19 @@
   if (strncmp (request->path, SERVICES_PATH, strlen (SERVICES_PATH)) == 0)
     handle_service (api, request);
   else if (strncmp (request->path, EXPLAIN_PATH, strlen (EXPLAIN_PATH)) == 0)
-    ash_explain_ask (api->explain, request);
+    ash_explain_handle_request (api->explain, request);
   else
     reply_bad (api, request->number, ASH__REASON__NO_SERVICE, "no such path or method");
 }
 
 static void
-on_gone (void *data, uint64_t number)
+on_disconnect (void *data, uint64_t number)
 {
   struct ash_api *api = data;
   struct Ash__CallerGone gone = ASH__CALLER_GONE__INIT;
   struct Ash__Event event = ASH__EVENT__INIT;
 
-  ash_explain_gone (api->explain, number);
+  ash_explain_disconnected (api->explain, number);
   gone.call = number;
   event.kind_case = ASH__EVENT__KIND_CALLER_GONE;
   event.caller_gone = &gone;
@@ -547,7 +549,7 @@
   api->daemon = daemon;
   api->entry = entry;
   api->server.settings = daemon->settings;
-  api->server.handler = (struct ash_http_handler){ on_request, on_gone, api };
+  api->server.handler = (struct ash_http_server_handler){ on_request, on_disconnect, api };
   return ash_http_server_init (&api->server, daemon->loop);
 }
 
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -1,7 +1,7 @@
 #include "daemon/daemon.h"
 
 #include "common/id.h"
-#include "daemon/spread.h"
+#include "daemon/config_sync.h"
 
 #include <errno.h>
 #include <signal.h>
@@ -20,15 +20,15 @@
 
   for (uint32_t i = 0; findings->items && i < kept; i++)
     ash_log_event (&daemon->log, ASH_EV_CONFIG_REFUSED, "line=%u place=\"%s\" finding=\"%s\"",
-                   findings->items[i].line, findings->items[i].place, findings->items[i].text);
+                   findings->items[i].line, findings->items[i].key_path, findings->items[i].text);
 }
 
 void
-ash_daemon_offer (struct ash_daemon *daemon,
-                  uint64_t revision,
-                  const char *text,
-                  size_t text_bytes,
-                  const char *source)
+ash_daemon_offer_config (struct ash_daemon *daemon,
+                         uint64_t revision,
+                         const char *text,
+                         size_t text_bytes,
+                         const char *source)
 {
   struct ash_findings findings;
 
@@ -41,8 +41,8 @@
                      (unsigned long long) revision,
                      (unsigned long long) daemon->config->document.digest, source);
       daemon->role.configured (daemon->role.data);
-      ash_spread_now (daemon);
-      ash_peers_beat (&daemon->peers);
+      ash_config_sync_push_deltas (daemon);
+      ash_peers_send_heartbeats (&daemon->peers);
       break;
     case ASH_CONFIG_OLDER:
       ash_log_event (&daemon->log, ASH_EV_CONFIG_OLDER, "revision=%llu in_force=%llu source=%s",
@@ -70,25 +70,25 @@
 answer_query (struct ash_daemon *daemon, const char *peer, const struct Ash__Query *query)
 {
   struct Ash__QueryAnswer answer = ASH__QUERY_ANSWER__INIT;
-  struct Ash__Event event = ash_event_of (peer, ASH__EVENT__KIND_QUERY_ANSWER, &answer);
+  struct Ash__Event event = ash_event_wrap (peer, ASH__EVENT__KIND_QUERY_ANSWER, &answer);
   json_t *known = daemon->role.explain (daemon->role.data, query);
   char *text = known ? json_dumps (known, JSON_COMPACT) : NULL;
 
   answer.number = query->number;
-  answer.text = text ? text : ash_text ("");
+  answer.text = text ? text : ash_proto_text ("");
   ash_daemon_send (daemon, &event);
   free (text);
   json_decref (known);
 }
 
 static void
-take_drain (struct ash_daemon *daemon, const struct Ash__Event *event)
+handle_drain_message (struct ash_daemon *daemon, const struct Ash__Event *event)
 {
   if (event->drain->incarnation != daemon->incarnation)
     return;
   ash_log_event (&daemon->log, ASH_EV_DRAINED, "source=%s", event->peer);
   daemon->role.event (daemon->role.data, event);
-  ash_peers_beat (&daemon->peers);
+  ash_peers_send_heartbeats (&daemon->peers);
 }
 
 static void
@@ -97,7 +97,7 @@
   struct ash_daemon *daemon = data;
   struct ash_box *box;
 
-  if (ash_spread_take (daemon, event))
+  if (ash_config_sync_handle (daemon, event))
     return;
   switch (event->kind_case)
     {
@@ -105,18 +105,18 @@
       answer_query (daemon, event->peer, event->query);
       return;
     case ASH__EVENT__KIND_DRAIN:
-      take_drain (daemon, event);
+      handle_drain_message (daemon, event);
       return;
     case ASH__EVENT__KIND_LINK_UP:
       daemon->role.event (daemon->role.data, event);
-      /* A new link may lead to a new life, which has nothing yet. */
+      /* The peer may have restarted and then has no configuration: offer the active one again. */
       box = ash_membership_find (daemon->membership, event->peer);
       if (box)
         box->offered = 0;
       return;
     case ASH__EVENT__KIND_HEARTBEAT:
       daemon->role.event (daemon->role.data, event);
-      ash_spread_to (daemon, event->peer);
+      ash_config_sync_peer (daemon, event->peer);
       return;
     default:
       daemon->role.event (daemon->role.data, event);
@@ -124,7 +124,7 @@
 }
 
 static uint64_t
-own_revision (void *data)
+active_revision (void *data)
 {
   const struct ash_daemon *daemon = data;
 
@@ -132,7 +132,7 @@
 }
 
 static void
-own_heartbeat (void *data, const char *box, struct Ash__Heartbeat *heartbeat)
+fill_heartbeat (void *data, const char *box, struct Ash__Heartbeat *heartbeat)
 {
   struct ash_daemon *daemon = data;
 
@@ -140,10 +140,10 @@
   daemon->role.heartbeat (daemon->role.data, heartbeat);
 }
 
-/* ---- time and the end ---- */
+/* ---- timer and signals ---- */
 
 static void
-give_local (struct ash_daemon *daemon, Ash__Event__KindCase kind, const void *message)
+send_to_role (struct ash_daemon *daemon, Ash__Event__KindCase kind, const void *message)
 {
   struct ash_sink sink = { daemon->role.event, daemon->role.data };
 
@@ -157,28 +157,29 @@
   struct Ash__Tick tick = ASH__TICK__INIT;
 
   (void) events;
-  give_local (daemon, ASH__EVENT__KIND_TICK, &tick);
-  if (daemon->stopping && daemon->role.may_end (daemon->role.data))
+  send_to_role (daemon, ASH__EVENT__KIND_TICK, &tick);
+  if (daemon->stopping && daemon->role.may_exit (daemon->role.data))
     ev_break (loop, EVBREAK_ALL);
 }
 
-/* Runs first after each sleep of the loop, which lasts a tick at most. A longer
- * gap means that the process was stopped, and that all it holds is old. */
+/* Runs before all other watchers each time the event loop wakes up, which the tick makes it do at
+ * least every TICK_S. A longer gap means that the process was suspended and that messages still
+ * unread are old. */
 static void
-on_wake_check (struct ev_loop *loop, ev_check *check, int events)
+check_for_pause (struct ev_loop *loop, ev_check *check, int events)
 {
   struct ash_daemon *daemon = check->data;
   struct ash_time now = ash_clock_now ();
-  int64_t gap_ms = ash_time_diff (daemon->last_seen, now);
+  int64_t gap_ms = ash_time_diff (daemon->last_wakeup, now);
 
   (void) loop;
   (void) events;
-  daemon->last_seen = now;
+  daemon->last_wakeup = now;
   if (gap_ms <= daemon->settings->pause_ms)
     return;
   ash_log_event (&daemon->log, ASH_EV_WOKE, "gap_ms=%lld", (long long) gap_ms);
-  daemon->role.woke (daemon->role.data);
-  ash_peers_reset (&daemon->peers);
+  daemon->role.resumed (daemon->role.data);
+  ash_peers_close_links (&daemon->peers);
 }
 
 static void
@@ -196,11 +197,11 @@
     }
   daemon->stopping = true;
   ash_log_event (&daemon->log, ASH_EV_STOPPING, "signal=%d", watcher->signum);
-  give_local (daemon, ASH__EVENT__KIND_STOP, &stop);
-  ash_peers_beat (&daemon->peers);
+  send_to_role (daemon, ASH__EVENT__KIND_STOP, &stop);
+  ash_peers_send_heartbeats (&daemon->peers);
 }
 
-/* ---- life ---- */
+/* ---- setup ---- */
 
 static void
 watch_signal (struct ash_daemon *daemon, ev_signal *watcher, int number)
@@ -230,7 +231,8 @@
     randombytes_buf (&daemon->incarnation, sizeof daemon->incarnation);
   if (!daemon->loop)
     return false;
-  /* Before anything can be reached: in between, a signal would end the process at once. */
+  /* Handlers are installed before anything is reachable: without them a signal would end the
+   * process without a planned stop. */
   watch_signal (daemon, &daemon->on_term, SIGTERM);
   watch_signal (daemon, &daemon->on_int, SIGINT);
   return ash_http_client_init (&daemon->http_client, daemon->loop);
@@ -255,8 +257,8 @@
                   sizeof peers->identity.fleet_key);
   peers->log = (struct ash_log){ &daemon->log_sink, "peer" };
   peers->handler = (struct ash_sink){ on_peer_event, daemon };
-  peers->revision = own_revision;
-  peers->heartbeat = own_heartbeat;
+  peers->revision = active_revision;
+  peers->heartbeat = fill_heartbeat;
   peers->data = daemon;
   if (ash_peers_init (peers, daemon->loop))
     return true;
@@ -272,14 +274,14 @@
     return false;
   for (uint32_t i = 0; i < daemon->settings->peer_count; i++)
     ash_peers_dial (&daemon->peers, "", daemon->settings->peers[i]);
-  daemon->last_seen = ash_clock_now ();
+  daemon->last_wakeup = ash_clock_now ();
   ev_timer_init (&daemon->tick, on_tick, TICK_S, TICK_S);
   daemon->tick.data = daemon;
   ev_timer_start (daemon->loop, &daemon->tick);
-  ev_check_init (&daemon->wake_check, on_wake_check);
-  ev_set_priority (&daemon->wake_check, EV_MAXPRI);
-  daemon->wake_check.data = daemon;
-  ev_check_start (daemon->loop, &daemon->wake_check);
+  ev_check_init (&daemon->pause_check, check_for_pause);
+  ev_set_priority (&daemon->pause_check, EV_MAXPRI);
+  daemon->pause_check.data = daemon;
+  ev_check_start (daemon->loop, &daemon->pause_check);
   ash_log_event (&daemon->log, ASH_EV_STARTED, "incarnation=%016llx peer_port=%u",
                  (unsigned long long) daemon->incarnation, ash_peers_port (&daemon->peers));
   ev_run (daemon->loop, 0);
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -1,18 +1,18 @@
 /**
  * @file
- * The entry role: an entry's core, its callers, its links and the platform.
+ * The entry role: connects an entry's core to its callers, its peer links and the platform.
  */
 #include "controllers/readers.h"
 #include "daemon/api.h"
 #include "daemon/explain.h"
-#include "daemon/platform.h"
+#include "daemon/platform_reader.h"
 #include "filters/entry.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* Links to boxes that are not declared any more are looked for at this period. */
+/* Period of the check for links to boxes that are no longer declared. */
 #define LINK_CHECK_MS 5000
 
 struct entry
@@ -21,18 +21,18 @@
   struct ash_entry core;
   struct ash_api api;
   struct ash_explain explain;
-  struct ash_platform platform;
-  struct ash_time configured_since; /* the first configuration came */
+  struct ash_platform_reader platform;
+  struct ash_time configured_since; /* when the first configuration became active */
   struct ash_time next_link_check;
   struct ash_time stop_since;
   bool serving;
-  bool alone;  /* sees so few boxes that it suspects itself */
-  bool failed; /* it could not begin to serve */
+  bool logged_isolated; /* whether the last log line on it reported this box in isolation */
+  bool failed;          /* it could not listen for callers */
 };
 
 /* ---- links ---- */
 
-/* Of two entries the one whose name comes first dials. */
+/* Between two entries, the one whose name sorts first connects to the other. */
 static bool
 dials_entry (const struct entry *entry, const char *name)
 {
@@ -53,11 +53,11 @@
   return other && dials_entry (entry, box) && strcmp (other->peer, address) == 0;
 }
 
-/* The link to a box that is not declared any more is kept for a key's life: what
- * the box has in hand ends there, and it is asked to disown keys whose home it
- * was. No request lasts longer. */
+/* The link to a box that is no longer declared is kept for key_life_ms: the box finishes its
+ * requests, and is requested to disown keys whose home it was. No request lasts longer than that.
+ */
 static bool
-wants_dial (void *data, const char *box, const char *address)
+is_link_needed (void *data, const char *box, const char *address)
 {
   const struct entry *entry = data;
   const struct ash_config *config = &entry->core.config;
@@ -74,14 +74,14 @@
 }
 
 static void
-drop_old_links (struct entry *entry)
+close_unneeded_links (struct entry *entry)
 {
   struct ash_time now = ash_clock_now ();
 
   if (!entry->core.config.ready || ash_time_before (now, entry->next_link_check))
     return;
   entry->next_link_check = ash_time_add (now, LINK_CHECK_MS);
-  ash_peers_drop_dials (&entry->daemon.peers, wants_dial, entry);
+  ash_peers_drop_dials (&entry->daemon.peers, is_link_needed, entry);
 }
 
 static void
@@ -100,7 +100,7 @@
     entry->configured_since = ash_clock_now ();
 }
 
-/* ---- ready to serve ---- */
+/* ---- readiness ---- */
 
 static bool
 is_reachable (const struct entry *entry, const struct ash_service *service)
@@ -118,9 +118,9 @@
   return service->endpoint_count == 0;
 }
 
-/* Callers keep this box's address over a restart. Until it has its links it
- * would refuse what another box could take; a service that nobody can reach
- * must not keep it waiting for ever, though. */
+/* Callers keep this box's address across a restart. Without its links this box would refuse
+ * requests that another entry could serve, so it first waits until each service has an endpoint.
+ * A service that no entry can reach delays it by at most ready_wait_ms. */
 static bool
 is_ready (const struct entry *entry)
 {
@@ -130,8 +130,8 @@
 
   if (!entry->core.config.ready)
     return false;
-  /* A peer has a newer configuration, and sends it: what this box has may be what a
-   * stale platform answered. */
+  /* A peer has a newer configuration and is about to send it. The one here may come from a stale
+   * answer of the platform. */
   if (ash_membership_knows_newer (&entry->core.membership, document->revision))
     return false;
   for (uint32_t i = 0; i < document->service_count; i++)
@@ -160,16 +160,17 @@
     }
 }
 
-/* Logged when it changes: what this box believes of others is doubtful then. */
+/* Logs when this box begins or ceases to reach so few others that it is likely in isolation itself.
+ * Its view of other boxes is unreliable meanwhile. */
 static void
-note_alone (struct entry *entry)
+log_isolation (struct entry *entry)
 {
-  bool alone = entry->serving && entry->core.membership.alone;
+  bool is_isolated = entry->serving && entry->core.membership.isolated;
 
-  if (alone != entry->alone)
-    ash_log_event (&entry->daemon.log, alone ? ASH_EV_ALONE : ASH_EV_NOT_ALONE, "endpoints=%u",
-                   entry->core.config.document.endpoint_count);
-  entry->alone = alone;
+  if (is_isolated != entry->logged_isolated)
+    ash_log_event (&entry->daemon.log, is_isolated ? ASH_EV_ALONE : ASH_EV_NOT_ALONE,
+                   "endpoints=%u", entry->core.config.document.endpoint_count);
+  entry->logged_isolated = is_isolated;
 }
 
 static uint32_t
@@ -182,7 +183,7 @@
   return count;
 }
 
-/* Whoever hears that a box is leaving tells all peers. */
+/* Every heartbeat lists all boxes known to be leaving, so that all boxes learn of them. */
 static void
 on_heartbeat (void *data, struct Ash__Heartbeat *heartbeat)
 {
@@ -192,7 +193,7 @@
 
   heartbeat->revision = ash_config_revision (&entry->core.config);
   heartbeat->leaving = entry->core.leaving;
-  heartbeat->reads_platform = entry->platform.reads;
+  heartbeat->reads_platform = entry->platform.is_reading;
   if (!count)
     return;
   heartbeat->leaving_boxes = calloc (count, sizeof *heartbeat->leaving_boxes);
@@ -215,7 +216,7 @@
 {
   struct entry *entry = data;
 
-  if (!ash_api_take (&entry->api, event))
+  if (!ash_api_handle_event (&entry->api, event))
     ash_daemon_send (&entry->daemon, event);
 }
 
@@ -227,24 +228,25 @@
 
   if (event->kind_case == ASH__EVENT__KIND_QUERY_ANSWER)
     {
-      ash_explain_take (&entry->explain, event->peer, event->query_answer);
+      ash_explain_handle_answer (&entry->explain, event->peer, event->query_answer);
       return;
     }
   ash_entry_handle (&entry->core, ash_clock_now (), event);
   if (event->kind_case == ASH__EVENT__KIND_STOP)
-    ash_http_server_close_kept (&entry->api.server);
+    ash_http_server_disable_keep_alive (&entry->api.server);
   if (event->kind_case == ASH__EVENT__KIND_HEARTBEAT)
-    ash_platform_told (&entry->platform, ash_clock_now (), event->heartbeat->revision);
+    ash_platform_reader_peer_revision (&entry->platform, ash_clock_now (),
+                                       event->heartbeat->revision);
   if (event->kind_case == ASH__EVENT__KIND_TICK)
     {
-      ash_platform_tick (&entry->platform, ash_clock_now ());
-      drop_old_links (entry);
+      ash_platform_reader_tick (&entry->platform, ash_clock_now ());
+      close_unneeded_links (entry);
       ash_explain_tick (&entry->explain);
-      note_alone (entry);
+      log_isolation (entry);
     }
   serve_when_ready (entry);
   if (leaving_count (&entry->core.membership) > leaving)
-    ash_peers_beat (&entry->daemon.peers);
+    ash_peers_send_heartbeats (&entry->daemon.peers);
 }
 
 static bool
@@ -257,16 +259,16 @@
                                   settings->platform_readers);
 }
 
-/* A reader goes by its own reads; who leaves that to others, or has only just come to read
- * itself, by their word. */
+/* Whether the platform answers. An entry that reads the platform relies on its own reads. One that
+ * doesn't, or has only just begun to, relies on what the reading entries report. */
 static bool
 platform_answers (void *data)
 {
   const struct entry *entry = data;
 
-  if (entry->platform.reads)
+  if (entry->platform.is_reading)
     return true;
-  if (should_read (data) && ash_platform_failed (&entry->platform))
+  if (should_read (data) && ash_platform_reader_failed (&entry->platform))
     return false;
   return ash_readers_any (&entry->core.membership);
 }
@@ -276,7 +278,7 @@
 {
   struct entry *entry = data;
 
-  ash_daemon_offer (&entry->daemon, revision, text, text_bytes, "platform");
+  ash_daemon_offer_config (&entry->daemon, revision, text, text_bytes, "platform");
 }
 
 static void
@@ -284,20 +286,20 @@
 {
   struct entry *entry = data;
 
-  if (!ash_membership_listed (&entry->core.membership, name, leaving) || !leaving)
+  if (!ash_membership_set_listed_leaving (&entry->core.membership, name, leaving) || !leaving)
     return;
   ash_log_event (&entry->daemon.log, ASH_EV_BOX_LEAVING, "box=%s source=platform", name);
-  ash_peers_beat (&entry->daemon.peers);
+  ash_peers_send_heartbeats (&entry->daemon.peers);
 }
 
-/* ---- time and the end ---- */
+/* ---- resumption and shutdown ---- */
 
 static void
-on_woke (void *data)
+on_resumed (void *data)
 {
   struct entry *entry = data;
 
-  entry->api.woke_until = ash_time_add (ash_clock_now (), entry->daemon.settings->wake_ms);
+  entry->api.maybe_stale_until = ash_time_add (ash_clock_now (), entry->daemon.settings->wake_ms);
 }
 
 static json_t *
@@ -308,8 +310,8 @@
   return ash_explain_request (&entry->core, query);
 }
 
-/* All requests have their final answers by then. What is left are callers that read or send
- * slowly: they must not keep the process until it is killed. */
+/* By the end of the grace period all requests have their final answers. Callers that read or send
+ * slowly may still be connected; they must not keep the process running until it is killed. */
 static bool
 is_grace_over (const struct entry *entry, struct ash_time now)
 {
@@ -318,10 +320,10 @@
   return grace_ms && ash_time_diff (entry->stop_since, now) >= grace_ms;
 }
 
-/* Callers that still keep this address are served while they may keep it; then
- * nothing new is taken, and what is in flight ends. */
+/* Callers may keep this entry's address for address_keep_ms and are served until then. After that
+ * no new request is accepted, and the process ends when those in flight have ended. */
 static bool
-may_end (void *data)
+may_exit (void *data)
 {
   struct entry *entry = data;
   struct ash_time now = ash_clock_now ();
@@ -349,8 +351,8 @@
     .event = on_event,
     .configured = on_configured,
     .heartbeat = on_heartbeat,
-    .woke = on_woke,
-    .may_end = may_end,
+    .resumed = on_resumed,
+    .may_exit = may_exit,
     .explain = explain,
     .data = entry,
   };
@@ -361,7 +363,7 @@
 {
   struct entry entry = { 0 };
   struct ash_daemon *daemon = &entry.daemon;
-  struct ash_platform_handler platform = { on_document, on_listed_box, should_read, &entry };
+  struct ash_platform_reader_handler platform = { on_document, on_listed_box, should_read, &entry };
   bool ok = false;
 
   if (!ash_daemon_init (daemon, settings))
@@ -376,13 +378,13 @@
                      settings->http_listen, strerror (errno));
       goto finish_core;
     }
-  ash_platform_init (&entry.platform, daemon, &platform);
+  ash_platform_reader_init (&entry.platform, daemon, &platform);
   entry.api.platform_answers = platform_answers;
   entry.api.platform_data = &entry;
   entry.api.explain = &entry.explain;
   ash_explain_init (&entry.explain, &entry.api);
   ok = ash_daemon_run (daemon) && !entry.failed;
-  ash_platform_finish (&entry.platform);
+  ash_platform_reader_finish (&entry.platform);
   ash_explain_finish (&entry.explain);
   ash_api_finish (&entry.api);
 finish_core:
--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * An exchange's life: sent to an endpoint, sent again where that is allowed, kept waiting, and
- * ended once what comes next is a final answer.
+ * Decides what an exchange does next: send the request to an endpoint, resend it where that is
+ * safe, wait for a free slot, or end with a final answer.
  */
 #include "daemon/exchange.h"
 
@@ -11,37 +11,37 @@
 
 #define MS_PER_S 1000.0
 
-/* How long a stream that broke may wait for a place to go on. */
+/* How long a request whose endpoint failed may wait for a slot at another endpoint. */
 #define RESUME_WAIT_MS 400
 
 /* ---- sending ---- */
 
-static struct ash_forward_world
-world_of (struct ash_exchange *exchange)
+static struct ash_forward_context
+forward_world (struct ash_exchange *exchange)
 {
   struct ash_router *router = exchange->router;
   struct ash_router_service *service = ash_router_service (router, exchange->forward.service);
 
-  return (struct ash_forward_world){
+  return (struct ash_forward_context){
     .endpoints = &router->endpoints,
     .window = &service->window,
     .bound = ash_router_resend_bound (router),
     .entries = ash_fleet_size (&router->fleet),
     .hall = router->settings.hall,
     .own = router->incarnation,
-    .far_parts = ash_fleet_far_parts (&router->fleet),
+    .remote_parts = ash_fleet_far_parts (&router->fleet),
     .wait_ms = router->settings.wait_ms,
     .gate = exchange->forward.pause_aim_ms ? &service->gate : NULL,
     .quarantined_ms = ash_exchange_quarantined_ms (exchange, ash_clock_now ()),
   };
 }
 
-/* When something is to be done if nothing happens until then. */
+/* Starts the timer for the next check of the exchange, at `until` at the latest. */
 static void
 set_timer (struct ash_exchange *exchange, struct ash_time until)
 {
   struct ash_time now = ash_clock_now ();
-  int64_t ms = ash_time_diff (now, ash_exchange_watch_until (exchange, now, until));
+  int64_t ms = ash_time_diff (now, ash_exchange_next_check (exchange, now, until));
 
   ev_timer_stop (exchange->router->loop, &exchange->timer);
   ev_timer_set (&exchange->timer, (double) (ms > 0 ? ms : 0) / MS_PER_S + 0.0005, 0);
@@ -55,7 +55,7 @@
 {
   char last_event[24];
   int64_t left_ms = ash_time_diff (ash_clock_now (), exchange->forward.deadline);
-  struct ash_request_order order = {
+  struct ash_endpoint_request_fields order = {
     .deadline_ms = left_ms > 1 ? (uint32_t) left_ms : 1,
     .endpoint_id = endpoint->facts.id,
     .account = exchange->account ? exchange->account->name : NULL,
@@ -80,7 +80,7 @@
   bool started;
 
   ash_exchange_answer_clear (&exchange->answer);
-  ash_event_stream_finish (&exchange->events);
+  ash_event_stream_finish (&exchange->event_stream);
   ash_log_event (
       &router->log, exchange->forward.sent ? ASH_EV_FORWARD_RESENT : ASH_EV_FORWARD_SENT,
       "id=%s route=%s endpoint=%s load=%u elsewhere=%u sent=%u age_ms=%lld last_event=%lld",
@@ -89,20 +89,21 @@
       exchange->has_event ? (long long) exchange->last_event : -1LL);
   started = write_request (exchange, endpoint, &request) &&
             ash_http_call_start (&exchange->call, ash_router_pool (router, endpoint),
-                                 request.bytes + request.start, request.length, exchange->trusted);
+                                 request.bytes + request.start, request.length,
+                                 exchange->idle_valid_since);
   ash_buffer_finish (&request);
   if (exchange->forward.pause_aim_ms)
-    ash_prompt_gate_sent (&ash_router_service (router, exchange->forward.service)->gate);
+    ash_prompt_gate_record_sent (&ash_router_service (router, exchange->forward.service)->gate);
   ash_forward_sent (&exchange->forward, endpoint);
-  exchange->sent = ash_clock_now ();
-  exchange->heard = exchange->sent;
+  exchange->sent_at = ash_clock_now ();
+  exchange->last_received = exchange->sent_at;
   if (!started)
     {
       ash_forward_not_run (&exchange->forward, false);
       ash_exchange_step (exchange);
       return;
     }
-  ash_direct_sent (endpoint, exchange->sent);
+  ash_direct_note_sent (endpoint, exchange->sent_at);
   exchange->endpoint = endpoint;
   ash_fleet_loads_changed (&router->fleet);
   set_timer (exchange, ASH_TIME_NEVER);
@@ -111,11 +112,11 @@
 void
 ash_exchange_step (struct ash_exchange *exchange)
 {
-  struct ash_forward_world world = world_of (exchange);
-  struct ash_forward_verdict verdict =
+  struct ash_forward_context world = forward_world (exchange);
+  struct ash_forward_decision verdict =
       ash_forward_next (&exchange->forward, &world, ash_clock_now ());
 
-  exchange->asked = 0;
+  exchange->awaited_probe = 0;
   ash_exchange_set_waiting (exchange, verdict.action == ASH_FORWARD_WAIT);
   switch (verdict.action)
     {
@@ -126,55 +127,58 @@
       set_timer (exchange, verdict.until);
       break;
     case ASH_FORWARD_ANSWER:
-      ash_exchange_end_self (exchange, verdict.answer.status, verdict.answer.reason,
-                             verdict.answer.retry_after_ms);
+      ash_exchange_end_with_status (exchange, verdict.answer.status, verdict.answer.reason,
+                                    verdict.answer.retry_after_ms);
       break;
     }
 }
 
 /* ---- the endpoint's answer ---- */
 
-/* The endpoint ran it and says that it failed: asked elsewhere if that is allowed. */
+/* The endpoint ran the request and reported a server error: resends it to another endpoint if that
+ * is safe. */
 static void
-take_failure (struct ash_exchange *exchange)
+handle_server_error (struct ash_exchange *exchange)
 {
-  struct ash_forward_world world = world_of (exchange);
-  struct ash_forward_verdict verdict = { .action = ASH_FORWARD_ANSWER };
+  struct ash_forward_context world = forward_world (exchange);
+  struct ash_forward_decision verdict = { .action = ASH_FORWARD_ANSWER };
 
-  if (exchange->forward.repeat == ASH_REPEAT_SAFE && !exchange->forward.began)
+  if (exchange->forward.repeat == ASH_REPEAT_SAFE && !exchange->forward.answer_started)
     verdict = ash_forward_next (&exchange->forward, &world, ash_clock_now ());
   if (verdict.action == ASH_FORWARD_SEND)
     send_to (exchange, verdict.endpoint);
   else
-    ash_exchange_end_held (exchange);
+    ash_exchange_end_with_answer (exchange);
 }
 
 static void
-take_whole (struct ash_exchange *exchange)
+handle_complete_answer (struct ash_exchange *exchange)
 {
   struct ash_exchange_answer *answer = &exchange->answer;
   bool failed = answer->status >= ASH_STATUS_SERVER_ERROR;
 
   if (answer->not_run)
     {
-      ash_exchange_saw (exchange, answer->status == ASH_STATUS_OTHER_SERVER ? ASH_DIRECT_MISSING
-                                                                            : ASH_DIRECT_FULL);
-      ash_exchange_release (exchange);
+      ash_exchange_record_evidence (exchange, answer->status == ASH_STATUS_MISDIRECTED
+                                                  ? ASH_DIRECT_UNREACHABLE
+                                                  : ASH_DIRECT_FULL);
+      ash_exchange_release_slot (exchange);
       ash_forward_not_run (&exchange->forward, true);
       ash_exchange_step (exchange);
       return;
     }
-  ash_exchange_saw (exchange, failed ? ASH_DIRECT_FAILED : ASH_DIRECT_ANSWERED);
-  ash_exchange_release (exchange);
-  if (answer->events)
+  ash_exchange_record_evidence (exchange, failed ? ASH_DIRECT_FAILED : ASH_DIRECT_ANSWERED);
+  ash_exchange_release_slot (exchange);
+  if (answer->is_event_stream)
     ash_exchange_end_stream (exchange);
-  else if (exchange->forward.began && !answer->passing)
-    /* A stream that was to go on got an answer that is none. */
+  else if (exchange->forward.answer_started && !answer->passthrough)
+    /* The caller has part of a stream, but the endpoint that was to resume it sent another kind of
+     * answer. */
     ash_exchange_step (exchange);
   else if (failed)
-    take_failure (exchange);
+    handle_server_error (exchange);
   else
-    ash_exchange_end_held (exchange);
+    ash_exchange_end_with_answer (exchange);
 }
 
 static void
@@ -184,26 +188,27 @@
   struct ash_exchange_answer *answer = &exchange->answer;
 
   ev_timer_stop (exchange->router->loop, &exchange->timer);
-  if (end == ASH_CALL_WHOLE && !answer->bad &&
-      (!answer->events || ash_event_stream_whole (&exchange->events)))
+  if (end == ASH_CALL_COMPLETE && !answer->invalid &&
+      (!answer->is_event_stream || ash_event_stream_is_empty (&exchange->event_stream)))
     {
-      take_whole (exchange);
+      handle_complete_answer (exchange);
       return;
     }
-  if (end == ASH_CALL_CUT)
-    ash_exchange_note_cut (exchange);
-  ash_exchange_saw (exchange, end == ASH_CALL_NOT_SENT ? ASH_DIRECT_MISSING : ASH_DIRECT_CUT);
-  ash_exchange_release (exchange);
+  if (end == ASH_CALL_TRUNCATED)
+    ash_exchange_record_disconnect (exchange);
+  ash_exchange_record_evidence (exchange, end == ASH_CALL_NOT_SENT ? ASH_DIRECT_UNREACHABLE
+                                                                   : ASH_DIRECT_BROKEN);
+  ash_exchange_release_slot (exchange);
   if (end == ASH_CALL_NOT_SENT)
     ash_forward_not_run (&exchange->forward, false);
-  /* What was passed on of an answer that is no stream can't be taken up elsewhere. */
-  if (answer->passing)
+  /* Another endpoint can't resume an answer that is no event stream. */
+  if (answer->passthrough)
     {
-      ash_exchange_end_self (exchange, 502, ASH_FORWARD_FAILED, 0);
+      ash_exchange_end_with_status (exchange, 502, ASH_FORWARD_FAILED, 0);
       return;
     }
   exchange->forward.wait_until = ash_time_add (ash_clock_now (), RESUME_WAIT_MS);
-  if (exchange->asked)
+  if (exchange->awaited_probe)
     set_timer (exchange, exchange->forward.wait_until);
   else
     ash_exchange_step (exchange);
@@ -215,7 +220,7 @@
   on_end,
 };
 
-/* ---- time ---- */
+/* ---- timer ---- */
 
 static void
 on_timer (struct ev_loop *loop, ev_timer *timer, int events)
@@ -229,16 +234,17 @@
     {
       bool connecting = ash_http_call_connecting (&exchange->call);
 
-      if (!connecting && !ash_exchange_is_silent (exchange, now))
+      if (!connecting && !ash_exchange_check_silence (exchange, now))
         {
           set_timer (exchange, ASH_TIME_NEVER);
           return;
         }
-      ash_exchange_saw (exchange, connecting ? ASH_DIRECT_MISSING : ASH_DIRECT_SILENT);
+      ash_exchange_record_evidence (exchange,
+                                    connecting ? ASH_DIRECT_UNREACHABLE : ASH_DIRECT_TIMED_OUT);
       if (!connecting)
-        ash_exchange_doubt_connections (exchange, now);
+        ash_exchange_close_idle_connections (exchange, now);
       ash_http_call_cancel (&exchange->call);
-      ash_exchange_release (exchange);
+      ash_exchange_release_slot (exchange);
       if (connecting)
         ash_forward_not_run (&exchange->forward, false);
       exchange->forward.wait_until = ash_time_add (now, RESUME_WAIT_MS);
@@ -246,12 +252,12 @@
   else if (exchange->endpoint && ash_http_call_connecting (&exchange->call))
     ash_forward_not_run (&exchange->forward, false);
   else if (exchange->endpoint)
-    ash_exchange_note_deadline (exchange, now);
+    ash_exchange_record_timeout (exchange, now);
   ash_exchange_step (exchange);
 }
 
 void
-ash_exchange_woke (struct ash_router *router)
+ash_exchange_check_all (struct ash_router *router)
 {
   struct ash_exchange *exchange;
 
@@ -260,12 +266,12 @@
 }
 
 void
-ash_exchange_room (struct ash_router *router)
+ash_exchange_step_waiting (struct ash_router *router)
 {
   struct ash_exchange *exchange;
   struct ash_exchange *next;
 
-  router->room = false;
+  router->capacity_freed = false;
   if (!router->waiting_count)
     return;
   DL_FOREACH_SAFE (router->exchanges, exchange, next)
--- a/daemon/exchange_cut.c
+++ b/daemon/exchange_cut.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Connections to endpoints that end under an exchange, and requests that are kept away from
- * endpoints since these have ended under them.
+ * Handles connections to endpoints that close during an exchange, and requests that are quarantined
+ * because endpoint processes ended while running them.
  */
 #include "daemon/exchange.h"
 
@@ -20,17 +20,18 @@
   return exchange->digest;
 }
 
-/* Whether a part of the present endpoint's answer has come. */
+/* Whether part of the current endpoint's answer has arrived. */
 static bool
-has_spoken (const struct ash_exchange *exchange)
+has_answer_data (const struct ash_exchange *exchange)
 {
-  bool has_passed = exchange->has_event && !ash_time_before (exchange->passed, exchange->sent);
+  bool has_event_data =
+      exchange->has_event && !ash_time_before (exchange->event_sent_at, exchange->sent_at);
 
-  return has_passed || exchange->answer.body.length || exchange->answer.passing;
+  return has_event_data || exchange->answer.body.length || exchange->answer.passthrough;
 }
 
 static void
-log_cut (struct ash_exchange *exchange, const struct ash_quarantine_run *run)
+log_disconnect (struct ash_exchange *exchange, const struct ash_quarantine_run *run)
 {
   char digest[ASH_ID_TEXT_BYTES];
 
@@ -40,38 +41,40 @@
                  "spoke=%d last_event=%lld",
                  ash_exchange_id (exchange), exchange->route->name, digest,
                  exchange->endpoint->facts.id, (long long) ash_time_diff (run->sent, run->ended),
-                 (long long) ash_time_diff (exchange->heard, run->ended), exchange->forward.sent,
-                 run->spoke, exchange->has_event ? (long long) exchange->last_event : -1LL);
+                 (long long) ash_time_diff (exchange->last_received, run->ended),
+                 exchange->forward.sent, run->spoke,
+                 exchange->has_event ? (long long) exchange->last_event : -1LL);
 }
 
 void
-ash_exchange_note_cut (struct ash_exchange *exchange)
+ash_exchange_record_disconnect (struct ash_exchange *exchange)
 {
   struct ash_suspects *suspects = &exchange->router->suspects;
   struct ash_quarantine_run run = {
     .request = ash_exchange_digest (exchange),
     .endpoint = exchange->endpoint->hash,
-    .sent = exchange->sent,
+    .sent = exchange->sent_at,
     .ended = ash_clock_now (),
-    .spoke = has_spoken (exchange),
+    .spoke = has_answer_data (exchange),
   };
 
-  log_cut (exchange, &run);
-  ash_suspects_cut (suspects, &ash_router_pool (exchange->router, exchange->endpoint)->address,
-                    &run);
-  /* What ended an endpoint before may be ending the next one now: it is not sent on before that is
-   * known. Others are not held up. */
-  if (ash_quarantine_ends (&suspects->quarantine, run.request))
-    exchange->asked = run.endpoint;
+  log_disconnect (exchange, &run);
+  ash_suspects_record_disconnect (
+      suspects, &ash_router_pool (exchange->router, exchange->endpoint)->address, &run);
+  /* A request during which an endpoint process ended before may have ended this one too: it is not
+   * resent until a probe has shown whether this endpoint still runs. Other requests are resent at
+   * once. */
+  if (ash_quarantine_exits (&suspects->quarantine, run.request))
+    exchange->awaited_probe = run.endpoint;
 }
 
 void
-ash_exchange_note_answered (struct ash_exchange *exchange)
+ash_exchange_record_success (struct ash_exchange *exchange)
 {
   struct ash_suspects *suspects = &exchange->router->suspects;
 
   if (suspects->quarantine.suspects)
-    ash_suspects_answered (suspects, ash_exchange_digest (exchange));
+    ash_suspects_record_success (suspects, ash_exchange_digest (exchange));
 }
 
 int64_t
@@ -84,21 +87,21 @@
   return ash_suspects_left_ms (suspects, ash_exchange_digest (exchange), now);
 }
 
-/* ---- what the task of suspects tells ---- */
+/* ---- notifications from suspects.c ---- */
 
 static void
-on_asked (struct ash_router *router, uint64_t endpoint)
+on_probed (struct ash_router *router, uint64_t endpoint)
 {
   struct ash_exchange *exchange;
   struct ash_exchange *next;
 
   DL_FOREACH_SAFE (router->exchanges, exchange, next)
-    if (exchange->asked == endpoint)
+    if (exchange->awaited_probe == endpoint)
       ash_exchange_step (exchange);
 }
 
-/* Those that wait at an endpoint have not begun to run, or not for long: taken back, they may leave
- * it standing. */
+/* Cancels the copies of a request that has just been quarantined. An endpoint where the copy is
+ * still queued or has just started may survive. */
 static void
 on_quarantined (struct ash_router *router, struct ash_id request)
 {
@@ -111,11 +114,11 @@
         bool connecting = ash_http_call_connecting (&exchange->call);
 
         ash_http_call_cancel (&exchange->call);
-        ash_exchange_release (exchange);
+        ash_exchange_release_slot (exchange);
         if (connecting)
           ash_forward_not_run (&exchange->forward, false);
         ash_exchange_step (exchange);
       }
 }
 
-const struct ash_suspects_handler ash_exchange_suspects_handler = { on_asked, on_quarantined };
+const struct ash_suspects_handler ash_exchange_suspects_handler = { on_probed, on_quarantined };
--- a/daemon/exchange_end.c
+++ b/daemon/exchange_end.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * How an exchange ends: its final answer to the caller, its line in the log, its counts, and what
- * it held given back.
+ * Ends an exchange: sends the final answer to the caller, logs and counts it, and frees the
+ * exchange.
  */
 #include "daemon/exchange.h"
 
@@ -21,13 +21,13 @@
 }
 
 void
-ash_exchange_release (struct ash_exchange *exchange)
+ash_exchange_release_slot (struct ash_exchange *exchange)
 {
   if (!exchange->endpoint)
     return;
   exchange->endpoint->in_flight--;
   exchange->endpoint = NULL;
-  exchange->router->room = true;
+  exchange->router->capacity_freed = true;
   ash_fleet_loads_changed (&exchange->router->fleet);
 }
 
@@ -38,17 +38,17 @@
 
   ash_exchange_set_waiting (exchange, false);
   ash_http_call_cancel (&exchange->call);
-  ash_exchange_release (exchange);
+  ash_exchange_release_slot (exchange);
   ev_timer_stop (router->loop, &exchange->timer);
   ash_exchange_answer_clear (&exchange->answer);
-  ash_event_stream_finish (&exchange->events);
+  ash_event_stream_finish (&exchange->event_stream);
   ash_route_table_unref (exchange->table);
   DL_DELETE (router->exchanges, exchange);
   free (exchange);
 }
 
 const char *
-ash_request_plain_id (const struct ash_request_facts *facts)
+ash_request_log_id (const struct ash_request_fields *facts)
 {
   static const char plain[] = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ._:-";
   const char *id = facts->attempt_id;
@@ -61,13 +61,13 @@
 const char *
 ash_exchange_id (const struct ash_exchange *exchange)
 {
-  return ash_request_plain_id (&exchange->facts);
+  return ash_request_log_id (&exchange->facts);
 }
 
 int64_t
 ash_exchange_age_ms (const struct ash_exchange *exchange)
 {
-  return ash_time_diff (exchange->forward.came, ash_clock_now ());
+  return ash_time_diff (exchange->forward.arrived, ash_clock_now ());
 }
 
 static void
@@ -86,10 +86,10 @@
 }
 
 void
-ash_exchange_end_self (struct ash_exchange *exchange,
-                       uint16_t status,
-                       enum ash_forward_reason reason,
-                       uint32_t retry_after_ms)
+ash_exchange_end_with_status (struct ash_exchange *exchange,
+                              uint16_t status,
+                              enum ash_forward_reason reason,
+                              uint32_t retry_after_ms)
 {
   struct ash_http_conn *conn = exchange->conn;
   const struct ash_forward *forward = &exchange->forward;
@@ -103,13 +103,13 @@
                  "id=%s route=%s service=%s status=%u reason=%s sent=%u unsure=%u age_ms=%lld "
                  "left_ms=%lld version=%llu endpoints_revision=%llu retry_after_ms=%u",
                  ash_exchange_id (exchange), exchange->route->name, forward->service, status, name,
-                 forward->sent, forward->unsure, (long long) ash_exchange_age_ms (exchange),
+                 forward->sent, forward->unconfirmed, (long long) ash_exchange_age_ms (exchange),
                  (long long) ash_time_diff (ash_clock_now (), forward->deadline),
                  (unsigned long long) exchange->table->version,
                  (unsigned long long) exchange->router->endpoints.revision, retry_after_ms);
   count_end (exchange, name, false);
   conn->request = NULL;
-  if (forward->began)
+  if (forward->answer_started)
     ash_http_conn_end (conn, false);
   else
     {
@@ -117,13 +117,13 @@
         snprintf (fields, sizeof fields, "Retry-After: %.3f\r\n", retry_after_ms / MS_PER_S);
       length = snprintf (body, sizeof body, "%s: %s\n", name,
                          status == 503 ? "the request did not run" : "the request may have run");
-      ash_http_conn_answer (conn, status, fields, strlen (fields), body, (size_t) length);
+      ash_http_conn_respond (conn, status, fields, strlen (fields), body, (size_t) length);
     }
   free_exchange (exchange);
 }
 
 void
-ash_exchange_end_held (struct ash_exchange *exchange)
+ash_exchange_end_with_answer (struct ash_exchange *exchange)
 {
   struct ash_http_conn *conn = exchange->conn;
   struct ash_exchange_answer *answer = &exchange->answer;
@@ -132,17 +132,18 @@
                  "id=%s route=%s status=%u sent=%u age_ms=%lld", ash_exchange_id (exchange),
                  exchange->route->name, answer->status, exchange->forward.sent,
                  (long long) ash_exchange_age_ms (exchange));
-  if (answer->status < ASH_STATUS_MULTIPLE)
-    ash_exchange_note_answered (exchange);
-  count_end (exchange, answer->status < ASH_STATUS_MULTIPLE ? "served" : "failed_there", true);
+  if (answer->status < ASH_STATUS_MULTIPLE_CHOICES)
+    ash_exchange_record_success (exchange);
+  count_end (exchange, answer->status < ASH_STATUS_MULTIPLE_CHOICES ? "served" : "failed_there",
+             true);
   conn->request = NULL;
-  if (answer->passing)
+  if (answer->passthrough)
     ash_http_conn_end (conn, true);
   else
-    ash_http_conn_answer (conn, answer->status,
-                          (const char *) answer->fields.bytes + answer->fields.start,
-                          answer->fields.length, answer->body.bytes + answer->body.start,
-                          exchange->call.no_body ? answer->length : answer->body.length);
+    ash_http_conn_respond (conn, answer->status,
+                           (const char *) answer->fields.bytes + answer->fields.start,
+                           answer->fields.length, answer->body.bytes + answer->body.start,
+                           exchange->call.no_body ? answer->length : answer->body.length);
   free_exchange (exchange);
 }
 
@@ -151,14 +152,14 @@
 {
   struct ash_http_conn *conn = exchange->conn;
 
-  if (!exchange->forward.began)
+  if (!exchange->forward.answer_started)
     ash_exchange_answer_begin (exchange);
   ash_log_event (&exchange->router->log, ASH_EV_FORWARD_SERVED,
                  "id=%s route=%s status=%u sent=%u age_ms=%lld last_event=%lld",
                  ash_exchange_id (exchange), exchange->route->name, exchange->answer.status,
                  exchange->forward.sent, (long long) ash_exchange_age_ms (exchange),
                  (long long) exchange->last_event);
-  ash_exchange_note_answered (exchange);
+  ash_exchange_record_success (exchange);
   count_end (exchange, "served", true);
   conn->request = NULL;
   ash_http_conn_end (conn, true);
@@ -166,7 +167,7 @@
 }
 
 void
-ash_exchange_end_gone (struct ash_exchange *exchange)
+ash_exchange_end_disconnected (struct ash_exchange *exchange)
 {
   ash_log_event (&exchange->router->log, ASH_EV_FORWARD_GONE, "id=%s route=%s sent=%u age_ms=%lld",
                  ash_exchange_id (exchange), exchange->route->name, exchange->forward.sent,
--- a/daemon/explain.h
+++ b/daemon/explain.h
@@ -1,55 +1,57 @@
 /**
  * @file
- * Answers operators who ask why: an entry asks the boxes that may know, and puts
- * their answers together. Drains a box.
+ * Operators' queries about requests and groups: an entry queries the boxes that may have records
+ * and combines their answers. Also drains a box on request.
  */
 #ifndef ASH_EXPLAIN_H
 #define ASH_EXPLAIN_H
 
 #include "daemon/api.h"
 
-/** Questions that are open at once. */
-#define ASH_EXPLAIN_OPEN_MAX 16
+/** Maximum number of pending queries. */
+#define ASH_EXPLAIN_PENDING_MAX 16
 
-/** A question whose answers are awaited. */
-struct ash_explain_open
+/** A query that some boxes have not answered yet. */
+struct ash_explain_pending
 {
-  uint64_t number;  /**< names it to the boxes; 0: free */
-  uint64_t request; /**< the operator's */
-  struct ash_time until;
-  json_t *silent;  /**< boxes that have not answered */
-  json_t *answers; /**< by box */
+  uint64_t number;       /**< id of the query in messages; 0: this slot is free */
+  uint64_t request;      /**< number of the operator's HTTP request */
+  struct ash_time until; /**< when the operator gets the answers so far */
+  json_t *unanswered;    /**< names of boxes that have not answered */
+  json_t *answers;       /**< answers by box name */
 };
 
-/** Open questions of an entry. */
+/** Pending queries of an entry. */
 struct ash_explain
 {
   struct ash_api *api;
   uint64_t last_number;
-  struct ash_explain_open open[ASH_EXPLAIN_OPEN_MAX];
+  struct ash_explain_pending pending[ASH_EXPLAIN_PENDING_MAX];
 };
 
 void ash_explain_init (struct ash_explain *explain, struct ash_api *api);
 void ash_explain_finish (struct ash_explain *explain);
 
-/** GET /v1/explain/group/NAME and /v1/explain/request/ID. */
-void ash_explain_ask (struct ash_explain *explain, const struct ash_http_request *request);
+/** Handles GET /v1/explain/group/NAME and /v1/explain/request/ID. */
+void ash_explain_handle_request (struct ash_explain *explain,
+                                 const struct ash_http_request *request);
 
-/** Takes a box's answer. */
-void ash_explain_take (struct ash_explain *explain,
-                       const char *box,
-                       const struct Ash__QueryAnswer *answer);
+/** Handles a box's answer to a query. */
+void ash_explain_handle_answer (struct ash_explain *explain,
+                                const char *box,
+                                const struct Ash__QueryAnswer *answer);
 
-/** The operator has gone. */
-void ash_explain_gone (struct ash_explain *explain, uint64_t request);
+/** Drops the queries of an operator that disconnected.
+ * @param request number of the operator's HTTP request. */
+void ash_explain_disconnected (struct ash_explain *explain, uint64_t request);
 
-/** Ends questions that have waited long enough. */
+/** Runs the timers: answers queries whose time is over with the answers so far. */
 void ash_explain_tick (struct ash_explain *explain);
 
-/** POST /v1/drain?box=NAME: that box takes no new work in its present life. */
+/** Handles POST /v1/drain?box=NAME: the box accepts no new requests until it restarts. */
 void ash_explain_drain (struct ash_explain *explain, const struct ash_http_request *request);
 
-/** What this entry itself knows of a request. @return a new object, or NULL. */
+/** @return a new JSON object with this entry's own record of a request, or NULL if it has none. */
 json_t *ash_explain_request (const struct ash_entry *entry, const struct Ash__Query *query);
 
 #endif
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -1,7 +1,7 @@
 #include "daemon/fleet.h"
 
 #include "common/id.h"
-#include "controllers/talk.h"
+#include "controllers/peer_period.h"
 #include "daemon/fleet_loads.h"
 #include "daemon/fleet_roles.h"
 #include "daemon/fleet_terms.h"
@@ -10,15 +10,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A heartbeat names so many other routers at most, from a random one on. */
-#define NAMES_MAX 64
+/* Upper limit of routers that a heartbeat lists, starting from a random router. */
+#define KNOWN_PEERS_MAX 64
 
-/* A router that comes is told of all others by the seeds, and by so many others where these do not
- * live any more. */
-#define NAMES_TO_NEW 8
+/* A new router gets the list of all routers from the seeds, and from about this many other routers
+ * in case the seeds no longer run. */
+#define LISTS_TO_NEW_PEER 8
 
-/* A router without a link for so long does not come back under its name. */
-#define FORGET_MS 30000
+/* A router that has had no link for this long is not expected to return under its name. */
+#define PEER_EXPIRY_MS 30000
 
 static struct ash_fleet_peer *
 find_peer (const struct ash_fleet *fleet, const char *box)
@@ -41,7 +41,7 @@
     return NULL;
   snprintf (peer->box, sizeof peer->box, "%s", box);
   peer->hash = ash_hash_text (box);
-  peer->seen = ash_clock_now ();
+  peer->last_linked = ash_clock_now ();
   HASH_ADD_STR (fleet->peers, box, peer);
   return peer;
 }
@@ -49,9 +49,9 @@
 /* ---- membership ---- */
 
 static void
-take_heartbeat (struct ash_fleet *fleet,
-                struct ash_fleet_peer *peer,
-                const struct Ash__Heartbeat *heartbeat)
+handle_heartbeat (struct ash_fleet *fleet,
+                  struct ash_fleet_peer *peer,
+                  const struct Ash__Heartbeat *heartbeat)
 {
   const char *own = fleet->router->settings.peer_listen;
 
@@ -60,8 +60,9 @@
   snprintf (peer->hall, sizeof peer->hall, "%s", heartbeat->hall);
   peer->leaving = heartbeat->leaving;
   peer->version = heartbeat->revision;
-  /* What it was told of endpoints that it did not know yet it has dropped. */
-  peer->untold = peer->untold || (heartbeat->endpoints_revision && !peer->endpoints_revision);
+  /* Until the peer had a list of endpoints, it discarded this router's reports about them. */
+  peer->needs_full_report =
+      peer->needs_full_report || (heartbeat->endpoints_revision && !peer->endpoints_revision);
   peer->endpoints_revision = heartbeat->endpoints_revision;
   peer->endpoints_digest = heartbeat->endpoints_digest;
   peer->reads_store = heartbeat->reads_platform;
@@ -74,27 +75,27 @@
       if (strcmp (heartbeat->known_addresses[i], own) != 0 && !(known && known->linked))
         ash_peers_dial (&fleet->links, heartbeat->known_boxes[i], heartbeat->known_addresses[i]);
     }
-  ash_catch_up_told (&fleet->router->catch_up, ash_clock_now (), peer);
+  ash_peer_sync_update_peer (&fleet->router->peer_sync, ash_clock_now (), peer);
 }
 
 static void
-take_link_up (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
+on_link_up (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
   peer->linked = true;
-  peer->is_new = true;
+  peer->needs_peer_names = true;
   peer->leaving = false;
   peer->changes_map = false;
-  peer->untold = true;
+  peer->needs_full_report = true;
   peer->endpoints_revision = 0;
-  ash_suspects_tell_peer (&fleet->router->suspects, peer->box);
+  ash_suspects_send (&fleet->router->suspects, peer->box);
 }
 
 static void
-take_link_down (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
+on_link_down (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
   peer->linked = false;
-  ash_fleet_forget_loads (fleet, peer);
-  fleet->router->room = true;
+  ash_fleet_clear_loads (fleet, peer);
+  fleet->router->capacity_freed = true;
 }
 
 static void
@@ -106,56 +107,57 @@
 
   if (!peer)
     return;
-  peer->heard = ash_clock_now ();
+  peer->last_received = ash_clock_now ();
   switch (event->kind_case)
     {
     case ASH__EVENT__KIND_LINK_UP:
-      take_link_up (fleet, peer);
+      on_link_up (fleet, peer);
       break;
     case ASH__EVENT__KIND_LINK_DOWN:
-      take_link_down (fleet, peer);
+      on_link_down (fleet, peer);
       break;
     case ASH__EVENT__KIND_HEARTBEAT:
-      take_heartbeat (fleet, peer, event->heartbeat);
+      handle_heartbeat (fleet, peer, event->heartbeat);
       break;
     case ASH__EVENT__KIND_ENDPOINT_LOADS:
-      ash_fleet_take_loads (fleet, peer, event->endpoint_loads);
+      ash_fleet_apply_loads (fleet, peer, event->endpoint_loads);
       break;
     case ASH__EVENT__KIND_CONFIG_WANT:
-      ash_catch_up_send_config (&router->catch_up, peer->box);
+      ash_peer_sync_send_config (&router->peer_sync, peer->box);
       break;
     case ASH__EVENT__KIND_CONFIG_OFFER:
-      /* Several peers may have been asked; a megabyte is not read again to be thrown away. */
+      /* Several peers may send the same configuration: a document of up to a megabyte is not parsed
+       * in vain. */
       if (event->config_offer->revision <= ash_router_version (router))
         break;
       ash_router_offer_config (router, (const char *) event->config_offer->document.data,
                                event->config_offer->document.len, peer->box);
       break;
     case ASH__EVENT__KIND_CONFIG_DELTA:
-      ash_catch_up_take_delta (&router->catch_up, event->config_delta, peer->box);
+      ash_peer_sync_apply_delta (&router->peer_sync, event->config_delta, peer->box);
       break;
     case ASH__EVENT__KIND_ENDPOINT_LIST_WANT:
-      ash_catch_up_send_list (&router->catch_up, peer->box);
+      ash_peer_sync_send_list (&router->peer_sync, peer->box);
       break;
     case ASH__EVENT__KIND_ENDPOINT_LIST:
-      ash_catch_up_take_list (&router->catch_up, event->endpoint_list, peer->box);
+      ash_peer_sync_apply_list (&router->peer_sync, event->endpoint_list, peer->box);
       break;
     case ASH__EVENT__KIND_ENDPOINT_CHANGES:
-      ash_catch_up_take_list (&router->catch_up, event->endpoint_changes, peer->box);
+      ash_peer_sync_apply_list (&router->peer_sync, event->endpoint_changes, peer->box);
       break;
     case ASH__EVENT__KIND_SUSPECT_RUNS:
-      ash_suspects_told (&router->suspects, peer->box, event->suspect_runs);
+      ash_suspects_receive (&router->suspects, peer->box, event->suspect_runs);
       break;
     case ASH__EVENT__KIND_ENDPOINT_TERMS:
-      ash_fleet_take_terms (fleet, peer, event->endpoint_terms);
+      ash_fleet_apply_terms (fleet, peer, event->endpoint_terms);
       break;
     default:
-      break; /* messages of the roles with agents */
+      break; /* messages for the roles that use agents, ignored by routers */
     }
 }
 
 static uint64_t
-own_version (void *data)
+config_version (void *data)
 {
   const struct ash_fleet *fleet = data;
 
@@ -173,28 +175,28 @@
   return false;
 }
 
-/* Whether a heartbeat to that peer names the others, so that all find each other. One that has just
- * come learns of all from the seeds; besides about one peer a period is told, for pairs that missed
- * each other. If all were told of all each time a link changes, that would be most of what a large
- * fleet sends between halls. */
+/* Whether the next heartbeat to a peer lists the other routers, so that all discover each other. A
+ * new router gets the full list from the seeds. Besides, about one random peer per period gets a
+ * list, for pairs that missed each other. Lists to all peers at every change of a link would be
+ * most of a large fleet's traffic between halls. */
 static bool
-names_others (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
+should_name_peers (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
   struct ash_random *random = &fleet->router->random;
   uint32_t linked = ash_fleet_linked (fleet);
 
-  if (!peer->is_new)
+  if (!peer->needs_peer_names)
     return ash_random_below (random, linked) == 0;
-  peer->is_new = false;
-  return is_seed (fleet) || ash_random_below (random, linked) < NAMES_TO_NEW;
+  peer->needs_peer_names = false;
+  return is_seed (fleet) || ash_random_below (random, linked) < LISTS_TO_NEW_PEER;
 }
 
-/* The arrays are freed by the sender of the heartbeat, their texts are ours. */
+/* The caller frees the arrays; the strings belong to the peers. */
 static void
-name_others (struct ash_fleet *fleet, struct Ash__Heartbeat *heartbeat, uint32_t names_max)
+add_known_peers (struct ash_fleet *fleet, struct Ash__Heartbeat *heartbeat, uint32_t peers_max)
 {
   uint32_t count = HASH_COUNT (fleet->peers);
-  uint32_t skip = count > names_max ? ash_random_below (&fleet->router->random, count) : 0;
+  uint32_t skip = count > peers_max ? ash_random_below (&fleet->router->random, count) : 0;
   struct ash_fleet_peer *peer = fleet->peers;
 
   heartbeat->known_boxes = calloc (count + 1, sizeof (char *));
@@ -203,7 +205,7 @@
     return;
   for (uint32_t i = 0; i < skip; i++)
     peer = peer->hh.next;
-  for (uint32_t i = 0; i < count && heartbeat->n_known_boxes < names_max; i++)
+  for (uint32_t i = 0; i < count && heartbeat->n_known_boxes < peers_max; i++)
     {
       if (peer->linked && *peer->address)
         {
@@ -220,7 +222,7 @@
   struct ash_fleet *fleet = data;
   struct ash_router *router = fleet->router;
   struct ash_fleet_peer *peer = find_peer (fleet, box);
-  bool is_new = peer && peer->is_new;
+  bool needs_peer_names = peer && peer->needs_peer_names;
 
   heartbeat->revision = ash_router_version (router);
   heartbeat->leaving = router->stopping || !ash_router_ready (router);
@@ -228,17 +230,17 @@
   heartbeat->peer_address = router->settings.peer_listen;
   heartbeat->hall = router->settings.hall;
   heartbeat->reads_platform =
-      !router->stopping && ash_store_answers (&router->store, ASH_STORE_SERVERS);
+      !router->stopping && ash_store_is_answering (&router->store, ASH_STORE_SERVERS);
   heartbeat->link_mbps = (uint32_t) router->settings.link_mbps;
-  heartbeat->changes_map = ash_groups_changes (&router->groups);
+  heartbeat->changes_map = ash_map_manager_is_changing (&router->groups);
   heartbeat->endpoints_revision = router->endpoints.revision;
   heartbeat->endpoints_digest = router->store.digest;
-  if (peer && names_others (fleet, peer))
-    name_others (fleet, heartbeat, is_new ? UINT32_MAX : NAMES_MAX);
+  if (peer && should_name_peers (fleet, peer))
+    add_known_peers (fleet, heartbeat, needs_peer_names ? UINT32_MAX : KNOWN_PEERS_MAX);
 }
 
 static uint32_t
-beat_period_ms (void *data, const char *box)
+heartbeat_period_ms (void *data, const char *box)
 {
   const struct ash_fleet *fleet = data;
   const struct ash_fleet_peer *peer = find_peer (fleet, box);
@@ -246,10 +248,10 @@
 
   if (!peer || ash_fleet_audience_of (fleet, peer) == ASH_FLEET_NEAR)
     return heartbeat_ms;
-  return ash_talk_far_beat_ms (heartbeat_ms, fleet->far_linked);
+  return ash_peer_period_remote_heartbeat_ms (heartbeat_ms, fleet->far_linked);
 }
 
-/* ---- life ---- */
+/* ---- start and end ---- */
 
 bool
 ash_fleet_open (struct ash_fleet *fleet, struct ash_router *router)
@@ -270,20 +272,20 @@
   ash_hex_decode (settings->fleet_key, links->identity.fleet_key, sizeof links->identity.fleet_key);
   links->log = (struct ash_log){ &router->log_sink, "peer" };
   links->handler = (struct ash_sink){ on_event, fleet };
-  links->revision = own_version;
+  links->revision = config_version;
   links->heartbeat = own_heartbeat;
-  links->period_ms = beat_period_ms;
+  links->period_ms = heartbeat_period_ms;
   links->data = fleet;
   if (!ash_peers_init (links, router->loop))
     return false;
   fleet->opened = true;
-  fleet->asks_often = true;
+  fleet->polls_often = true;
   fleet->reads_store = true;
   fleet->first_of_hall = true;
   for (uint32_t i = 0; i < settings->seed_count; i++)
     if (strcmp (settings->seeds[i], settings->peer_listen) != 0)
       ash_peers_dial (links, "", settings->seeds[i]);
-  ash_fleet_start_loads (fleet);
+  ash_fleet_start_load_reports (fleet);
   return true;
 }
 
@@ -295,38 +297,38 @@
 
   if (!fleet->opened)
     return;
-  ash_fleet_stop_loads (fleet);
+  ash_fleet_stop_load_reports (fleet);
   ash_peers_finish (&fleet->links);
   HASH_ITER (hh, fleet->peers, peer, next)
     {
-      ash_fleet_forget_loads (fleet, peer);
+      ash_fleet_clear_loads (fleet, peer);
       HASH_DEL (fleet->peers, peer);
       free (peer);
     }
 }
 
 void
-ash_fleet_woke (struct ash_fleet *fleet)
+ash_fleet_reset_links (struct ash_fleet *fleet)
 {
-  ash_peers_reset (&fleet->links);
+  ash_peers_close_links (&fleet->links);
 }
 
 void
-ash_fleet_leave (struct ash_fleet *fleet)
+ash_fleet_announce_stop (struct ash_fleet *fleet)
 {
-  ash_peers_beat (&fleet->links);
+  ash_peers_send_heartbeats (&fleet->links);
 }
 
 void
-ash_fleet_tell_news (struct ash_fleet *fleet)
+ash_fleet_notify_hall (struct ash_fleet *fleet)
 {
   for (struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && ash_fleet_audience_of (fleet, peer) == ASH_FLEET_NEAR)
-      ash_peers_beat_one (&fleet->links, peer->box);
+      ash_peers_send_heartbeat (&fleet->links, peer->box);
 }
 
 void
-ash_fleet_send_near (struct ash_fleet *fleet, const struct Ash__Event *event)
+ash_fleet_send_hall (struct ash_fleet *fleet, const struct Ash__Event *event)
 {
   for (struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && ash_fleet_audience_of (fleet, peer) == ASH_FLEET_NEAR)
@@ -347,40 +349,42 @@
   struct ash_fleet_peer *peer;
   struct ash_fleet_peer *next;
   bool ready = ash_router_ready (fleet->router);
-  bool answered = ash_store_answers (&fleet->router->store, ASH_STORE_SERVERS);
-
-  /* Callers are sent here, or no longer: those whose heartbeats come seldom hear of it now. */
-  if (ready != fleet->ready)
-    ash_peers_beat (&fleet->links);
-  /* The own hall asks less, or more, once it knows. */
-  else if (answered != fleet->answered)
-    ash_fleet_tell_news (fleet);
-  fleet->ready = ready;
-  fleet->answered = answered;
-  /* Once a tick, not at each question: at 400 routers it takes 1.4 to 2.0 ms. */
-  ash_fleet_choose_askers (fleet);
+  bool answered = ash_store_is_answering (&fleet->router->store, ASH_STORE_SERVERS);
+
+  /* This router has become ready or unready for callers: peers that get heartbeats seldom must know
+   * now. */
+  if (ready != fleet->ready_sent)
+    ash_peers_send_heartbeats (&fleet->links);
+  /* The routers of the own hall choose who reads the store by whether it answers each of them. */
+  else if (answered != fleet->store_answered)
+    ash_fleet_notify_hall (fleet);
+  fleet->ready_sent = ready;
+  fleet->store_answered = answered;
+  /* Readers are chosen once per tick instead of at each query: with 400 routers it takes 1.4 to 2.0
+   * ms. */
+  ash_fleet_choose_readers (fleet);
 
   fleet->far_linked = 0;
   HASH_ITER (hh, fleet->peers, peer, next)
     {
       if (peer->linked)
         {
-          peer->seen = now;
+          peer->last_linked = now;
           fleet->far_linked += ash_fleet_audience_of (fleet, peer) == ASH_FLEET_FAR;
         }
-      else if (ash_time_diff (peer->seen, now) > FORGET_MS)
+      else if (ash_time_diff (peer->last_linked, now) > PEER_EXPIRY_MS)
         {
           HASH_DEL (fleet->peers, peer);
           free (peer);
         }
     }
-  ash_fleet_deal_rates (fleet, now);
+  ash_fleet_split_rates (fleet, now);
 }
 
 uint32_t
 ash_fleet_far_parts (const struct ash_fleet *fleet)
 {
-  return ash_talk_far_parts (fleet->router->settings.load_period_ms, fleet->far_linked);
+  return ash_peer_period_remote_parts (fleet->router->settings.load_period_ms, fleet->far_linked);
 }
 
 uint32_t
@@ -414,6 +418,6 @@
 uint32_t
 ash_fleet_size (const struct ash_fleet *fleet)
 {
-  /* All that were ever heard of: one that is cut off spends its part too. */
+  /* Counts all known routers: an isolated router still uses its part of the limits. */
   return HASH_COUNT (fleet->peers) + 1;
 }
--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * The other routers: found through the seeds, then through each other, and linked
- * to all. They tell each other where callers reach them, how much work they have at
- * each endpoint, and what they have from the store if one of them can't read it.
+ * The other routers: discovered through the seeds and then through each other, and linked to all
+ * others. Routers report to each other the address at which callers reach them, how much work they
+ * have at each endpoint, and what they have read from the store, for those that can't read it.
  */
 #ifndef ASH_FLEET_H
 #define ASH_FLEET_H
@@ -15,129 +15,143 @@
 
 struct ash_router;
 
-/** Loads of endpoints that a peer tells at most. */
+/** Upper limit of endpoint loads in one message. */
 #define ASH_FLEET_LOADS_MAX 1024
 
-/** Slow endpoints that are told at most. */
+/** Upper limit of slow endpoints in one message. */
 #define ASH_FLEET_SLOW_MAX 64
 
-/** Another router. */
+/** A peer: another router of the fleet, as this router knows it. */
 struct ash_fleet_peer
 {
   char box[ASH_NAME_BYTES];
-  uint64_t hash; /**< of its name */
+  uint64_t hash; /**< hash of the box's name */
   char frontend[ASH_NAME_BYTES];
-  char address[ASH_NAME_BYTES]; /**< where its links are accepted */
+  char address[ASH_NAME_BYTES]; /**< address at which the peer accepts links */
   char hall[ASH_NAME_BYTES];
   bool linked;
-  bool is_new;           /**< the link has just come up: it has not been told of the others yet */
-  bool untold;           /**< it is to be told of all of this router's work, and of all terms */
-  struct ash_time seen;  /**< when it was last linked */
-  struct ash_time heard; /**< its last word */
-  bool changes_map;      /**< it said so then */
+  bool needs_peer_names;  /**< the link has just come up: the next heartbeat may list the other
+                             routers */
+  bool needs_full_report; /**< the peer must be sent all loads of this router and the terms of all
+                             endpoints */
+  struct ash_time last_linked;   /**< when the link to the peer was last up */
+  struct ash_time last_received; /**< when the peer's last message came */
+  bool changes_map; /**< the peer's last heartbeat reported that it is changing an expert map */
   bool leaving;
-  uint64_t version; /**< of the configuration it has in force */
+  uint64_t version; /**< version of the peer's active configuration */
   uint64_t endpoints_revision;
-  uint64_t endpoints_digest; /**< of what its list of endpoints says */
-  bool reads_store;          /**< the store answers it */
-  uint32_t link_mbps;        /**< what its box can send; 0: not known */
+  uint64_t endpoints_digest; /**< digest of the peer's list of endpoints */
+  bool reads_store;          /**< the store answers the peer */
+  uint32_t link_mbps;        /**< what the peer's box can send, in Mbit/s; 0: not known */
   uint32_t load_count;
-  uint64_t *load_endpoints; /**< hashes, as last told */
+  uint64_t *load_endpoints; /**< hashes of the endpoints in the peer's load reports */
   uint64_t *load_in_flight;
   UT_hash_handle hh;
 };
 
-/** Peers that are told of loads at the same time. */
+/** A set of peers that are sent load reports at the same time. */
 struct ash_fleet_audience
 {
   bool loads_changed;
-  struct ash_time told;
-  uint32_t tells; /**< messages of changed loads since one of all */
+  struct ash_time last_sent;
+  uint32_t delta_count; /**< reports with changes only since the last one with all loads */
 };
 
-/** All that is known of the others. */
+/** The other routers, and this router's role among them. */
 struct ash_fleet
 {
   struct ash_router *router;
   struct ash_peers links;
   struct ash_fleet_peer *peers;
-  ev_timer tell_timer;
+  ev_timer report_timer;
   struct ash_fleet_audience audiences[ASH_DIRECT_AUDIENCES];
-  uint32_t far_linked; /**< peers of other halls that there is a link to */
-  bool first_of_hall;  /**< one of the few that try the store again soon when it is away */
-  bool answered;       /**< by the store, as the own hall was last told */
-  bool ready;          /**< as all were last told */
-  bool asks_often;     /**< this router is one that asks the store often */
-  bool reads_store;    /**< it asks the store at all; else it follows those of its hall that do */
+  uint32_t far_linked; /**< linked peers in other halls */
+  bool first_of_hall;  /**< this router is one of the first few of its hall, which retry soon while
+                          the store is unreachable */
+  bool store_answered; /**< whether the store answers this router, as last reported to the hall */
+  bool ready_sent;     /**< whether callers may be sent here, as last reported to all peers */
+  bool polls_often;    /**< this router polls the store at short intervals */
+  bool reads_store; /**< this router polls the store; else it follows those of its hall that do */
   bool opened;
 };
 
-/** Work at an endpoint has changed: peers are told when their time comes. */
+/** The number of requests at an endpoint has changed: reports it at the next interval. */
 void ash_fleet_loads_changed (struct ash_fleet *fleet);
 
-/** Opens the links. @return false with errno set. */
+/** Starts to accept and open links. @return false with errno set. */
 bool ash_fleet_open (struct ash_fleet *fleet, struct ash_router *router);
 
 void ash_fleet_close (struct ash_fleet *fleet);
 
-/** This process was paused: what the links hold is out of date. */
-void ash_fleet_woke (struct ash_fleet *fleet);
+/** After a suspension of this process: resets all links, whose state is outdated. */
+void ash_fleet_reset_links (struct ash_fleet *fleet);
 
-/** The router is about to stop: the others are told at once. */
-void ash_fleet_leave (struct ash_fleet *fleet);
+/** Reports to all peers immediately that this router is about to stop. */
+void ash_fleet_announce_stop (struct ash_fleet *fleet);
 
-/** Time goes on: those that were not seen for long are forgotten. */
+/** Runs the timers: updates the roles, and removes peers that have had no link for long. */
 void ash_fleet_tick (struct ash_fleet *fleet, struct ash_time now);
 
-/** @return parts that endpoints of other halls are dealt into: see ash_talk_far_parts(). */
+/**
+ * @return into how many parts the endpoints of other halls are divided, of which this router uses
+ * one: see ash_peer_period_remote_parts().
+ */
 uint32_t ash_fleet_far_parts (const struct ash_fleet *fleet);
 
-/** @return how many others there is a link to. */
+/** @return how many peers are linked. */
 uint32_t ash_fleet_linked (const struct ash_fleet *fleet);
 
 /**
- * Whether this router changes the maps of groups: the first of those that see each other, in the
- * order of ash_askers_before(). One that sees less than half of them is more likely cut off itself.
+ * @return whether this router changes the expert maps of groups: it is ready, and no other linked
+ * router that could do so precedes it in the order of ash_pollers_before(). A router with links to
+ * less than half of the known routers is more likely to be isolated itself, and does not.
  */
 bool ash_fleet_leads (const struct ash_fleet *fleet);
 
-/** A change of a map begins, goes on or is over: those that would lead next are told at once. */
-void ash_fleet_tell_successors (struct ash_fleet *fleet);
+/**
+ * Sends a heartbeat immediately to the routers that would lead next: this router has started,
+ * continues or has finished a change of a map.
+ */
+void ash_fleet_notify_successors (struct ash_fleet *fleet);
 
 /**
- * Whether this router is one of the few that ask the store often, spread over the halls of
- * those that see each other and that the store answers. The others hear from them what is new.
+ * @return whether this router polls the store at short intervals. A few of the linked routers that
+ * the store answers do so, spread over the halls, and forward changes to the others.
  */
-bool ash_fleet_asks_often (const struct ash_fleet *fleet);
+bool ash_fleet_polls_often (const struct ash_fleet *fleet);
 
 /**
- * Whether this router asks the store for what is new. In a hall of many a few do, of those that it
- * answers and that see each other; they tell the others.
+ * @return whether this router polls the store for changes. In a large hall only a few of the linked
+ * routers that the store answers do so, and forward changes to the others.
  */
 bool ash_fleet_reads_store (const struct ash_fleet *fleet);
 
-/** Whether this router is one of the first few of its hall that see each other, whether or not the
- * store answers these. */
+/**
+ * @return whether this router is one of the first few linked routers of its hall, whether or not
+ * the store answers them.
+ */
 bool ash_fleet_first_of_hall (const struct ash_fleet *fleet);
 
-/** The configuration in force is new: the own hall is told at once. */
-void ash_fleet_tell_news (struct ash_fleet *fleet);
+/** Sends a heartbeat to all linked routers of the own hall immediately. */
+void ash_fleet_notify_hall (struct ash_fleet *fleet);
 
 /** Sends a message to all linked routers of the own hall. */
-void ash_fleet_send_near (struct ash_fleet *fleet, const struct Ash__Event *event);
+void ash_fleet_send_hall (struct ash_fleet *fleet, const struct Ash__Event *event);
 
 /** Sends a message to all linked routers. */
 void ash_fleet_send_all (struct ash_fleet *fleet, const struct Ash__Event *event);
 
-/** @return a peer that is linked and has that revision or a newer one, of the own hall if there is
- * such a one; NULL: none. */
+/**
+ * @return a random linked peer that has this revision of a part of the store or a newer one,
+ * preferably in the own hall; NULL: there is none.
+ */
 const struct ash_fleet_peer *
 ash_fleet_peer_with (struct ash_fleet *fleet, enum ash_store_part part, uint64_t revision);
 
-/** @return this router's place among all that are known, in the order in which they lead. */
+/** @return this router's index among all known routers, in the order in which they lead. */
 uint32_t ash_fleet_index (const struct ash_fleet *fleet);
 
-/** @return how many routers share the fleet's bounds, this one included. */
+/** @return how many routers share the limits that apply to the whole fleet, including this one. */
 uint32_t ash_fleet_size (const struct ash_fleet *fleet);
 
 #endif
--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -1,6 +1,6 @@
 #include "daemon/fleet_loads.h"
 
-#include "controllers/talk.h"
+#include "controllers/peer_period.h"
 #include "daemon/fleet_terms.h"
 #include "daemon/router.h"
 
@@ -10,13 +10,13 @@
 #define MS_PER_S 1000.0
 #define MILLI 1000.0
 
-/* What peers are told of changes only is told whole this often, in messages: what one missed of an
- * endpoint that it did not know yet is right a second later. */
-#define TELL_ALL_EVERY 20
+/* One load report in this many contains all endpoints, the others only changes. A full report
+ * corrects, within a second, changes that a peer ignored because it did not know the endpoint
+ * yet. */
+#define FULL_REPORT_EVERY 20
 
-/* Takes back what the peer said last. */
 void
-ash_fleet_forget_loads (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
+ash_fleet_clear_loads (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
   struct ash_direct_set *set = &fleet->router->endpoints;
 
@@ -25,7 +25,7 @@
       struct ash_direct_endpoint *endpoint = ash_direct_find_hash (set, peer->load_endpoints[i]);
       uint32_t load = (uint32_t) peer->load_in_flight[i];
 
-      /* An endpoint that was listed after the peer's word has nothing to take back. */
+      /* An endpoint that was added after the peer's report does not include the peer's load. */
       if (endpoint)
         endpoint->elsewhere -= load < endpoint->elsewhere ? load : endpoint->elsewhere;
     }
@@ -36,9 +36,10 @@
   peer->load_count = 0;
 }
 
-/* Those that a peer that watches groups tells to be slow. */
+/* Applies the paces of slow endpoints, as reported by the router that leads the changes of expert
+ * maps. */
 static void
-take_slow (struct ash_fleet *fleet, const struct Ash__EndpointLoads *loads)
+apply_slow (struct ash_fleet *fleet, const struct Ash__EndpointLoads *loads)
 {
   struct ash_time now = ash_clock_now ();
 
@@ -48,7 +49,7 @@
           ash_direct_find_hash (&fleet->router->endpoints, loads->slow[i]);
 
       if (endpoint)
-        ash_direct_slow (endpoint, now, loads->slow_milli[i] / MILLI);
+        ash_direct_set_pace (endpoint, now, loads->slow_milli[i] / MILLI);
     }
 }
 
@@ -68,7 +69,7 @@
   return true;
 }
 
-/* There is room for one more. */
+/* Sets a peer's load at an endpoint. The peer's arrays must have room for another entry. */
 static void
 set_load (struct ash_fleet *fleet, struct ash_fleet_peer *peer, uint64_t hash, uint64_t in_flight)
 {
@@ -93,28 +94,29 @@
 }
 
 void
-ash_fleet_take_loads (struct ash_fleet *fleet,
-                      struct ash_fleet_peer *peer,
-                      const struct Ash__EndpointLoads *loads)
+ash_fleet_apply_loads (struct ash_fleet *fleet,
+                       struct ash_fleet_peer *peer,
+                       const struct Ash__EndpointLoads *loads)
 {
   size_t count = loads->n_endpoints;
 
   if (!loads->changes)
-    ash_fleet_forget_loads (fleet, peer);
-  fleet->router->room = true;
-  take_slow (fleet, loads);
+    ash_fleet_clear_loads (fleet, peer);
+  fleet->router->capacity_freed = true;
+  apply_slow (fleet, loads);
   if (!count || count != loads->n_in_flight || count > ASH_FLEET_LOADS_MAX)
     return;
   if (!make_room (peer, peer->load_count + count))
     {
-      ash_fleet_forget_loads (fleet, peer);
+      ash_fleet_clear_loads (fleet, peer);
       return;
     }
   for (size_t i = 0; i < count; i++)
     set_load (fleet, peer, loads->endpoints[i], loads->in_flight[i]);
 }
 
-/* Only what was told here first: what peers tell is not told on, or it would never end. */
+/* Lists slow endpoints, only at the router that leads the changes of expert maps and measures their
+ * pace. If other routers forwarded its reports, slow endpoints would be reported forever. */
 static size_t
 list_slow (const struct ash_fleet *fleet,
            uint64_t slow[ASH_FLEET_SLOW_MAX],
@@ -138,8 +140,8 @@
   return count;
 }
 
-/* Fills in this router's own work: at each endpoint, or where it has changed since the audience was
- * last told. */
+/* Fills in this router's requests in flight: at all endpoints, or only where they have changed
+ * since the last report to the audience. */
 static void
 list_loads (const struct ash_fleet *fleet, int audience, struct Ash__EndpointLoads *loads)
 {
@@ -149,7 +151,7 @@
     {
       uint32_t in_flight = endpoint->in_flight;
 
-      if (loads->changes ? in_flight == endpoint->told[audience] : !in_flight)
+      if (loads->changes ? in_flight == endpoint->reported[audience] : !in_flight)
         continue;
       loads->endpoints[loads->n_endpoints] = endpoint->hash;
       loads->in_flight[loads->n_endpoints] = in_flight;
@@ -158,7 +160,6 @@
   loads->n_in_flight = loads->n_endpoints;
 }
 
-/* A peer whose hall is not known yet counts as near. */
 int
 ash_fleet_audience_of (const struct ash_fleet *fleet, const struct ash_fleet_peer *peer)
 {
@@ -167,54 +168,54 @@
   return is_near ? ASH_FLEET_NEAR : ASH_FLEET_FAR;
 }
 
-/* One that has just come knows nothing of this router's work. Nobody else is told, or each router
- * that comes would have all tell all. */
+/* Sends all loads to peers that have just connected. The other peers get nothing, or each new
+ * router would cause full reports among all routers. */
 static void
-tell_untold (struct ash_fleet *fleet)
+send_full_reports (struct ash_fleet *fleet)
 {
   uint64_t endpoints[ASH_FLEET_LOADS_MAX];
   uint64_t in_flight[ASH_FLEET_LOADS_MAX];
   struct Ash__EndpointLoads loads = ASH__ENDPOINT_LOADS__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_ENDPOINT_LOADS, &loads);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_ENDPOINT_LOADS, &loads);
 
   loads.endpoints = endpoints;
   loads.in_flight = in_flight;
   for (struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
-    if (peer->linked && peer->untold)
+    if (peer->linked && peer->needs_full_report)
       {
-        peer->untold = false;
+        peer->needs_full_report = false;
         if (!loads.n_endpoints)
           list_loads (fleet, ASH_FLEET_NEAR, &loads);
         ash_peers_send (&fleet->links, peer->box, &event);
-        ash_fleet_tell_terms (fleet, peer);
+        ash_fleet_send_terms (fleet, peer);
       }
 }
 
 static void
 send_loads (struct ash_fleet *fleet, int audience, const struct Ash__EndpointLoads *loads)
 {
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_ENDPOINT_LOADS, loads);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_ENDPOINT_LOADS, loads);
   struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints;
 
   for (; endpoint; endpoint = endpoint->hh.next)
-    endpoint->told[audience] = endpoint->in_flight;
+    endpoint->reported[audience] = endpoint->in_flight;
   for (struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && ash_fleet_audience_of (fleet, peer) == audience)
       ash_peers_send (&fleet->links, peer->box, &event);
 }
 
 static void
-tell_loads (struct ash_fleet *fleet, int audience)
+report_loads (struct ash_fleet *fleet, int audience)
 {
   uint64_t endpoints[ASH_FLEET_LOADS_MAX];
   uint64_t in_flight[ASH_FLEET_LOADS_MAX];
   uint64_t slow[ASH_FLEET_SLOW_MAX];
   uint32_t slow_milli[ASH_FLEET_SLOW_MAX];
   struct Ash__EndpointLoads loads = ASH__ENDPOINT_LOADS__INIT;
-  struct ash_fleet_audience *told = &fleet->audiences[audience];
+  struct ash_fleet_audience *report = &fleet->audiences[audience];
 
-  loads.changes = told->tells > 0;
-  told->tells = (told->tells + 1) % TELL_ALL_EVERY;
+  loads.changes = report->delta_count > 0;
+  report->delta_count = (report->delta_count + 1) % FULL_REPORT_EVERY;
   loads.endpoints = endpoints;
   loads.in_flight = in_flight;
   list_loads (fleet, audience, &loads);
@@ -226,27 +227,29 @@
 }
 
 static void
-on_tell (struct ev_loop *loop, ev_timer *timer, int events)
+on_report_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct ash_fleet *fleet = timer->data;
   uint32_t period_ms = fleet->router->settings.load_period_ms;
-  uint32_t far_ms = ash_talk_far_load_ms (period_ms, fleet->far_linked);
+  uint32_t far_ms = ash_peer_period_remote_load_ms (period_ms, fleet->far_linked);
   struct ash_time now = ash_clock_now ();
 
   (void) loop;
   (void) events;
-  tell_untold (fleet);
+  send_full_reports (fleet);
   for (int i = 0; i < ASH_DIRECT_AUDIENCES; i++)
     {
       struct ash_fleet_audience *audience = &fleet->audiences[i];
       uint32_t due_ms = i == ASH_FLEET_FAR ? far_ms : period_ms;
 
-      /* Half a period early is nearer than half a period late. */
-      if (!audience->loads_changed || ash_time_diff (audience->told, now) + period_ms / 2 < due_ms)
+      /* Rounds to the nearest period of the timer: half a period early is closer than half a period
+       * late. */
+      if (!audience->loads_changed ||
+          ash_time_diff (audience->last_sent, now) + period_ms / 2 < due_ms)
         continue;
       audience->loads_changed = false;
-      audience->told = now;
-      tell_loads (fleet, i);
+      audience->last_sent = now;
+      report_loads (fleet, i);
     }
 }
 
@@ -258,17 +261,17 @@
 }
 
 void
-ash_fleet_start_loads (struct ash_fleet *fleet)
+ash_fleet_start_load_reports (struct ash_fleet *fleet)
 {
   double period_s = fleet->router->settings.load_period_ms / MS_PER_S;
 
-  ev_timer_init (&fleet->tell_timer, on_tell, period_s, period_s);
-  fleet->tell_timer.data = fleet;
-  ev_timer_start (fleet->router->loop, &fleet->tell_timer);
+  ev_timer_init (&fleet->report_timer, on_report_timer, period_s, period_s);
+  fleet->report_timer.data = fleet;
+  ev_timer_start (fleet->router->loop, &fleet->report_timer);
 }
 
 void
-ash_fleet_stop_loads (struct ash_fleet *fleet)
+ash_fleet_stop_load_reports (struct ash_fleet *fleet)
 {
-  ev_timer_stop (fleet->router->loop, &fleet->tell_timer);
+  ev_timer_stop (fleet->router->loop, &fleet->report_timer);
 }
--- a/daemon/fleet_roles.c
+++ b/daemon/fleet_roles.c
@@ -1,62 +1,66 @@
 #include "daemon/fleet_roles.h"
 
-#include "controllers/askers.h"
+#include "controllers/pollers.h"
 #include "daemon/router.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Routers that ask the store often: one that is lost, and one that is being stopped, leave one. */
-#define OFTEN_ROUTERS 3
+/* Routers of the fleet that poll the store at short intervals: one remains if another is lost while
+ * a third is being stopped. */
+#define FREQUENT_READERS 3
 
-/* Routers of a hall that ask the store at all, likewise. If all of a large fleet asked, most calls
- * would be to learn of the same endpoint. */
+/* Routers of each hall that poll the store: one remains if another is lost while a third is being
+ * stopped. If all routers of a large fleet polled, most calls to the store would report the same
+ * endpoint. */
 #define HALL_READERS 3
 
-/* Routers that stand ready to go on with a change: one of them may be lost or stopped too. */
+/* Routers that are kept informed of a change of an expert map so that they can continue it: one of
+ * them may be lost or stopped too. */
 #define SUCCESSORS 2
 
-/* Several times what lies between two words of a router that changes a map, and longer than a small
- * box is busy with one thing. */
-#define STUCK_MS 300
+/* A router that is changing an expert map and sends nothing for this long counts as lost. This is
+ * several times the interval between its messages, and longer than a small box is busy with one
+ * task. */
+#define MAP_CHANGE_SILENCE_MS 300
 
-static struct ash_asker
-own_asker (const struct ash_fleet *fleet)
+static struct ash_poller
+own_candidate (const struct ash_fleet *fleet)
 {
   const struct ash_router_settings *settings = &fleet->router->settings;
 
-  return (struct ash_asker){ settings->box, settings->hall, (uint32_t) settings->link_mbps };
+  return (struct ash_poller){ settings->box, settings->hall, (uint32_t) settings->link_mbps };
 }
 
-static struct ash_asker
-asker_of (const struct ash_fleet_peer *peer)
+static struct ash_poller
+candidate_of (const struct ash_fleet_peer *peer)
 {
-  return (struct ash_asker){ peer->box, peer->hall, peer->link_mbps };
+  return (struct ash_poller){ peer->box, peer->hall, peer->link_mbps };
 }
 
 void
-ash_fleet_choose_askers (struct ash_fleet *fleet)
+ash_fleet_choose_readers (struct ash_fleet *fleet)
 {
-  struct ash_asker own = own_asker (fleet);
-  struct ash_asker *others = calloc (HASH_COUNT (fleet->peers) + 1, sizeof *others);
+  struct ash_poller own = own_candidate (fleet);
+  struct ash_poller *others = calloc (HASH_COUNT (fleet->peers) + 1, sizeof *others);
   bool read_before = fleet->reads_store;
   size_t count = 0;
 
-  fleet->asks_often = true;
+  fleet->polls_often = true;
   fleet->reads_store = true;
   fleet->first_of_hall = true;
   if (!others)
     return;
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked)
-      others[count++] = asker_of (peer);
-  fleet->first_of_hall = ash_askers_in_hall (own, others, count, HALL_READERS);
+      others[count++] = candidate_of (peer);
+  fleet->first_of_hall = ash_pollers_is_chosen_in_hall (own, others, count, HALL_READERS);
   count = 0;
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     if (peer->linked && peer->reads_store)
-      others[count++] = asker_of (peer);
-  fleet->asks_often = ash_askers_has (own, others, count, OFTEN_ROUTERS);
-  fleet->reads_store = ash_askers_in_hall (own, others, count, HALL_READERS);
+      others[count++] = candidate_of (peer);
+  fleet->polls_often = ash_pollers_is_chosen (own, others, count, FREQUENT_READERS);
+  fleet->reads_store = ash_pollers_is_chosen_in_hall (own, others, count, HALL_READERS);
   free (others);
   if (fleet->reads_store != read_before)
     ash_log_event (&fleet->router->log, ASH_EV_STORE_READER, "reads=%d able=%zu linked=%u",
@@ -64,9 +68,9 @@
 }
 
 bool
-ash_fleet_asks_often (const struct ash_fleet *fleet)
+ash_fleet_polls_often (const struct ash_fleet *fleet)
 {
-  return fleet->asks_often;
+  return fleet->polls_often;
 }
 
 bool
@@ -81,25 +85,26 @@
   return fleet->reads_store;
 }
 
-/* Routers there are at least: those heard of, or the seeds if they are more. */
+/* @return the minimum number of routers: those known, or the seeds if these are more. */
 static uint32_t
 known_count (const struct ash_fleet *fleet)
 {
   const struct ash_router_settings *settings = &fleet->router->settings;
-  uint32_t heard = HASH_COUNT (fleet->peers) + 1;
+  uint32_t known = HASH_COUNT (fleet->peers) + 1;
   uint32_t seeds = 1;
 
   for (uint32_t i = 0; i < settings->seed_count; i++)
     seeds += strcmp (settings->seeds[i], settings->peer_listen) != 0;
-  return heard > seeds ? heard : seeds;
+  return known > seeds ? known : seeds;
 }
 
-/* One that said that it changes a map and has gone silent may have left a group standing: it is not
- * waited for as long as a link. It tells those that come next several times meanwhile. */
+/* Whether a peer stopped sending while it changed an expert map, and may have left a group blocked.
+ * The link's longer timeout is not waited for, since a router that changes a map sends several
+ * messages in that time to those that would lead next. */
 static bool
 is_stuck (const struct ash_fleet_peer *peer, struct ash_time now)
 {
-  return peer->changes_map && ash_time_diff (peer->heard, now) > STUCK_MS;
+  return peer->changes_map && ash_time_diff (peer->last_received, now) > MAP_CHANGE_SILENCE_MS;
 }
 
 static bool
@@ -111,7 +116,7 @@
 bool
 ash_fleet_leads (const struct ash_fleet *fleet)
 {
-  struct ash_asker own = own_asker (fleet);
+  struct ash_poller own = own_candidate (fleet);
   struct ash_time now = ash_clock_now ();
   uint32_t known = known_count (fleet);
   uint32_t seen = ash_fleet_linked (fleet) + 1;
@@ -121,7 +126,7 @@
     return false;
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
     {
-      bool before = ash_askers_before (asker_of (peer), own);
+      bool before = ash_pollers_before (candidate_of (peer), own);
 
       if (before && may_lead (peer, now))
         return false;
@@ -136,32 +141,33 @@
   uint32_t before = 0;
 
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
-    before += ash_askers_before (asker_of (peer), own_asker (fleet));
+    before += ash_pollers_before (candidate_of (peer), own_candidate (fleet));
   return before;
 }
 
-/* The peer that would lead after that one, or first of all after NULL; NULL: there is none. */
+/* @return the peer that would lead after `after`, or first if that is NULL; NULL: there is none. */
 static const struct ash_fleet_peer *
-next_in_order (const struct ash_fleet *fleet, const struct ash_fleet_peer *after)
+next_leader (const struct ash_fleet *fleet, const struct ash_fleet_peer *after)
 {
   struct ash_time now = ash_clock_now ();
   const struct ash_fleet_peer *best = NULL;
 
   for (const struct ash_fleet_peer *peer = fleet->peers; peer; peer = peer->hh.next)
-    if (may_lead (peer, now) && (!after || ash_askers_before (asker_of (after), asker_of (peer))) &&
-        (!best || ash_askers_before (asker_of (peer), asker_of (best))))
+    if (may_lead (peer, now) &&
+        (!after || ash_pollers_before (candidate_of (after), candidate_of (peer))) &&
+        (!best || ash_pollers_before (candidate_of (peer), candidate_of (best))))
       best = peer;
   return best;
 }
 
 void
-ash_fleet_tell_successors (struct ash_fleet *fleet)
+ash_fleet_notify_successors (struct ash_fleet *fleet)
 {
-  const struct ash_fleet_peer *peer = next_in_order (fleet, NULL);
+  const struct ash_fleet_peer *peer = next_leader (fleet, NULL);
 
   for (int i = 0; i < SUCCESSORS && peer; i++)
     {
-      ash_peers_beat_one (&fleet->links, peer->box);
-      peer = next_in_order (fleet, peer);
+      ash_peers_send_heartbeat (&fleet->links, peer->box);
+      peer = next_leader (fleet, peer);
     }
 }
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -4,39 +4,40 @@
 
 #include <string.h>
 
-/* Endpoints whose terms one message tells at most. */
+/* Upper limit of endpoints whose terms are sent in one message. */
 #define TERMS_MAX 64
 
-/* A router without a link for no longer than this counts as there: links may break at many routers
- * at once, and if each then took the whole rate an endpoint would get several times as much. */
-#define GONE_MS 5000
+/* A router whose link has been down for this long no longer counts as a member. Links may break at
+ * many routers at once: if each of them then used the whole rate limit, the endpoint would get a
+ * multiple of it. */
+#define MEMBER_TIMEOUT_MS 5000
 
-/* ---- telling peers ---- */
+/* ---- sending to peers ---- */
 
 static struct Ash__EndpointTerms
 message_of (const struct ash_direct_endpoint *endpoint, struct ash_time now)
 {
   struct Ash__EndpointTerms message = ASH__ENDPOINT_TERMS__INIT;
-  int64_t age_ms = ash_time_diff (endpoint->limit.heard, now);
+  int64_t age_ms = ash_time_diff (endpoint->limit.updated, now);
 
   message.endpoint = endpoint->hash;
   message.born_ms = endpoint->facts.born_ms;
-  message.leaving = endpoint->said_leaving;
+  message.leaving = endpoint->announced_leaving;
   message.limit_milli = endpoint->limit.milli_per_s;
   message.age_ms = age_ms < UINT32_MAX ? (uint32_t) age_ms : UINT32_MAX;
   return message;
 }
 
-/* @param peer NULL: all that there are links to. */
+/* @param peer NULL: all linked peers. */
 static void
-tell (struct ash_fleet *fleet,
-      const struct ash_fleet_peer *peer,
-      struct Ash__EndpointTerms messages[],
-      size_t count)
+send_messages (struct ash_fleet *fleet,
+               const struct ash_fleet_peer *peer,
+               struct Ash__EndpointTerms messages[],
+               size_t count)
 {
   struct Ash__EndpointTerms *list[TERMS_MAX];
   struct Ash__EndpointTermsList terms = ASH__ENDPOINT_TERMS_LIST__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_ENDPOINT_TERMS, &terms);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_ENDPOINT_TERMS, &terms);
 
   if (!count)
     return;
@@ -51,7 +52,7 @@
 }
 
 void
-ash_fleet_tell_terms (struct ash_fleet *fleet, const struct ash_fleet_peer *peer)
+ash_fleet_send_terms (struct ash_fleet *fleet, const struct ash_fleet_peer *peer)
 {
   struct Ash__EndpointTerms messages[TERMS_MAX];
   struct ash_time now = ash_clock_now ();
@@ -59,26 +60,26 @@
 
   for (struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints;
        endpoint && count < TERMS_MAX; endpoint = endpoint->hh.next)
-    /* That it names no rate any more, too: the peer may know an older word. */
-    if (endpoint->limit.heard.ms || endpoint->said_leaving)
+    /* A removed rate limit is sent too: the peer may still have the old limit. */
+    if (endpoint->limit.updated.ms || endpoint->announced_leaving)
       messages[count++] = message_of (endpoint, now);
-  tell (fleet, peer, messages, count);
+  send_messages (fleet, peer, messages, count);
 }
 
-/* ---- taking what was said ---- */
+/* ---- applying terms ---- */
 
-/* @return whether it is news. */
+/* @return whether the rate limit has changed. */
 static bool
-take_limit (struct ash_fleet *fleet,
-            struct ash_direct_endpoint *endpoint,
-            uint32_t limit_milli,
-            struct ash_time said,
-            struct ash_time asked,
-            const char *source)
+update_limit (struct ash_fleet *fleet,
+              struct ash_direct_endpoint *endpoint,
+              uint32_t limit_milli,
+              struct ash_time reported_at,
+              struct ash_time requested_at,
+              const char *source)
 {
   uint32_t before_milli = endpoint->limit.milli_per_s;
 
-  if (!ash_rate_limit_heard (&endpoint->limit, limit_milli, said, asked))
+  if (!ash_rate_limit_update (&endpoint->limit, limit_milli, reported_at, requested_at))
     return false;
   ash_log_event (&fleet->router->log, ASH_EV_ENDPOINT_LIMITED,
                  "endpoint=%s limit_milli=%u before_milli=%u source=%s", endpoint->facts.id,
@@ -86,87 +87,88 @@
   return true;
 }
 
-/* @return whether it is news. */
+/* @return whether the endpoint had not been known to be leaving. */
 static bool
-take_leaving (struct ash_fleet *fleet,
-              struct ash_direct_endpoint *endpoint,
-              bool leaving,
-              const char *source)
+update_leaving (struct ash_fleet *fleet,
+                struct ash_direct_endpoint *endpoint,
+                bool leaving,
+                const char *source)
 {
-  if (!leaving || endpoint->said_leaving)
+  if (!leaving || endpoint->announced_leaving)
     return false;
-  endpoint->said_leaving = true;
+  endpoint->announced_leaving = true;
   ash_log_event (&fleet->router->log, ASH_EV_ENDPOINT_LEAVING,
                  "endpoint=%s source=%s service=%s address=%s in_flight=%u", endpoint->facts.id,
                  source, endpoint->facts.service, endpoint->facts.address, endpoint->in_flight);
   return true;
 }
 
-/* Asked of this router alone: peers are not told. */
+/* The endpoint asks only this router to back off, so peers are not notified. */
 static void
-take_rest (struct ash_fleet *fleet,
-           struct ash_direct_endpoint *endpoint,
-           uint32_t rest_ms,
-           struct ash_time now)
+apply_backoff (struct ash_fleet *fleet,
+               struct ash_direct_endpoint *endpoint,
+               uint32_t rest_ms,
+               struct ash_time now)
 {
   if (!rest_ms)
     return;
   ash_log_event (&fleet->router->log, ASH_EV_ENDPOINT_RESTS,
                  "endpoint=%s for_ms=%u before_ms=%lld load=%u", endpoint->facts.id, rest_ms,
-                 (long long) ash_direct_rests_ms (endpoint, now), endpoint->in_flight);
-  ash_direct_rests (endpoint, now, rest_ms);
+                 (long long) ash_direct_backoff_ms (endpoint, now), endpoint->in_flight);
+  ash_direct_back_off (endpoint, now, rest_ms);
 }
 
 void
-ash_fleet_heard_terms (struct ash_fleet *fleet,
-                       struct ash_direct_endpoint *endpoint,
-                       const struct ash_endpoint_terms *terms,
-                       struct ash_time asked)
+ash_fleet_update_terms (struct ash_fleet *fleet,
+                        struct ash_direct_endpoint *endpoint,
+                        const struct ash_endpoint_terms *terms,
+                        struct ash_time requested_at)
 {
   struct ash_time now = ash_clock_now ();
   struct Ash__EndpointTerms message;
-  bool is_news;
+  bool changed;
 
-  take_rest (fleet, endpoint, terms->rest_ms, now);
-  is_news = take_limit (fleet, endpoint, terms->limit_milli, now, asked, "own");
-  is_news = take_leaving (fleet, endpoint, terms->leaving, "own") || is_news;
-  if (!is_news)
+  apply_backoff (fleet, endpoint, terms->rest_ms, now);
+  changed = update_limit (fleet, endpoint, terms->limit_milli, now, requested_at, "own");
+  changed = update_leaving (fleet, endpoint, terms->leaving, "own") || changed;
+  if (!changed)
     return;
   message = message_of (endpoint, now);
-  tell (fleet, NULL, &message, 1);
+  send_messages (fleet, NULL, &message, 1);
 }
 
 void
-ash_fleet_take_terms (struct ash_fleet *fleet,
-                      const struct ash_fleet_peer *peer,
-                      const struct Ash__EndpointTermsList *told)
+ash_fleet_apply_terms (struct ash_fleet *fleet,
+                       const struct ash_fleet_peer *peer,
+                       const struct Ash__EndpointTermsList *list)
 {
   struct ash_time now = ash_clock_now ();
 
-  for (size_t i = 0; i < told->n_terms; i++)
+  for (size_t i = 0; i < list->n_terms; i++)
     {
-      const struct Ash__EndpointTerms *terms = told->terms[i];
+      const struct Ash__EndpointTerms *terms = list->terms[i];
       struct ash_direct_endpoint *endpoint =
           ash_direct_find_hash (&fleet->router->endpoints, terms->endpoint);
-      struct ash_time said = ash_time_add (now, -(int64_t) terms->age_ms);
+      struct ash_time reported_at = ash_time_add (now, -(int64_t) terms->age_ms);
 
-      /* Another life under the same id has said nothing of the kind. */
+      /* Terms of another incarnation of the endpoint don't apply to this one. */
       if (!endpoint || endpoint->facts.born_ms != terms->born_ms)
         continue;
-      take_limit (fleet, endpoint, terms->limit_milli, said, said, peer->box);
-      take_leaving (fleet, endpoint, terms->leaving, peer->box);
+      update_limit (fleet, endpoint, terms->limit_milli, reported_at, reported_at, peer->box);
+      update_leaving (fleet, endpoint, terms->leaving, peer->box);
     }
 }
 
-/* ---- dealing rates out ---- */
+/* ---- splitting rate limits ---- */
 
 static bool
 is_member (const struct ash_fleet_peer *peer, struct ash_time now)
 {
-  return !peer->leaving && (peer->linked || ash_time_diff (peer->seen, now) <= GONE_MS);
+  return !peer->leaving &&
+         (peer->linked || ash_time_diff (peer->last_linked, now) <= MEMBER_TIMEOUT_MS);
 }
 
-/* Of the routers that are there, and whether it is known of each where it is. */
+/* @return a digest of the member routers, and of whether the hall of each is known; never 0. */
 static uint64_t
 members_digest (const struct ash_fleet *fleet, struct ash_time now)
 {
@@ -178,12 +180,13 @@
   return digest ? digest : 1;
 }
 
-/* Those of the endpoint's own hall come first, as they send it most. */
+/* Whether a peer precedes this router when the endpoint's rate limit is split. Routers in the
+ * endpoint's hall come first, as they send it the most requests. */
 static bool
-comes_first (const struct ash_direct_endpoint *endpoint,
-             const struct ash_fleet_peer *peer,
-             const char *own_hall,
-             uint64_t own_order)
+precedes_self (const struct ash_direct_endpoint *endpoint,
+               const struct ash_fleet_peer *peer,
+               const char *own_hall,
+               uint64_t own_order)
 {
   bool is_near = strcmp (peer->hall, endpoint->facts.hall) == 0;
   bool own_is_near = strcmp (own_hall, endpoint->facts.hall) == 0;
@@ -194,10 +197,10 @@
 }
 
 static void
-deal (const struct ash_fleet *fleet,
-      struct ash_direct_endpoint *endpoint,
-      struct ash_time now,
-      uint64_t members)
+split_rate (const struct ash_fleet *fleet,
+            struct ash_direct_endpoint *endpoint,
+            struct ash_time now,
+            uint64_t routers_digest)
 {
   const struct ash_router_settings *settings = &fleet->router->settings;
   uint64_t own_order = ash_rate_limit_order (endpoint->hash, ash_hash_text (settings->box));
@@ -208,26 +211,27 @@
     if (is_member (peer, now))
       {
         count++;
-        before += comes_first (endpoint, peer, settings->hall, own_order);
+        before += precedes_self (endpoint, peer, settings->hall, own_order);
       }
-  ash_rate_limit_deal (&endpoint->limit, now, members, count, before);
+  ash_rate_limit_assign (&endpoint->limit, now, routers_digest, count, before);
 }
 
 void
-ash_fleet_deal_rates (struct ash_fleet *fleet, struct ash_time now)
+ash_fleet_split_rates (struct ash_fleet *fleet, struct ash_time now)
 {
-  uint64_t members = 0; /* not needed while no endpoint names a rate */
+  uint64_t routers_digest = 0; /* computed only if an endpoint has a rate limit */
 
   for (struct ash_direct_endpoint *endpoint = fleet->router->endpoints.endpoints; endpoint;
        endpoint = endpoint->hh.next)
     {
       if (!endpoint->limit.milli_per_s)
         continue;
-      members = members ? members : members_digest (fleet, now);
-      /* The others deal among themselves from the moment on at which they are told. */
+      routers_digest = routers_digest ? routers_digest : members_digest (fleet, now);
+      /* A stopping router gets no part: the other routers split the limit without it as soon as
+       * they know that it stops. */
       if (fleet->router->stopping)
-        ash_rate_limit_waive (&endpoint->limit);
-      else if (endpoint->limit.members != members)
-        deal (fleet, endpoint, now, members);
+        ash_rate_limit_release (&endpoint->limit);
+      else if (endpoint->limit.routers_digest != routers_digest)
+        split_rate (fleet, endpoint, now, routers_digest);
     }
 }
