--- a/daemon/group.c
+++ b/daemon/group_agent.c
@@ -1,4 +1,4 @@
-#include "daemon/group.h"
+#include "daemon/group_agent.h"
 
 #include "common/id.h"
 #include "controllers/declared.h"
@@ -15,17 +15,17 @@
 #define POLL_MS 200
 #define HTTP_TIMEOUT_MS 1000
 
-/* A state with the largest placement in hex is a tenth of this. */
+/* Limit of an engine's answer. A state with the largest placement, in hex, is a tenth of this. */
 #define ANSWER_MAX_BYTES 65536
 
-/* A rank that waits for a decision, or is blank, for so long: whoever should
- * have gone on has not. Each rank waits longer than the one before, so that one
- * agent takes over and not all. */
+/* If the own rank stays armed (waits for a commit) or blank (its engine was replaced) for this
+ * long, the coordinator has abandoned the change, and another agent takes over. Each rank waits
+ * longer than the one before, so that a single agent takes over. */
 #define TAKEOVER_MS 400
-#define TAKEOVER_RANK_MS 150
+#define TAKEOVER_STAGGER_MS 150
 
-/* Intervals that a move's gain is counted for. */
-#define HORIZON 10
+/* The gain of a move is summed over this many intervals. */
+#define GAIN_HORIZON_INTERVALS 10
 
 enum call_kind
 {
@@ -34,15 +34,15 @@
   CALL_ORDER,
 };
 
-/* Paths below the engine's URL. */
+/* Paths below the engine's URL, by call_kind. */
 static const char *const call_paths[] = { "state", "loads", "order" };
 
-/* A request to the own engine, with whom to answer. */
+/* A request to the engine of the own rank. */
 struct engine_call
 {
-  struct ash_group_task *group;
+  struct ash_group_agent *group;
   enum call_kind kind;
-  char peer[ASH_NAME_BYTES]; /* the coordinator whose order it is */
+  char peer[ASH_NAME_BYTES]; /* the coordinator that gets the answer to an order */
   char *body;
   size_t length;
   bool failed;
@@ -69,39 +69,39 @@
   memcpy (map->placement, placement->slots, map->length);
 }
 
-/* ---- answers of the engine ---- */
+/* ---- the engine's answers ---- */
 
 static void
-give_state (struct ash_group_task *group, const char *peer, const struct Ash__RankState *state)
+deliver_state (struct ash_group_agent *group, const char *peer, const struct Ash__RankState *state)
 {
   struct Ash__Event event = ASH__EVENT__INIT;
 
-  event.peer = ash_text (peer);
+  event.peer = ash_proto_text (peer);
   event.kind_case = ASH__EVENT__KIND_RANK_STATE;
   event.rank_state = (struct Ash__RankState *) (uintptr_t) state;
   if (strcmp (peer, group->daemon->settings->box) == 0)
-    ash_expert_change_take (&group->change, ash_clock_now (), state);
+    ash_expert_change_handle_state (&group->change, ash_clock_now (), state);
   else
     ash_daemon_send (group->daemon, &event);
 }
 
-/* What the own rank says tells whether the group needs somebody to go on. */
+/* The state of the own rank shows whether a change is unfinished and may have been abandoned. */
 static void
-note_state (struct ash_group_task *group, const struct Ash__RankState *state)
+update_from_state (struct ash_group_agent *group, const struct Ash__RankState *state)
 {
   size_t expected = 2 * (size_t) group->placement.rank_count * group->placement.rank_slots;
 
   if (!state->blank && !state->armed)
-    group->disorder_since = ASH_TIME_NEVER;
-  else if (group->disorder_since.ms == ASH_TIME_NEVER.ms)
-    group->disorder_since = ash_clock_now ();
-  group->own_map = state->map;
+    group->unsettled_since = ASH_TIME_NEVER;
+  else if (group->unsettled_since.ms == ASH_TIME_NEVER.ms)
+    group->unsettled_since = ash_clock_now ();
+  group->rank_map = state->map;
   if (!state->blank && state->placement.len == expected)
     memcpy (group->placement.slots, state->placement.data, expected);
 }
 
 static bool
-take_state (struct engine_call *call)
+handle_state (struct engine_call *call)
 {
   json_t *root = json_loadb (call->body ? call->body : "", call->length, 0, NULL);
   struct Ash__RankState *state =
@@ -110,20 +110,20 @@
   json_decref (root);
   if (!state)
     return false;
-  /* The agent names the rank, whatever the engine calls itself. */
+  /* Group and rank come from the configuration, not from the engine. */
   free (state->group);
   state->group = strdup (call->group->name);
   state->rank = call->group->rank;
-  note_state (call->group, state);
+  update_from_state (call->group, state);
   ash_expert_guard_answer (&call->group->guard, ash_clock_now (), call->kind == CALL_ORDER, state);
   if (call->kind == CALL_ORDER)
-    give_state (call->group, call->peer, state);
+    deliver_state (call->group, call->peer, state);
   ash__rank_state__free_unpacked (state, NULL);
   return true;
 }
 
 static void
-take_loads (struct engine_call *call)
+handle_loads (struct engine_call *call)
 {
   json_t *root = json_loadb (call->body ? call->body : "", call->length, 0, NULL);
   json_t *tokens = json_object_get (root, "tokens");
@@ -182,21 +182,21 @@
 {
   struct engine_call *call = data;
 
-  bool ok = result == ASH_FETCH_WHOLE && !call->failed;
+  bool ok = result == ASH_FETCH_COMPLETE && !call->failed;
 
   if (call->kind == CALL_STATE)
     call->group->polling = false;
   if (ok && call->kind == CALL_LOADS)
-    take_loads (call);
+    handle_loads (call);
   else if (ok)
-    ok = take_state (call);
+    ok = handle_state (call);
   if (!ok && call->kind == CALL_ORDER)
     ash_expert_guard_lost (&call->group->guard);
   free_call (call);
 }
 
 static void
-ask_engine (struct ash_group_task *group, enum call_kind kind, const char *peer, json_t *body)
+call_engine (struct ash_group_agent *group, enum call_kind kind, const char *peer, json_t *body)
 {
   struct engine_call *call = calloc (1, sizeof *call);
   char *text = body ? json_dumps (body, JSON_COMPACT) : NULL;
@@ -219,7 +219,7 @@
       snprintf (url, sizeof url, "%s/%s", group->daemon->settings->engine_url, call_paths[kind]);
       DL_APPEND (group->calls, call);
       if (!ash_http_client_start (&group->daemon->http_client, &request, &handler))
-        on_end (call, ASH_FETCH_BROKEN);
+        on_end (call, ASH_FETCH_FAILED);
     }
   free (text);
   json_decref (body);
@@ -228,25 +228,25 @@
 /* ---- orders ---- */
 
 static void
-refuse (struct ash_group_task *group, const char *peer, const struct Ash__RankOrder *order)
+refuse (struct ash_group_agent *group, const char *peer, const struct Ash__RankOrder *order)
 {
   struct Ash__RankState state = ASH__RANK_STATE__INIT;
 
   state.group = group->name;
   state.rank = group->rank;
   ash_expert_guard_refusal (&group->guard, order, &state);
-  give_state (group, peer, &state);
+  deliver_state (group, peer, &state);
 }
 
 static void
-order_own_rank (struct ash_group_task *group, const char *peer, const struct Ash__RankOrder *order)
+order_own_rank (struct ash_group_agent *group, const char *peer, const struct Ash__RankOrder *order)
 {
   struct Ash__RankOrder forwarded;
 
   switch (ash_expert_guard_order (&group->guard, ash_clock_now (), order, &forwarded))
     {
     case ASH_EXPERT_FORWARD:
-      ask_engine (group, CALL_ORDER, peer, ash_proto_to_json (&forwarded.base));
+      call_engine (group, CALL_ORDER, peer, ash_proto_to_json (&forwarded.base));
       break;
     case ASH_EXPERT_REFUSE:
       refuse (group, peer, order);
@@ -259,7 +259,7 @@
 static void
 on_emit (void *data, const struct Ash__Event *event)
 {
-  struct ash_group_task *group = data;
+  struct ash_group_agent *group = data;
 
   if (strcmp (event->peer, group->daemon->settings->box) == 0)
     order_own_rank (group, event->peer, event->rank_order);
@@ -268,18 +268,18 @@
 }
 
 bool
-ash_group_take (struct ash_group_task *group, const struct Ash__Event *event)
+ash_group_agent_handle (struct ash_group_agent *group, const struct Ash__Event *event)
 {
   switch (event->kind_case)
     {
     case ASH__EVENT__KIND_RANK_ORDER:
-      if (group->member && event->rank_order->rank == group->rank &&
+      if (group->is_member && event->rank_order->rank == group->rank &&
           strcmp (event->rank_order->group, group->name) == 0)
         order_own_rank (group, event->peer, event->rank_order);
       return true;
     case ASH__EVENT__KIND_RANK_STATE:
-      if (group->member && strcmp (event->rank_state->group, group->name) == 0)
-        ash_expert_change_take (&group->change, ash_clock_now (), event->rank_state);
+      if (group->is_member && strcmp (event->rank_state->group, group->name) == 0)
+        ash_expert_change_handle_state (&group->change, ash_clock_now (), event->rank_state);
       return true;
     default:
       return false;
@@ -289,25 +289,25 @@
 /* ---- configuration ---- */
 
 void
-ash_group_init (struct ash_group_task *group, struct ash_daemon *daemon)
+ash_group_agent_init (struct ash_group_agent *group, struct ash_daemon *daemon)
 {
-  *group = (struct ash_group_task){ .daemon = daemon };
+  *group = (struct ash_group_agent){ .daemon = daemon };
   group->log = (struct ash_log){ &daemon->log_sink, "group" };
-  group->disorder_since = ASH_TIME_NEVER;
+  group->unsettled_since = ASH_TIME_NEVER;
   ash_expert_guard_init (&group->guard, daemon->incarnation, false);
 }
 
-/* Whether what is in force says the same of this rank as before: then what was
- * learned of the loads, and a change under way, go on. */
+/* Whether the active configuration leaves this rank's settings unchanged. Then the loads learned so
+ * far and a change in progress are kept. */
 static bool
-is_same_member (const struct ash_group_task *group,
+is_same_member (const struct ash_group_agent *group,
                 const struct ash_group *settings,
                 const struct ash_endpoint *own)
 {
   const struct ash_expert_weights *weights = &group->policy.weights;
 
-  return group->member && strcmp (group->name, settings->name) == 0 && group->rank == own->rank &&
-         group->rank_count == settings->rank_count &&
+  return group->is_member && strcmp (group->name, settings->name) == 0 &&
+         group->rank == own->rank && group->rank_count == settings->rank_count &&
          group->placement.rank_slots == settings->rank_slots &&
          group->placement.expert_count == settings->experts &&
          weights->skew == settings->skew_weight && weights->cost == settings->cost_weight &&
@@ -315,20 +315,20 @@
 }
 
 static void
-start_member (struct ash_group_task *group,
+start_member (struct ash_group_agent *group,
               const struct ash_group *settings,
               const struct ash_endpoint *own)
 {
   struct ash_expert_weights weights = {
     .skew = settings->skew_weight,
     .cost = settings->cost_weight,
-    .horizon = HORIZON,
+    .horizon = GAIN_HORIZON_INTERVALS,
     .moves = settings->moves,
   };
   struct ash_sink sink = { on_emit, group };
 
-  group->member = true;
-  *group->profile = '\0'; /* a new policy has not been told of it */
+  group->is_member = true;
+  *group->profile = '\0'; /* a new policy has no forecast yet */
   strcpy (group->name, settings->name);
   group->rank = own->rank;
   group->rank_count = settings->rank_count;
@@ -341,9 +341,9 @@
                           (uint32_t) group->daemon->incarnation, sink);
 }
 
-/* Of two agents of a group the one whose box's name comes first dials. */
+/* Between two agents of a group, the one whose box name sorts first connects to the other. */
 static void
-meet_members (struct ash_group_task *group, const struct ash_document *document)
+link_members (struct ash_group_agent *group, const struct ash_document *document)
 {
   for (uint32_t i = 0; i < document->endpoint_count; i++)
     {
@@ -359,7 +359,7 @@
 }
 
 void
-ash_group_configured (struct ash_group_task *group)
+ash_group_agent_configured (struct ash_group_agent *group)
 {
   const struct ash_document *document = &group->daemon->config->document;
   const struct ash_endpoint *own = ash_document_endpoint (document, group->daemon->settings->box);
@@ -371,23 +371,23 @@
   if (settings && is_same_member (group, settings, own))
     {
       group->interval_ms = settings->interval_ms;
-      meet_members (group, document);
+      link_members (group, document);
       return;
     }
-  group->member = false;
+  group->is_member = false;
   if (!settings || settings->rank_count > ASH_EXPERT_RANKS_MAX ||
       settings->rank_count * settings->rank_slots > ASH_EXPERT_SLOTS_MAX)
     return;
   start_member (group, settings, own);
-  meet_members (group, document);
+  link_members (group, document);
 }
 
-/* ---- time ---- */
+/* ---- timers ---- */
 
-/* By custom the lowest rank that can be reached decides what to move. It needs
- * no right to: two that think so fence each other off. */
+/* The lowest rank that can be reached decides on moves. No election is needed: if two agents both
+ * consider themselves the lowest, their ballots fence each other off. */
 static bool
-is_first (const struct ash_group_task *group)
+is_decider (const struct ash_group_agent *group)
 {
   for (uint32_t r = 0; r < group->rank; r++)
     {
@@ -401,11 +401,11 @@
 }
 
 static void
-note (struct ash_group_task *group, enum ash_expert_note_kind kind)
+add_history (struct ash_group_agent *group, enum ash_expert_note_kind kind)
 {
   const struct ash_expert_change *change = &group->change;
   bool has_change = kind != ASH_EXPERT_NOTE_KEPT;
-  struct ash_expert_note entry = {
+  struct ash_expert_note note = {
     .kind = kind,
     .at = ash_clock_now (),
     .ballot = has_change ? change->ballot : 0,
@@ -417,27 +417,27 @@
     .refused_gain = group->decision.refused_gain,
   };
 
-  ash_expert_history_add (&group->history, &entry);
+  ash_expert_history_add (&group->history, &note);
 }
 
 static void
-log_phase (struct ash_group_task *group)
+log_phase (struct ash_group_agent *group)
 {
   const struct ash_expert_change *change = &group->change;
 
-  if (group->told == change->phase)
+  if (group->logged_phase == change->phase)
     return;
-  group->told = change->phase;
+  group->logged_phase = change->phase;
   if (change->phase == ASH_EXPERT_DONE)
     {
-      note (group, ASH_EXPERT_NOTE_DONE);
+      add_history (group, ASH_EXPERT_NOTE_DONE);
       ash_log_event (&group->log, ASH_EV_MAP_CHANGED,
                      "group=%s ballot=%" PRIu64 " map=%016" PRIx64 " step=%" PRIu64, group->name,
                      change->ballot, change->wanted.digest, change->step);
     }
   else if (change->phase == ASH_EXPERT_FAILED)
     {
-      note (group, ASH_EXPERT_NOTE_GIVEN_UP);
+      add_history (group, ASH_EXPERT_NOTE_GIVEN_UP);
       ash_log_event (&group->log, ASH_EV_MAP_GIVEN_UP,
                      "group=%s ballot=%" PRIu64 " highest=%" PRIu64, group->name, change->ballot,
                      change->highest);
@@ -445,7 +445,7 @@
 }
 
 static const char *
-why_text (const struct ash_group_task *group, const struct ash_expert_map *wanted)
+change_cause (const struct ash_group_agent *group, const struct ash_expert_map *wanted)
 {
   if (!wanted)
     return "takeover";
@@ -453,23 +453,23 @@
 }
 
 static void
-start_change (struct ash_group_task *group, const struct ash_expert_map *wanted)
+start_change (struct ash_group_agent *group, const struct ash_expert_map *wanted)
 {
-  group->told = ASH_EXPERT_IDLE;
+  group->logged_phase = ASH_EXPERT_IDLE;
   ash_expert_change_start (&group->change, ash_clock_now (), wanted);
-  note (group, wanted ? ASH_EXPERT_NOTE_MOVES : ASH_EXPERT_NOTE_TAKEOVER);
+  add_history (group, wanted ? ASH_EXPERT_NOTE_MOVES : ASH_EXPERT_NOTE_TAKEOVER);
   ash_log_event (&group->log, ASH_EV_MAP_CHANGE,
                  "group=%s why=%s ballot=%" PRIu64
                  " moves=%u skew=%.3f predicted=%.3f refused_gain=%.3f",
-                 group->name, why_text (group, wanted), group->change.ballot,
+                 group->name, change_cause (group, wanted), group->change.ballot,
                  wanted ? group->decision.move_count : 0, group->decision.skew_before,
                  group->decision.skew_after, group->decision.refused_gain);
 }
 
-/* Before a declared event begins, moves are made for the popularity that its
- * profile expects; once it has begun, what is reported counts. */
+/* In the lead time before a declared event, moves are decided for the expert loads that the event's
+ * profile forecasts. Once the event has begun, the reported loads count. */
 static void
-look_ahead (struct ash_group_task *group)
+apply_forecast (struct ash_group_agent *group)
 {
   const struct ash_document *document = &group->daemon->config->document;
   int64_t unix_s = (int64_t) time (NULL);
@@ -483,35 +483,35 @@
       if (strcmp (group->profile, profile->name) == 0)
         return;
       ash_profile_loads (profile, loads);
-      ash_expert_policy_expect (&group->policy, loads);
+      ash_expert_policy_set_forecast (&group->policy, loads);
       strcpy (group->profile, profile->name);
       ash_log_event (&group->log, ASH_EV_FORECAST, "group=%s event=\"%s\" profile=\"%s\"",
                      group->name, event->name, profile->name);
       return;
     }
   if (*group->profile)
-    ash_expert_policy_expect_no_more (&group->policy,
-                                      profile && strcmp (group->profile, profile->name) == 0);
+    ash_expert_policy_end_forecast (&group->policy,
+                                    profile && strcmp (group->profile, profile->name) == 0);
   *group->profile = '\0';
 }
 
 static void
-decide_moves (struct ash_group_task *group)
+decide_moves (struct ash_group_agent *group)
 {
   double speeds[ASH_EXPERT_POLICY_RANKS_MAX];
   struct ash_expert_placement changed = group->placement;
   struct ash_expert_map wanted = { 0 };
 
-  ask_engine (group, CALL_LOADS, "", NULL);
-  if (!group->own_map || !is_first (group) || ash_expert_change_running (&group->change))
+  call_engine (group, CALL_LOADS, "", NULL);
+  if (!group->rank_map || !is_decider (group) || ash_expert_change_running (&group->change))
     return;
   for (uint32_t r = 0; r < group->rank_count; r++)
     speeds[r] = 1;
-  look_ahead (group);
+  apply_forecast (group);
   ash_expert_policy_decide (&group->policy, &group->placement, speeds, &group->decision);
   if (!group->decision.move_count)
     {
-      note (group, ASH_EXPERT_NOTE_KEPT);
+      add_history (group, ASH_EXPERT_NOTE_KEPT);
       return;
     }
   ash_expert_placement_apply (&changed, group->decision.moves, group->decision.move_count);
@@ -520,13 +520,13 @@
 }
 
 json_t *
-ash_group_explain (const struct ash_group_task *group, const char *name)
+ash_group_agent_explain (const struct ash_group_agent *group, const char *name)
 {
   struct ash_time now = ash_clock_now ();
   const struct ash_expert_note *entry;
   json_t *list;
 
-  if (!group->member || strcmp (group->name, name) != 0)
+  if (!group->is_member || strcmp (group->name, name) != 0)
     return NULL;
   list = json_array ();
   for (uint32_t i = 0; (entry = ash_expert_history_last (&group->history, i)); i++)
@@ -538,17 +538,17 @@
                          "step", (json_int_t) entry->step, "moves", (int) entry->moves, "skew",
                          entry->skew_before, "predicted", entry->skew_after, "refused_gain",
                          entry->refused_gain));
-  return json_pack ("{s:i, s:b, s:o}", "rank", (int) group->rank, "decides", (int) is_first (group),
-                    "decisions", list);
+  return json_pack ("{s:i, s:b, s:o}", "rank", (int) group->rank, "decides",
+                    (int) is_decider (group), "decisions", list);
 }
 
 void
-ash_group_tick (struct ash_group_task *group)
+ash_group_agent_tick (struct ash_group_agent *group)
 {
   struct ash_time now = ash_clock_now ();
-  int64_t patience_ms = TAKEOVER_MS + (int64_t) group->rank * TAKEOVER_RANK_MS;
+  int64_t takeover_ms = TAKEOVER_MS + (int64_t) group->rank * TAKEOVER_STAGGER_MS;
 
-  if (!group->member)
+  if (!group->is_member)
     return;
   ash_expert_change_tick (&group->change, now);
   log_phase (group);
@@ -556,7 +556,7 @@
     {
       group->next_poll = ash_time_add (now, POLL_MS);
       group->polling = true;
-      ask_engine (group, CALL_STATE, "", NULL);
+      call_engine (group, CALL_STATE, "", NULL);
     }
   if (!ash_time_before (now, group->next_decision))
     {
@@ -564,15 +564,15 @@
       decide_moves (group);
     }
   if (!ash_expert_change_running (&group->change) &&
-      !ash_time_before (now, ash_time_add (group->disorder_since, patience_ms)))
+      !ash_time_before (now, ash_time_add (group->unsettled_since, takeover_ms)))
     {
-      group->disorder_since = now;
+      group->unsettled_since = now;
       start_change (group, NULL);
     }
 }
 
 void
-ash_group_finish (struct ash_group_task *group)
+ash_group_agent_finish (struct ash_group_agent *group)
 {
   while (group->calls)
     free_call (group->calls);
--- a/daemon/intent.c
+++ b/daemon/intent.c
@@ -9,7 +9,7 @@
 #include <time.h>
 #include <xxhash.h>
 
-#define SAMPLES 1000
+#define HOME_SAMPLES 1000
 #define DIGEST_BYTES 17
 
 static void
@@ -18,9 +18,10 @@
   snprintf (digest, DIGEST_BYTES, "%016" PRIx64, (uint64_t) XXH3_64bits (text, strlen (text)));
 }
 
-/* ---- what a plan does ---- */
+/* ---- plan ---- */
 
-/* Of a thousand keys that may not be repeated, how many get another home. */
+/* For each service, the fraction of idempotency keys that get another home, from HOME_SAMPLES
+ * keys. */
 static json_t *
 moved_homes (const struct ash_document *before, const struct ash_document *after)
 {
@@ -31,7 +32,7 @@
       const char *service = after->services[s].name;
       uint32_t count = 0;
 
-      for (uint32_t i = 0; i < SAMPLES; i++)
+      for (uint32_t i = 0; i < HOME_SAMPLES; i++)
         {
           struct ash_id id = { i, i };
           const struct ash_endpoint *old = ash_document_home (before, service, id);
@@ -40,12 +41,12 @@
           count += old && (!new || strcmp (old->name, new->name) != 0);
         }
       if (count)
-        json_object_set_new (moved, service, json_real ((double) count / SAMPLES));
+        json_object_set_new (moved, service, json_real ((double) count / HOME_SAMPLES));
     }
   return moved;
 }
 
-/* Accounts that get other entries: their callers ask for addresses again. */
+/* Number of accounts that get other entries; their callers have to fetch addresses again. */
 static uint32_t
 moved_accounts (const struct ash_document *before, const struct ash_document *after)
 {
@@ -76,7 +77,7 @@
   for (uint32_t i = 0; findings->items && i < findings->count && i < ASH_FINDINGS_MAX; i++)
     json_array_append_new (
         list, json_pack ("{s:i, s:s, s:s}", "line", (int) findings->items[i].line, "place",
-                         findings->items[i].place, "text", findings->items[i].text));
+                         findings->items[i].key_path, "text", findings->items[i].text));
   return list;
 }
 
@@ -104,11 +105,11 @@
                     findings_json (findings), "document", text);
 }
 
-/* Whoever asks holds a key, and there is something to ask about. */
+/* Checks the operator's key and that there is a configuration; answers the request if not. */
 static bool
-may_ask (struct ash_api *api, const struct ash_http_request *request, enum ash_operator least)
+is_allowed (struct ash_api *api, const struct ash_http_request *request, enum ash_operator required)
 {
-  if (!ash_operator_check (api, request, least))
+  if (!ash_operator_check (api, request, required))
     return false;
   if (api->entry->config.ready)
     return true;
@@ -125,7 +126,7 @@
   struct ash_plan plan;
   char *text;
 
-  if (!may_ask (api, request, ASH_OPERATOR_READER))
+  if (!is_allowed (api, request, ASH_OPERATOR_READER))
     return;
   ash_findings_init (&findings, "intent");
   ash_plan_init (&plan, config->text, config->text_bytes, (const char *) request->body,
@@ -147,7 +148,7 @@
   struct ash_findings findings;
   json_t *changes;
 
-  if (!may_ask (api, request, ASH_OPERATOR_READER))
+  if (!is_allowed (api, request, ASH_OPERATOR_READER))
     return;
   ash_findings_init (&findings, "document");
   changes = ash_plan_diff (config->text, config->text_bytes, (const char *) request->body,
@@ -194,7 +195,7 @@
   return NULL;
 }
 
-/* How what is in force now differs from what the plan was to bring about. */
+/* The differences between the document of the plan and the active configuration. */
 static json_t *
 changed_meanwhile (const struct ash_config *config, const json_t *plan)
 {
@@ -214,18 +215,18 @@
   json_t *plan;
   json_t *more = NULL;
   const char *code;
-  const char *wrong;
+  const char *problem;
 
-  if (!may_ask (api, request, ASH_OPERATOR_FULL))
+  if (!is_allowed (api, request, ASH_OPERATOR_FULL))
     return;
   plan = json_loadb ((const char *) request->body, request->body_bytes, 0, NULL);
-  wrong = check_plan (api, plan, &code);
-  if (wrong && strcmp (code, "base_moved") == 0)
+  problem = check_plan (api, plan, &code);
+  if (problem && strcmp (code, "base_moved") == 0)
     more = changed_meanwhile (&api->entry->config, plan);
-  if (wrong)
+  if (problem)
     ash_operator_refuse (api, request->number,
                          strcmp (code, "bad_plan") == 0 ? MHD_HTTP_BAD_REQUEST : MHD_HTTP_CONFLICT,
-                         code, wrong, more);
+                         code, problem, more);
   else
     ash_operator_reply (api, request->number, MHD_HTTP_OK,
                         json_pack ("{s:O, s:O, s:O}", "revision",
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Callers' requests: denied, refused in a planned stop, or routed and begun as an exchange; and the
- * end of a stop, which ends them all.
+ * Callers' requests: rejected, or routed and turned into an exchange. Also aborts all requests at
+ * the end of a planned stop.
  */
 #include "controllers/pass_model.h"
 #include "daemon/exchange.h"
@@ -9,27 +9,28 @@
 #include <string.h>
 #include <utlist.h>
 
-/* A final answer is sent this much before the time is up, so that it arrives in time. */
+/* The final answer is sent this long before the caller's deadline, so that it arrives in time. */
 #define DEADLINE_MARGIN_MS 25
 
-/* Without a caller's word on how long it waits. */
+/* Used if the caller sends no deadline. */
 #define DEADLINE_DEFAULT_MS 30000
 
-/* Requests seldom last longer, streams' waits included: the longest on the users' sheets has 57
- * events, some 80 ms apart. */
-#define USUAL_MOST_MS 5000
+/* Requests seldom take longer, including the waits of streams: the longest that users have
+ * specified has 57 events, some 80 ms apart. */
+#define USUAL_DURATION_MS 5000
 
-/* Soon after the signal to stop many callers still use the address, and a request is taken if it
- * would end in time as requests do; later, only if it must. */
-#define STOP_BEGINS_MS 3000
+/* For this long after the signal to stop, when many callers still use the address, a request is
+ * accepted if one of USUAL_DURATION_MS would end in time; later, only if its deadline is before the
+ * end of the stop. */
+#define STOP_EARLY_PHASE_MS 3000
 
-/* In a planned stop, what may not end in time goes elsewhere at once: the caller has other
- * addresses. */
-#define LEAVING_RETRY_MS 10
+/* Retry-After for requests that a stopping router rejects: short, because the caller has the
+ * addresses of other routers. */
+#define STOP_RETRY_AFTER_MS 10
 
 /* ---- requests ---- */
 
-/* Without an exchange. */
+/* Answers a request that has no exchange. */
 static void
 refuse (struct ash_http_conn *conn,
         struct ash_router *router,
@@ -46,37 +47,39 @@
   ash_metrics_add (&router->metrics, "ash_denied_total", "", 1);
   if (status == 503)
     snprintf (fields, sizeof fields, "Retry-After: 0.5\r\n");
-  ash_http_conn_answer (conn, status, fields, strlen (fields), body, (size_t) length);
+  ash_http_conn_respond (conn, status, fields, strlen (fields), body, (size_t) length);
 }
 
 static void
 deny (struct ash_http_conn *conn, struct ash_router *router, uint16_t status, const char *why)
 {
-  struct ash_request_facts facts;
+  struct ash_request_fields facts;
 
   ash_platform_request_read (&conn->reader.head, &facts);
-  refuse (conn, router, ash_request_plain_id (&facts), status, why);
+  refuse (conn, router, ash_request_log_id (&facts), status, why);
 }
 
-/* Nobody tries again after 401 or 404; so what peers know to be out of date may not say it. */
+/* Callers don't retry after 401 or 404, so a router that knows its configuration to be outdated
+ * answers 503 instead. */
 static void
 deny_by_config (struct ash_http_conn *conn,
                 struct ash_router *router,
                 uint16_t status,
                 const char *why)
 {
-  if (ash_catch_up_behind (&router->catch_up, ash_clock_now ()))
+  if (ash_peer_sync_config_is_behind (&router->peer_sync, ash_clock_now ()))
     deny (conn, router, 503, "a newer configuration is on its way");
   else
     deny (conn, router, status, why);
 }
 
-/* More requests than slots of a plain endpoint queue there; an engine's streams slow
- * each other down, so fewer than its slots run. */
+/* @return how many requests an endpoint may have in flight. A plain endpoint queues some requests
+ * beyond its slots. An engine may get fewer than its slots, because its streams slow each other
+ * down. */
 static uint32_t
-cap_of (const struct ash_router *router,
-        const struct ash_route *route,
-        const struct ash_route_service *service)
+concurrency_limit (const struct ash_router *router,
+                   const struct ash_route *route,
+                   const struct ash_route_service *service)
 {
   const struct ash_direct_endpoint *endpoint;
 
@@ -96,7 +99,7 @@
   return router->settings.plain_queue + 1;
 }
 
-/* What holds for a prompt that is to be read by the service's engines. */
+/* The limits for sending a prompt to the service's engines. */
 static struct ash_prompt_terms
 prompt_terms (const struct ash_exchange *exchange, const struct ash_route_service *service)
 {
@@ -107,7 +110,7 @@
   return (struct ash_prompt_terms){
     .per_pass = ash_prompt_gate_per_pass (&service->engine, route->pause_aim_ms, ranks,
                                           ash_fleet_size (&router->fleet)),
-    .maps_follow = ash_prompt_gate_maps_follow (&service->engine, route->aim_ms),
+    .maps_adapt_in_time = ash_prompt_gate_maps_adapt_in_time (&service->engine, route->aim_ms),
     .pause_aim_ms = route->pause_aim_ms,
     .aim_ms = route->aim_ms,
     .resumed = exchange->facts.last_event_id != NULL,
@@ -115,51 +118,54 @@
 }
 
 static void
-fill_forward (struct ash_exchange *exchange)
+init_forward (struct ash_exchange *exchange)
 {
   const struct ash_route *route = exchange->route;
   struct ash_router *router = exchange->router;
   struct ash_forward *forward = &exchange->forward;
-  uint32_t part = ash_route_table_draw (exchange->table, route, ash_random_next (&router->random));
-  const struct ash_route_service *service = &exchange->table->services[part];
+  uint32_t service_index =
+      ash_route_table_pick_service (exchange->table, route, ash_random_next (&router->random));
+  const struct ash_route_service *service = &exchange->table->services[service_index];
   uint32_t caller_ms =
       exchange->facts.deadline_ms ? exchange->facts.deadline_ms : DEADLINE_DEFAULT_MS;
-  uint32_t most_ms = caller_ms < route->timeout_ms ? caller_ms : route->timeout_ms;
+  uint32_t max_ms = caller_ms < route->timeout_ms ? caller_ms : route->timeout_ms;
 
   *forward = (struct ash_forward){
     .repeat = route->repeat,
     .servers_max = route->servers_max,
     .aim_ms = route->aim_ms,
     .service = service->name,
-    .cap = cap_of (router, route, service),
+    .cap = concurrency_limit (router, route, service),
     .pause_aim_ms = service->has_engine ? route->pause_aim_ms : 0,
-    .came = ash_clock_now (),
+    .arrived = ash_clock_now (),
   };
-  /* One that is read just after this process was away may have waited for as long: its caller waits
-   * no longer than it said, and an endpoint that is told more works for nobody. */
   if (forward->pause_aim_ms)
     forward->prompt = prompt_terms (exchange, service);
+  /* A request that is read just after the process was suspended may have waited for as long. The
+   * suspension is subtracted from its deadline, or an endpoint would work for a caller that has
+   * given up. */
   forward->deadline =
-      ash_time_add (forward->came, (int64_t) most_ms - DEADLINE_MARGIN_MS - router->away_ms);
+      ash_time_add (forward->arrived, (int64_t) max_ms - DEADLINE_MARGIN_MS - router->suspended_ms);
 }
 
-/* Whether a planned stop may come to its end before the answer does. What is under way then is cut,
- * and nobody knows whether it ran: so the time left is held against what the request may take. */
+/* Whether a planned stop may end before the request does. The request would then be aborted, and
+ * the caller would not know whether it ran. So the time left is compared with the time that the
+ * request may take. */
 static bool
-ends_too_soon (const struct ash_exchange *exchange)
+may_outlast_stop (const struct ash_exchange *exchange)
 {
   const struct ash_router *router = exchange->router;
   const struct ash_forward *forward = &exchange->forward;
-  int64_t most_ms = ash_time_diff (forward->came, forward->deadline);
+  int64_t max_ms = ash_time_diff (forward->arrived, forward->deadline);
 
   if (!router->stopping)
     return false;
-  if (router->given_up)
+  if (router->stop_expired)
     return true;
-  if (most_ms > USUAL_MOST_MS &&
-      ash_time_diff (router->stop_began, forward->came) <= STOP_BEGINS_MS)
-    most_ms = USUAL_MOST_MS;
-  return ash_time_diff (forward->came, ash_router_stop_ends (router)) < most_ms;
+  if (max_ms > USUAL_DURATION_MS &&
+      ash_time_diff (router->stop_started_at, forward->arrived) <= STOP_EARLY_PHASE_MS)
+    max_ms = USUAL_DURATION_MS;
+  return ash_time_diff (forward->arrived, ash_router_stop_deadline (router)) < max_ms;
 }
 
 static void
@@ -171,7 +177,7 @@
   const char *host = ash_http_field (head, "Host");
   const struct ash_route_account *account = NULL;
   const struct ash_route *route;
-  struct ash_request_facts facts;
+  struct ash_request_fields facts;
   struct ash_exchange *exchange;
 
   ash_platform_request_read (head, &facts);
@@ -206,11 +212,11 @@
     }
   exchange->account = account;
   exchange->facts = facts;
-  fill_forward (exchange);
+  init_forward (exchange);
   ash_resend_window_request (&ash_router_service (router, exchange->forward.service)->window,
-                             &bound, exchange->forward.came);
-  if (ends_too_soon (exchange))
-    ash_exchange_end_self (exchange, 503, ASH_FORWARD_LEAVING, LEAVING_RETRY_MS);
+                             &bound, exchange->forward.arrived);
+  if (may_outlast_stop (exchange))
+    ash_exchange_end_with_status (exchange, 503, ASH_FORWARD_LEAVING, STOP_RETRY_AFTER_MS);
   else
     ash_exchange_step (exchange);
 }
@@ -223,7 +229,7 @@
   if (!exchange)
     return;
   conn->request = NULL;
-  ash_exchange_end_gone (exchange);
+  ash_exchange_end_disconnected (exchange);
 }
 
 static void
@@ -239,11 +245,11 @@
 
 /* ---- the end of a stop ---- */
 
-/* No further endpoint is asked. What was sent somewhere may have run, unless the endpoint has
- * vouched that it did not or the connection never came up; nothing else may be told to be not run.
- */
+/* Ends the exchange without trying another endpoint. A request that was sent is reported as
+ * possibly run, unless the endpoint guarantees that it did not run or the connection was never
+ * established. */
 static void
-give_up (struct ash_exchange *exchange)
+abort_exchange (struct ash_exchange *exchange)
 {
   struct ash_forward *forward = &exchange->forward;
   uint16_t status;
@@ -251,26 +257,27 @@
   if (exchange->endpoint && ash_http_call_connecting (&exchange->call))
     ash_forward_not_run (forward, false);
   status = ash_forward_status (forward, ASH_FORWARD_LEAVING);
-  ash_exchange_end_self (exchange, status, ASH_FORWARD_LEAVING,
-                         status == 503 ? LEAVING_RETRY_MS : 0);
+  ash_exchange_end_with_status (exchange, status, ASH_FORWARD_LEAVING,
+                                status == 503 ? STOP_RETRY_AFTER_MS : 0);
 }
 
-/* One that was not read whole was sent nowhere. */
+/* Rejects requests that have not been read completely; these were not sent to any endpoint. */
 static void
-refuse_partly_read (struct ash_router *router)
+reject_partly_read (struct ash_router *router)
 {
   struct ash_http_conn *conn;
 
   DL_FOREACH (router->frontend.conns, conn)
-    if (!conn->dead && conn->state == ASH_CONN_READING)
+    if (!conn->is_closed && conn->state == ASH_CONN_READING)
       refuse (conn, router, "-", 503, "stopping");
 }
 
 void
-ash_requests_give_up_all (struct ash_router *router)
+ash_requests_abort_all (struct ash_router *router)
 {
-  /* What callers sent ahead comes up as the request before it ends, and ends at once. */
+  /* A pipelined request starts when the one before it ends, and is rejected immediately because the
+   * stop has expired. */
   while (router->exchanges)
-    give_up (router->exchanges);
-  refuse_partly_read (router);
+    abort_exchange (router->exchanges);
+  reject_partly_read (router);
 }
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -10,28 +10,30 @@
 
 #define TICK_S 0.1
 
-/* A gap in the loop's turns so long means that the process was stopped. */
-#define PAUSE_MS 1000
+/* A longer gap between two iterations of the event loop means that the process was suspended. */
+#define SUSPEND_GAP_MS 1000
 
-/* In a planned stop: how long callers may still come by an address that they keep,
- * against the time that an answer may be kept. */
-#define KEEP_TIMES 3
+/* In a planned stop callers may still come for this multiple of address_keep_ms, the time for which
+ * they may cache the router's address. */
+#define ADDRESS_KEEP_FACTOR 3
 
-/* Left of the time to stop when what is still under way is given up: for the answers to be read,
- * and the rest for a busy small box to come round and end. */
+/* Requests are aborted this long before the time to stop is over: callers must still read the
+ * answers, and a small busy box needs the rest until its process has exited. */
 #define STOP_MARGIN_MS 400
 
-/* A connection to an endpoint whose kernel answers nothing for so long is given up, also while it
- * rests: a probe after a second and its answer. Idle ones are kept for up to 3.3 s. A packet that
- * was lost is sent again after 0.2, 0.6 and 1.4 s, and then only after 3. */
+/* A connection to an endpoint, also an idle one, is closed if the endpoint's kernel has
+ * acknowledged nothing for this long: a keep-alive probe after a second and the time for its
+ * answer. Idle connections are kept for up to 3.3 s. A lost packet is retransmitted after 0.2, 0.6
+ * and 1.4 s, and then only after 3 s. */
 #define ENDPOINT_SILENCE_MS 2000
 
-/* How long callers may take to read the last answers. Those that read take some milliseconds; a
- * connection closed sooner loses what its socket did not take at once. */
+/* How long callers have to read the last answers. It takes them some milliseconds; closing a
+ * connection sooner loses the data that its socket could not send immediately. */
 #define STOP_FLUSH_MS 150
 
-/* What came while this process was away is read within some milliseconds after. */
-#define WOKE_MS 50
+/* Data that arrived while the process was suspended is read within some milliseconds of its
+ * resumption. */
+#define RESUME_READ_MS 50
 
 #define MS_PER_S 1000.0
 
@@ -57,7 +59,7 @@
 struct ash_router_service *
 ash_router_service (struct ash_router *router, const char *name)
 {
-  static struct ash_router_service none; /* without memory nothing is sent again for long */
+  static struct ash_router_service fallback; /* used when out of memory; its budget is soon spent */
   struct ash_router_service *found;
 
   HASH_FIND_STR (router->services, name, found);
@@ -65,7 +67,7 @@
     return found;
   found = calloc (1, sizeof *found);
   if (!found)
-    return &none;
+    return &fallback;
   snprintf (found->name, sizeof found->name, "%s", name);
   HASH_ADD_STR (router->services, name, found);
   return found;
@@ -82,8 +84,9 @@
     return pool;
   pool = calloc (1, sizeof *pool);
   if (pool && !ash_http_pool_init (pool, router->loop, endpoint->facts.address))
-    ash_log_event (&router->log, ASH_EV_CONFIG_REFUSED, "endpoint=%s address=%s why=\"no address\"",
-                   endpoint->facts.id, endpoint->facts.address);
+    ash_log_event (&router->log, ASH_EV_CONFIG_REFUSED,
+                   "endpoint=%s address=%s why=\"invalid address\"", endpoint->facts.id,
+                   endpoint->facts.address);
   if (pool)
     pool->silence_ms = ENDPOINT_SILENCE_MS;
   endpoint->owner = pool;
@@ -91,39 +94,39 @@
 }
 
 void
-ash_router_doubt_connections (struct ash_router *router, struct ash_time since)
+ash_router_close_idle_connections (struct ash_router *router, struct ash_time since)
 {
   for (struct ash_direct_endpoint *endpoint = router->endpoints.endpoints; endpoint;
        endpoint = endpoint->hh.next)
     if (endpoint->owner)
-      ash_http_pool_doubt (endpoint->owner, since);
+      ash_http_pool_close_idle (endpoint->owner, since);
 }
 
 static void
-on_leaving (void *data, struct ash_direct_endpoint *endpoint)
+on_endpoint_removed (void *data, struct ash_direct_endpoint *endpoint)
 {
   struct ash_router *router = data;
 
-  ash_groups_forget (&router->groups, endpoint->hash);
+  ash_map_manager_remove_endpoint (&router->groups, endpoint->hash);
   if (endpoint->owner)
     ash_http_pool_finish (endpoint->owner);
   free (endpoint->owner);
   endpoint->owner = NULL;
 }
 
-/* What is idle stands before the former life, and may be as silent as it is; so may the questions
- * to a rank. */
+/* Idle connections and requests to the endpoint's rank belong to its former process, and may be as
+ * dead as that process. */
 static void
-on_reborn (void *data, struct ash_direct_endpoint *endpoint)
+on_endpoint_restarted (void *data, struct ash_direct_endpoint *endpoint)
 {
   struct ash_router *router = data;
 
   ash_log_event (&router->log, ASH_EV_ENDPOINT_REBORN, "endpoint=%s address=%s born_ms=%lld",
                  endpoint->facts.id, endpoint->facts.address, (long long) endpoint->facts.born_ms);
-  ash_suspects_reborn (&router->suspects, endpoint->hash);
-  ash_groups_forget (&router->groups, endpoint->hash);
+  ash_suspects_record_restart (&router->suspects, endpoint->hash);
+  ash_map_manager_remove_endpoint (&router->groups, endpoint->hash);
   if (endpoint->owner)
-    ash_http_pool_move (endpoint->owner, endpoint->facts.address);
+    ash_http_pool_set_address (endpoint->owner, endpoint->facts.address);
 }
 
 /* ---- configuration ---- */
@@ -146,20 +149,20 @@
 {
   for (uint32_t i = 0; i < findings->count && i < ASH_FINDINGS_MAX; i++)
     ash_log_event (&router->log, ASH_EV_CONFIG_REFUSED,
-                   "source=%s place=%s why=\"%s\" in_force=%llu", source, findings->items[i].place,
-                   findings->items[i].text, (unsigned long long) ash_router_version (router));
+                   "source=%s place=%s why=\"%s\" in_force=%llu", source,
+                   findings->items[i].key_path, findings->items[i].text,
+                   (unsigned long long) ash_router_version (router));
 }
 
-/* Both are the router's from now on. */
+/* Activates a configuration. Takes ownership of table and text. */
 static void
-put_in_force (struct ash_router *router,
-              struct ash_route_table *table,
-              char *text,
-              size_t text_bytes)
+activate_config (struct ash_router *router,
+                 struct ash_route_table *table,
+                 char *text,
+                 size_t text_bytes)
 {
-  char *former_text = router->config_text;
-  struct ash_config_text before = { ash_router_version (router), former_text,
-                                    router->config_bytes };
+  char *old_text = router->config_text;
+  struct ash_config_text before = { ash_router_version (router), old_text, router->config_bytes };
   struct ash_config_text after = { table->version, text, text_bytes };
 
   ash_route_table_unref (router->table);
@@ -167,9 +170,9 @@
   router->config_text = text;
   router->config_bytes = text_bytes;
   apply_limits (router);
-  if (ash_store_is_read (&router->store, ASH_STORE_CONFIG))
-    ash_catch_up_tell_config (&router->catch_up, &before, &after);
-  free (former_text);
+  if (ash_store_is_polled (&router->store, ASH_STORE_CONFIG))
+    ash_peer_sync_publish_config (&router->peer_sync, &before, &after);
+  free (old_text);
 }
 
 void
@@ -203,23 +206,25 @@
                  (unsigned long long) table->version,
                  (unsigned long long) ash_router_version (router), source, table->route_count,
                  table->service_count, table->account_count);
-  put_in_force (router, table, copy, text_bytes);
+  activate_config (router, table, copy, text_bytes);
 }
 
-/* ---- time and signals ---- */
+/* ---- timers and signals ---- */
 
 struct ash_time
-ash_router_stop_ends (const struct ash_router *router)
+ash_router_stop_deadline (const struct ash_router *router)
 {
-  return ash_time_add (router->stop_began, (int64_t) router->settings.grace_ms - STOP_MARGIN_MS);
+  return ash_time_add (router->stop_started_at,
+                       (int64_t) router->settings.grace_ms - STOP_MARGIN_MS);
 }
 
 static bool
-nothing_left (const struct ash_router *router, struct ash_time now)
+stop_is_complete (const struct ash_router *router, struct ash_time now)
 {
-  int64_t keep_ms = (int64_t) router->settings.address_keep_ms * KEEP_TIMES;
+  int64_t keep_ms = (int64_t) router->settings.address_keep_ms * ADDRESS_KEEP_FACTOR;
 
-  return ash_time_diff (router->stop_began, now) > keep_ms && !ash_groups_holds (&router->groups) &&
+  return ash_time_diff (router->stop_started_at, now) > keep_ms &&
+         !ash_map_manager_holds_step (&router->groups) &&
          !ash_http_listener_busy (&router->frontend);
 }
 
@@ -232,14 +237,14 @@
   ev_timer_start (router->loop, &router->stop_timer);
 }
 
-/* The last that happens before the process ends. The requests go first: each stands on its caller's
- * connection, and the end of a call to an endpoint would have it go on elsewhere. */
+/* Ends all requests, shortly before the process exits. Requests end first: each one depends on its
+ * caller's connection, and a closed call to an endpoint would be retried at another one. */
 static void
-give_up (struct ash_router *router)
+abort_requests (struct ash_router *router)
 {
-  router->given_up = true;
-  ash_requests_give_up_all (router);
-  ash_http_listener_shut (&router->frontend);
+  router->stop_expired = true;
+  ash_requests_abort_all (router);
+  ash_http_listener_stop_accepting (&router->frontend);
   set_stop_timer (router, STOP_FLUSH_MS);
 }
 
@@ -249,10 +254,10 @@
   struct ash_router *router = timer->data;
 
   (void) events;
-  if (router->given_up)
+  if (router->stop_expired)
     ev_break (loop, EVBREAK_ALL);
   else
-    give_up (router);
+    abort_requests (router);
 }
 
 static void
@@ -264,72 +269,74 @@
   (void) loop;
   (void) events;
   ash_fleet_tick (&router->fleet, now);
-  ash_catch_up_tick (&router->catch_up, now);
+  ash_peer_sync_tick (&router->peer_sync, now);
   ash_store_tick (&router->store, now);
   ash_direct_tick (&router->endpoints, now);
   ash_suspects_tick (&router->suspects, now);
-  router->room = true;
-  if (router->stopping && !router->given_up && nothing_left (router, now))
-    give_up (router);
+  router->capacity_freed = true;
+  if (router->stopping && !router->stop_expired && stop_is_complete (router, now))
+    abort_requests (router);
 }
 
-/* The loop's timers don't count the time for which the machine was suspended: all that waits for
- * one is looked at now. */
+/* The loop's timers don't count the time for which the machine was suspended: everything that waits
+ * for a timer is checked now. */
 static void
-on_woke_timer (struct ev_loop *loop, ev_timer *timer, int events)
+on_resume_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct ash_router *router = timer->data;
 
   (void) loop;
   (void) events;
-  router->away_ms = 0;
-  ash_exchange_woke (router);
-  if (router->stopping && !router->given_up)
-    set_stop_timer (router, ash_time_diff (ash_clock_now (), ash_router_stop_ends (router)));
+  router->suspended_ms = 0;
+  ash_exchange_check_all (router);
+  if (router->stopping && !router->stop_expired)
+    set_stop_timer (router, ash_time_diff (ash_clock_now (), ash_router_stop_deadline (router)));
 }
 
-/* What others do is asked anew, nothing goes out on connections that may have ended meanwhile, and
- * what callers sent is as old as the time away may make it. */
+/* Requests to peers and the store are repeated, and idle connections closed, since the other side
+ * may have closed them during the suspension. Callers' requests that are read now may be as old as
+ * the suspension is long. */
 static void
-wake (struct ash_router *router, struct ash_time now, int64_t gap_ms)
+on_process_resumed (struct ash_router *router, struct ash_time now, int64_t gap_ms)
 {
   ash_log_event (&router->log, ASH_EV_WOKE, "gap_ms=%lld", (long long) gap_ms);
-  ash_groups_woke (&router->groups);
-  ash_fleet_woke (&router->fleet);
-  ash_store_woke (&router->store);
-  ash_router_doubt_connections (router, now);
-  router->away_ms = gap_ms;
-  ev_timer_stop (router->loop, &router->woke_timer);
-  ev_timer_set (&router->woke_timer, WOKE_MS / MS_PER_S, 0);
-  ev_timer_start (router->loop, &router->woke_timer);
+  ash_map_manager_resumed (&router->groups);
+  ash_fleet_reset_links (&router->fleet);
+  ash_store_resume (&router->store);
+  ash_router_close_idle_connections (router, now);
+  router->suspended_ms = gap_ms;
+  ev_timer_stop (router->loop, &router->resume_timer);
+  ev_timer_set (&router->resume_timer, RESUME_READ_MS / MS_PER_S, 0);
+  ev_timer_start (router->loop, &router->resume_timer);
 }
 
-/* First after the loop has slept, which lasts a tick at most. A longer gap means that
- * the process was stopped, or its machine suspended: what it holds of others is old. */
+/* Runs first after the loop has blocked, which it does for one tick at most. A longer gap means
+ * that the process or its machine was suspended: what it knows of other processes is outdated. */
 static void
-on_after_sleep (struct ev_loop *loop, ev_check *check, int events)
+on_loop_check (struct ev_loop *loop, ev_check *check, int events)
 {
   struct ash_router *router = check->data;
   struct ash_time now = ash_clock_now ();
-  int64_t gap_ms = ash_time_diff (router->last_turn, now);
+  int64_t gap_ms = ash_time_diff (router->last_iteration, now);
 
   (void) loop;
   (void) events;
-  router->last_turn = now;
-  if (gap_ms > PAUSE_MS)
-    wake (router, now, gap_ms);
+  router->last_iteration = now;
+  if (gap_ms > SUSPEND_GAP_MS)
+    on_process_resumed (router, now, gap_ms);
 }
 
-/* Last before the loop sleeps: whatever made room in this turn is used. */
+/* Runs last before the loop blocks: retries waiting requests if a slot may have become free in this
+ * iteration. */
 static void
-on_before_sleep (struct ev_loop *loop, ev_prepare *prepare, int events)
+on_loop_prepare (struct ev_loop *loop, ev_prepare *prepare, int events)
 {
   struct ash_router *router = prepare->data;
 
   (void) events;
-  if (router->room)
-    ash_exchange_room (router);
-  if (router->given_up && !ash_http_listener_has_callers (&router->frontend))
+  if (router->capacity_freed)
+    ash_exchange_step_waiting (router);
+  if (router->stop_expired && !ash_http_listener_has_callers (&router->frontend))
     ev_break (loop, EVBREAK_ALL);
 }
 
@@ -343,17 +350,18 @@
   if (router->stopping)
     {
       ash_log_event (&router->log, ASH_EV_CUT_SHORT, "signal=%d", watcher->signum);
-      if (!router->given_up)
-        give_up (router);
+      if (!router->stop_expired)
+        abort_requests (router);
       return;
     }
   router->stopping = true;
-  router->stop_began = ash_clock_now ();
+  router->stop_started_at = ash_clock_now ();
   ash_log_event (&router->log, ASH_EV_STOPPING, "signal=%d busy=%u", watcher->signum,
                  ash_http_listener_busy (&router->frontend));
   ash_http_listener_drain (&router->frontend);
-  ash_fleet_leave (&router->fleet);
-  set_stop_timer (router, ash_time_diff (router->stop_began, ash_router_stop_ends (router)));
+  ash_fleet_announce_stop (&router->fleet);
+  set_stop_timer (router,
+                  ash_time_diff (router->stop_started_at, ash_router_stop_deadline (router)));
 }
 
 static void
@@ -368,7 +376,7 @@
   ash_findings_init (&findings, router->settings_path);
   ash_router_settings_read_file (&settings, router->settings_path, &findings);
   ash_log_event (&router->log, ASH_EV_RELOADED, "findings=%u", findings.count);
-  /* Addresses and the box's name hold for the process's life. */
+  /* Addresses and the box's name can't change while the process runs. */
   if (!findings.count)
     {
       router->settings.wait_ms = settings.wait_ms;
@@ -383,7 +391,7 @@
   ash_findings_finish (&findings);
 }
 
-/* ---- life ---- */
+/* ---- start and end ---- */
 
 static bool
 listen_at (struct ash_router *router,
@@ -399,17 +407,17 @@
 }
 
 static bool
-open_all (struct ash_router *router)
+open_listeners (struct ash_router *router)
 {
   const struct ash_router_settings *settings = &router->settings;
 
   if (!listen_at (router, &router->frontend, settings->frontend_listen, &ash_requests_handler) ||
       !listen_at (router, &router->readiness, settings->readiness_listen, &ash_readiness_handler) ||
       !listen_at (router, &router->directory, settings->directory_listen, &ash_directory_handler) ||
-      !listen_at (router, &router->figures, settings->metrics_listen, &ash_figures_handler))
+      !listen_at (router, &router->metrics_page, settings->metrics_listen, &ash_metrics_handler))
     return false;
   router->frontend.conn_max = settings->connections_max;
-  ash_catch_up_open (&router->catch_up, router);
+  ash_peer_sync_open (&router->peer_sync, router);
   ash_suspects_open (&router->suspects, router, &ash_exchange_suspects_handler);
   if (!ash_fleet_open (&router->fleet, router))
     {
@@ -417,7 +425,7 @@
                      settings->peer_listen, strerror (errno));
       return false;
     }
-  ash_groups_open (&router->groups, router);
+  ash_map_manager_open (&router->groups, router);
   return ash_store_open (&router->store, router);
 }
 
@@ -440,16 +448,16 @@
   ev_timer_start (router->loop, &router->tick);
   ev_init (&router->stop_timer, on_stop_timer);
   router->stop_timer.data = router;
-  ev_init (&router->woke_timer, on_woke_timer);
-  router->woke_timer.data = router;
-  router->last_turn = ash_clock_now ();
-  ev_check_init (&router->after_sleep, on_after_sleep);
-  ev_set_priority (&router->after_sleep, EV_MAXPRI);
-  router->after_sleep.data = router;
-  ev_check_start (router->loop, &router->after_sleep);
-  ev_prepare_init (&router->before_sleep, on_before_sleep);
-  router->before_sleep.data = router;
-  ev_prepare_start (router->loop, &router->before_sleep);
+  ev_init (&router->resume_timer, on_resume_timer);
+  router->resume_timer.data = router;
+  router->last_iteration = ash_clock_now ();
+  ev_check_init (&router->loop_check, on_loop_check);
+  ev_set_priority (&router->loop_check, EV_MAXPRI);
+  router->loop_check.data = router;
+  ev_check_start (router->loop, &router->loop_check);
+  ev_prepare_init (&router->loop_prepare, on_loop_prepare);
+  router->loop_prepare.data = router;
+  ev_prepare_start (router->loop, &router->loop_prepare);
   watch_signal (router, &router->on_term, SIGTERM, on_stop);
   watch_signal (router, &router->on_int, SIGINT, on_stop);
   watch_signal (router, &router->on_hup, SIGHUP, on_reload);
@@ -477,11 +485,11 @@
     randombytes_buf (&router->incarnation, sizeof router->incarnation);
   ash_random_init (&router->random, router->incarnation);
   ash_direct_init (&router->endpoints, ash_random_next (&router->random));
-  router->endpoints.leaving = on_leaving;
-  router->endpoints.reborn = on_reborn;
+  router->endpoints.before_free = on_endpoint_removed;
+  router->endpoints.restarted = on_endpoint_restarted;
   router->endpoints.data = router;
   ash_metrics_init (&router->metrics);
-  router->frontend.fd = router->readiness.fd = router->directory.fd = router->figures.fd = -1;
+  router->frontend.fd = router->readiness.fd = router->directory.fd = router->metrics_page.fd = -1;
   return router->loop != NULL;
 }
 
@@ -494,9 +502,9 @@
   ash_http_listener_finish (&router->frontend);
   ash_http_listener_finish (&router->readiness);
   ash_http_listener_finish (&router->directory);
-  ash_http_listener_finish (&router->figures);
+  ash_http_listener_finish (&router->metrics_page);
   ash_store_close (&router->store);
-  ash_groups_close (&router->groups);
+  ash_map_manager_close (&router->groups);
   ash_suspects_close (&router->suspects);
   ash_direct_finish (&router->endpoints);
   ash_fleet_close (&router->fleet);
@@ -518,10 +526,11 @@
   router->settings_path = settings_path;
   if (!init (router))
     return false;
-  /* Before it can be reached: a signal that came in between ended the process with what callers had
-   * sent it, 193 times of 200 that were signalled as soon as it could be connected to. */
+  /* Signal handlers must be installed before the listeners open: in a test that sent a signal as
+   * soon as it could connect, the signal came first in 193 of 200 runs and ended the process
+   * together with callers' requests. */
   start_watchers (router);
-  ok = open_all (router);
+  ok = open_listeners (router);
   if (ok)
     {
       ash_log_event (&router->log, ASH_EV_STARTED, "incarnation=%016llx hall=%s frontend=%s",
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -6,18 +6,19 @@
 #include <stdlib.h>
 #include <utlist.h>
 
-/* A machine whose process has ended refuses a connection within a round trip: a few milliseconds in
- * a region, some 40 to another one. Nothing at all says nothing. */
-#define PROBE_MS 100
+/* Timeout of a probe. A machine whose process has ended refuses connections within a round trip: a
+ * few milliseconds within a region, some 40 to another region. If a probe gets no reaction at all,
+ * it shows nothing. */
+#define PROBE_TIMEOUT_MS 100
 
 #define MS_PER_S 1000.0
 
-/* A router that comes is told of so many requests by each peer: the newest, since such a request
- * comes again within seconds. */
-#define TELL_NEW_MAX 32
+/* Upper limit of requests in the evidence for a newly linked peer: the newest ones, since callers
+ * resubmit such a request within seconds. */
+#define SEND_NEW_MAX 32
 
-/* A connection to an endpoint, made to see whether anything listens there. */
-struct ash_end_probe
+/* A connection to an endpoint, made to find out whether anything accepts it. */
+struct ash_suspect_probe
 {
   struct ash_suspects *suspects;
   uint64_t endpoint;
@@ -25,11 +26,11 @@
   bool refused;
   struct ash_stream stream;
   ev_timer timer;
-  struct ash_end_probe *prev;
-  struct ash_end_probe *next;
+  struct ash_suspect_probe *prev;
+  struct ash_suspect_probe *next;
 };
 
-/* ---- telling peers ---- */
+/* ---- sending to peers ---- */
 
 static struct Ash__SuspectRun
 message_of (const struct ash_quarantine_run *run, struct ash_time now)
@@ -45,16 +46,16 @@
   return message;
 }
 
-/* @param box NULL: all peers that there are links to. */
+/* @param box NULL: all linked peers. */
 static void
-tell (struct ash_suspects *suspects,
-      const char *box,
-      struct Ash__SuspectRun messages[],
-      size_t count)
+send_messages (struct ash_suspects *suspects,
+               const char *box,
+               struct Ash__SuspectRun messages[],
+               size_t count)
 {
-  struct Ash__SuspectRun *list[ASH_QUARANTINE_CUTS];
+  struct Ash__SuspectRun *list[ASH_QUARANTINE_DISCONNECTS];
   struct Ash__SuspectRuns runs = ASH__SUSPECT_RUNS__INIT;
-  struct Ash__Event event = ash_event_of ("", ASH__EVENT__KIND_SUSPECT_RUNS, &runs);
+  struct Ash__Event event = ash_event_wrap ("", ASH__EVENT__KIND_SUSPECT_RUNS, &runs);
 
   for (size_t i = 0; i < count; i++)
     list[i] = &messages[i];
@@ -67,21 +68,21 @@
 }
 
 void
-ash_suspects_tell_peer (struct ash_suspects *suspects, const char *box)
+ash_suspects_send (struct ash_suspects *suspects, const char *box)
 {
-  struct Ash__SuspectRun messages[TELL_NEW_MAX * ASH_QUARANTINE_RUNS];
+  struct Ash__SuspectRun messages[SEND_NEW_MAX * ASH_QUARANTINE_RUNS];
   const struct ash_quarantine_suspect *suspect = suspects->quarantine.suspects;
   uint32_t skip = HASH_COUNT (suspect);
   struct ash_time now = ash_clock_now ();
   size_t count = 0;
 
-  for (skip = skip > TELL_NEW_MAX ? skip - TELL_NEW_MAX : 0; skip; skip--)
+  for (skip = skip > SEND_NEW_MAX ? skip - SEND_NEW_MAX : 0; skip; skip--)
     suspect = suspect->hh.next;
   for (; suspect; suspect = suspect->hh.next)
     for (uint32_t i = 0; i < suspect->count; i++)
       messages[count++] = message_of (&suspect->runs[i], now);
   if (count)
-    tell (suspects, box, messages, count);
+    send_messages (suspects, box, messages, count);
 }
 
 /* ---- evidence ---- */
@@ -94,12 +95,13 @@
   return ash_quarantine_left_ms (&suspects->quarantine, request, now);
 }
 
-/* Says so if the request is kept away since this run. */
+/* Logs a request that this run has caused to be quarantined, and notifies the owner of the requests
+ * in progress. */
 static void
-note_quarantined (struct ash_suspects *suspects,
-                  const struct ash_quarantine_run *run,
-                  struct ash_time now,
-                  const char *source)
+report_quarantine (struct ash_suspects *suspects,
+                   const struct ash_quarantine_run *run,
+                   struct ash_time now,
+                   const char *source)
 {
   int64_t left_ms = ash_suspects_left_ms (suspects, run->request, now);
   char digest[ASH_ID_TEXT_BYTES];
@@ -110,43 +112,45 @@
   ash_id_format (run->request, digest);
   ash_log_event (&suspects->router->log, ASH_EV_QUARANTINED,
                  "digest=%s ends=%u spoke=%d for_ms=%lld source=%s", digest,
-                 ash_quarantine_ends (&suspects->quarantine, run->request), run->spoke,
+                 ash_quarantine_exits (&suspects->quarantine, run->request), run->spoke,
                  (long long) left_ms, source);
   suspects->handler->quarantined (suspects->router, run->request);
 }
 
 static void
-take_end (struct ash_suspects *suspects, uint64_t endpoint, enum ash_quarantine_proof proof)
+handle_endpoint_end (struct ash_suspects *suspects,
+                     uint64_t endpoint,
+                     enum ash_quarantine_evidence proof)
 {
-  struct ash_quarantine_run found[ASH_QUARANTINE_CUTS];
-  struct Ash__SuspectRun messages[ASH_QUARANTINE_CUTS];
+  struct ash_quarantine_run found[ASH_QUARANTINE_DISCONNECTS];
+  struct Ash__SuspectRun messages[ASH_QUARANTINE_DISCONNECTS];
   struct ash_time now = ash_clock_now ();
   const struct ash_direct_endpoint *known =
       ash_direct_find_hash (&suspects->router->endpoints, endpoint);
-  size_t count = ash_quarantine_ended (&suspects->quarantine, endpoint, proof, now, found);
+  size_t count = ash_quarantine_note_exit (&suspects->quarantine, endpoint, proof, now, found);
 
   if (!count)
     return;
   suspects->ended++;
   ash_log_event (&suspects->router->log, ASH_EV_ENDPOINT_ENDED, "endpoint=%s requests=%zu proof=%s",
                  known ? known->facts.id : "-", count,
-                 proof == ASH_QUARANTINE_REFUSES ? "refuses" : "reborn");
+                 proof == ASH_QUARANTINE_CONNECT_REFUSED ? "refuses" : "reborn");
   for (size_t i = 0; i < count; i++)
     messages[i] = message_of (&found[i], now);
-  tell (suspects, NULL, messages, count);
+  send_messages (suspects, NULL, messages, count);
   for (size_t i = 0; i < count; i++)
-    note_quarantined (suspects, &found[i], now, "own");
+    report_quarantine (suspects, &found[i], now, "own");
 }
 
 void
-ash_suspects_reborn (struct ash_suspects *suspects, uint64_t endpoint)
+ash_suspects_record_restart (struct ash_suspects *suspects, uint64_t endpoint)
 {
-  take_end (suspects, endpoint, ASH_QUARANTINE_REBORN);
+  handle_endpoint_end (suspects, endpoint, ASH_QUARANTINE_RESTARTED);
 }
 
-/* @return whether it was suspected. */
+/* @return whether the request was suspected of ending endpoints. */
 static bool
-clear (struct ash_suspects *suspects, struct ash_id request, const char *source)
+clear_suspect (struct ash_suspects *suspects, struct ash_id request, const char *source)
 {
   char digest[ASH_ID_TEXT_BYTES];
 
@@ -159,47 +163,47 @@
 }
 
 void
-ash_suspects_answered (struct ash_suspects *suspects, struct ash_id request)
+ash_suspects_record_success (struct ash_suspects *suspects, struct ash_id request)
 {
   struct Ash__SuspectRun message = ASH__SUSPECT_RUN__INIT;
 
-  if (!clear (suspects, request, "own"))
+  if (!clear_suspect (suspects, request, "own"))
     return;
   message.request_hi = request.hi;
   message.request_lo = request.lo;
   message.cleared = true;
-  tell (suspects, NULL, &message, 1);
+  send_messages (suspects, NULL, &message, 1);
 }
 
 void
-ash_suspects_told (struct ash_suspects *suspects,
-                   const char *peer,
-                   const struct Ash__SuspectRuns *message)
+ash_suspects_receive (struct ash_suspects *suspects,
+                      const char *peer,
+                      const struct Ash__SuspectRuns *message)
 {
   struct ash_time now = ash_clock_now ();
 
   for (size_t i = 0; i < message->n_runs; i++)
     {
-      const struct Ash__SuspectRun *told = message->runs[i];
+      const struct Ash__SuspectRun *item = message->runs[i];
       struct ash_quarantine_run run = {
-        .request = { told->request_hi, told->request_lo },
-        .endpoint = told->endpoint,
-        .ended = ash_time_add (now, -(int64_t) told->age_ms),
-        .spoke = told->spoke,
+        .request = { item->request_hi, item->request_lo },
+        .endpoint = item->endpoint,
+        .ended = ash_time_add (now, -(int64_t) item->age_ms),
+        .spoke = item->spoke,
       };
 
-      run.sent = ash_time_add (run.ended, -(int64_t) told->lasted_ms);
-      if (told->cleared)
-        clear (suspects, run.request, peer);
-      else if (ash_quarantine_take (&suspects->quarantine, &run))
-        note_quarantined (suspects, &run, now, peer);
+      run.sent = ash_time_add (run.ended, -(int64_t) item->lasted_ms);
+      if (item->cleared)
+        clear_suspect (suspects, run.request, peer);
+      else if (ash_quarantine_add_run (&suspects->quarantine, &run))
+        report_quarantine (suspects, &run, now, peer);
     }
 }
 
-/* ---- asking ---- */
+/* ---- probes ---- */
 
 static void
-free_probe (struct ash_end_probe *probe)
+free_probe (struct ash_suspect_probe *probe)
 {
   if (probe->open)
     ash_stream_finish (&probe->stream);
@@ -209,15 +213,15 @@
 }
 
 static void
-end_probe (struct ash_end_probe *probe, bool refused)
+finish_probe (struct ash_suspect_probe *probe, bool refused)
 {
   struct ash_suspects *suspects = probe->suspects;
   uint64_t endpoint = probe->endpoint;
 
   free_probe (probe);
   if (refused)
-    take_end (suspects, endpoint, ASH_QUARANTINE_REFUSES);
-  suspects->handler->asked (suspects->router, endpoint);
+    handle_endpoint_end (suspects, endpoint, ASH_QUARANTINE_CONNECT_REFUSED);
+  suspects->handler->probed (suspects->router, endpoint);
 }
 
 static void
@@ -225,20 +229,20 @@
 {
   (void) bytes;
   (void) length;
-  end_probe (stream->owner, false);
+  finish_probe (stream->owner, false);
 }
 
 static void
 on_probe_end (struct ash_stream *stream, enum ash_stream_end end)
 {
-  end_probe (stream->owner, end == ASH_STREAM_NO_CONNECT && stream->refused);
+  finish_probe (stream->owner, end == ASH_STREAM_CONNECT_FAILED && stream->refused);
 }
 
-/* The connection is up: something listens. */
+/* The connection has been established: the endpoint still runs. */
 static void
 on_probe_drained (struct ash_stream *stream)
 {
-  end_probe (stream->owner, false);
+  finish_probe (stream->owner, false);
 }
 
 static const struct ash_stream_handler probe_handler = { on_probe_data, on_probe_end,
@@ -247,17 +251,17 @@
 static void
 on_probe_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  struct ash_end_probe *probe = timer->data;
+  struct ash_suspect_probe *probe = timer->data;
 
   (void) loop;
   (void) events;
-  end_probe (probe, probe->refused);
+  finish_probe (probe, probe->refused);
 }
 
 static void
 start_probe (struct ash_suspects *suspects, uint64_t endpoint, const struct sockaddr_in *address)
 {
-  struct ash_end_probe *probe = calloc (1, sizeof *probe);
+  struct ash_suspect_probe *probe = calloc (1, sizeof *probe);
   struct ev_loop *loop = suspects->router->loop;
 
   if (!probe)
@@ -266,28 +270,29 @@
   probe->endpoint = endpoint;
   probe->open = ash_stream_connect (&probe->stream, loop, address, &probe_handler, probe);
   probe->refused = !probe->open && errno == ECONNREFUSED;
-  /* One that could not be begun ends when the loop comes round: its owner is at work now. */
-  ev_timer_init (&probe->timer, on_probe_timer, probe->open ? PROBE_MS / MS_PER_S : 0, 0);
+  /* A probe that failed to start ends in the next iteration of the event loop, since its caller is
+   * not ready for the result. */
+  ev_timer_init (&probe->timer, on_probe_timer, probe->open ? PROBE_TIMEOUT_MS / MS_PER_S : 0, 0);
   probe->timer.data = probe;
   ev_timer_start (loop, &probe->timer);
   DL_APPEND (suspects->probes, probe);
 }
 
 void
-ash_suspects_cut (struct ash_suspects *suspects,
-                  const struct sockaddr_in *address,
-                  const struct ash_quarantine_run *run)
+ash_suspects_record_disconnect (struct ash_suspects *suspects,
+                                const struct sockaddr_in *address,
+                                const struct ash_quarantine_run *run)
 {
-  const struct ash_end_probe *probe;
+  const struct ash_suspect_probe *probe;
 
-  ash_quarantine_cut (&suspects->quarantine, run);
+  ash_quarantine_note_disconnect (&suspects->quarantine, run);
   DL_FOREACH (suspects->probes, probe)
     if (probe->endpoint == run->endpoint)
       return;
   start_probe (suspects, run->endpoint, address);
 }
 
-/* ---- life ---- */
+/* ---- start and end ---- */
 
 void
 ash_suspects_open (struct ash_suspects *suspects,
--- a/filters/attempt.c
+++ b/filters/attempt.c
@@ -11,7 +11,6 @@
   return request;
 }
 
-/* From now on frames of the present attempt are not for this request. */
 void
 ash_attempt_unbind (struct ash_entry *entry, struct ash_request *request)
 {
@@ -38,7 +37,7 @@
 }
 
 bool
-ash_entry_linked (const struct ash_entry *entry, const char *name)
+ash_entry_has_link (const struct ash_entry *entry, const char *name)
 {
   const struct ash_box *box = ash_membership_find (&entry->membership, name);
 
@@ -50,7 +49,7 @@
 {
   struct Ash__Cancel cancel = ASH__CANCEL__INIT;
 
-  if (request->state != ASH_REQUEST_SENT || !ash_entry_linked (entry, request->box))
+  if (request->state != ASH_REQUEST_SENT || !ash_entry_has_link (entry, request->box))
     return;
   cancel.id_hi = request->id.hi;
   cancel.id_lo = request->id.lo;
@@ -66,13 +65,13 @@
   int64_t left_ms = ash_time_diff (now, ash_planned_stop_cap (&entry->stop, request->deadline));
   char id[ASH_ID_TEXT_BYTES];
 
-  /* The end of the request is told with the next tick. */
+  /* The deadline may have passed already; the next tick then ends the request. */
   if (left_ms < 0)
     left_ms = 0;
   if (request->tries < ASH_REQUEST_TRIES_MAX)
     {
       strcpy (request->tried[request->tries], request->box);
-      request->tried_lives[request->tries] = request->incarnation;
+      request->tried_incarnations[request->tries] = request->incarnation;
     }
   request->tries++;
   ash_attempt_bind (entry, request);
--- a/filters/chain.c
+++ b/filters/chain.c
@@ -2,8 +2,8 @@
 
 #include <stdlib.h>
 
-/* Cheap checks first; the limit before anything that costs an endpoint; the
- * key's home before the route, which only chooses where there is no home. */
+/* Cheap checks run first. The limit runs before filters that select an endpoint. The key filter
+ * runs before the route filter, which selects an endpoint only for requests without a home. */
 static const struct ash_filter_info *const filters[ASH_CHAIN_FILTERS] = {
   &ash_filter_account, &ash_filter_service, &ash_filter_deadline,
   &ash_filter_limit,   &ash_filter_key,     &ash_filter_route,
@@ -52,7 +52,7 @@
 }
 
 enum ash_verdict
-ash_refuse (struct ash_request *request, int reason, uint32_t retry_ms)
+ash_filter_refuse (struct ash_request *request, int reason, uint32_t retry_ms)
 {
   request->reason = reason;
   request->retry_ms = retry_ms;
@@ -60,7 +60,7 @@
 }
 
 uint32_t
-ash_spread_retry_ms (const struct ash_filter_context *context)
+ash_filter_retry_ms (const struct ash_filter_context *context)
 {
   uint32_t base_ms = context->settings->retry_after_ms;
 
--- a/filters/limit.c
+++ b/filters/limit.c
@@ -1,9 +1,10 @@
 /**
  * @file
- * Filter: the account's limit. This entry enforces its part of it, dealt over
- * the published list and never over whom it believes alive; else both sides of
- * a cut would each take the whole. What a declared event reserves for the account
- * comes first, with the event's priority; above it the account's own limit counts.
+ * Filter: the account's rate limit. This entry enforces its share. The limit is divided by the
+ * number of entries in the published list, not by the number that seem to be up: otherwise both
+ * sides of a network partition would each allow the whole limit. Requests first count against the
+ * account's reservation of a declared event, if there is one, and get the event's priority. Above
+ * the reservation the account's own limit applies.
  */
 #include "controllers/declared.h"
 #include "filters/filter.h"
@@ -42,7 +43,7 @@
   if (parts > document->entry_count)
     parts = document->entry_count;
   if (ash_document_entry_rank (document, account, context->settings->box) < 0)
-    return ash_refuse (request, ASH__REASON__MISDIRECTED, 1);
+    return ash_filter_refuse (request, ASH__REASON__MISDIRECTED, 1);
   if (reservation && ash_limits_take_reserved (&priv->limits, now, reservation, parts))
     {
       request->priority = reservation->priority;
@@ -51,8 +52,8 @@
   wait_ms = ash_limits_take (&priv->limits, now, account, parts);
   if (wait_ms == 0)
     return ASH_VERDICT_NEXT;
-  return ash_refuse (request, ASH__REASON__LIMIT,
-                     wait_ms + ash_random_below (context->random, wait_ms + 1));
+  return ash_filter_refuse (request, ASH__REASON__LIMIT,
+                            wait_ms + ash_random_below (context->random, wait_ms + 1));
 }
 
 const struct ash_filter_info ash_filter_limit = {
--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -9,7 +9,7 @@
 #include <unistd.h>
 #include <utlist.h>
 
-/* Until a configuration says otherwise. */
+/* Limits until a configuration sets others. */
 #define HEAD_MAX_BYTES 16384
 #define BODY_MAX_BYTES (4 * 1024 * 1024)
 #define HEAD_TIMEOUT_MS 3000
@@ -17,22 +17,23 @@
 
 #define SWEEP_S 0.1
 
-/* A caller whose kernel answers nothing for so long is gone, and what runs for it is stopped: as
- * long as a resent packet takes, as for what is written (net/stream.c). */
+/* Keep-alive timeout of callers: then the caller counts as disconnected, and its request is
+ * cancelled. As long as the retransmission of a lost packet takes, like USER_TIMEOUT_MS of
+ * net/stream.c. */
 #define CALLER_SILENCE_MS 3000
 
-/* What a caller may send ahead while a request is served, before it is held back. */
-#define EARLY_MAX_BYTES 16384
+/* Bytes that a caller may send while its request is served, before reading is stopped. */
+#define PIPELINED_MAX_BYTES 16384
 
-/* All bodies that a process holds at once: a quarter of a small box's memory. */
+/* Limit on all request bodies of a listener together: a quarter of a small box's memory. */
 #define BODIES_MAX_BYTES (48 * 1024 * 1024)
 
-/* A listener that closes leaves a new connection time for its first request, which is on its way:
- * so long callers wait for one to come up. */
-#define FRESH_MS 1000
+/* While a listener closes, how long a connection without a request may still send its first one,
+ * which may be in transit: as long as callers wait for a connection to be established. */
+#define FIRST_REQUEST_WAIT_MS 1000
 
-/* How long a caller may take to read the end of an answer on a connection that closes. */
-#define CLOSING_MS 3000
+/* How long a caller may take to read the rest of a response on a connection that is closing. */
+#define CLOSING_TIMEOUT_MS 3000
 
 static void
 set_state (struct ash_http_conn *conn, enum ash_conn_state state)
@@ -48,14 +49,14 @@
   ash_buffer_finish (&conn->body);
 }
 
-/* Freed by the sweep: a handler further up may still hold it. */
+/* Closes the stream; the sweep frees the connection, as callers on the stack may still use it. */
 static void
-kill_conn (struct ash_http_conn *conn)
+close_caller (struct ash_http_conn *conn)
 {
   ash_stream_finish (&conn->stream);
   drop_body (conn);
-  ash_buffer_finish (&conn->early);
-  conn->dead = true;
+  ash_buffer_finish (&conn->pipelined);
+  conn->is_closed = true;
 }
 
 static void
@@ -64,21 +65,21 @@
   ash_stream_finish (&conn->stream);
   ash_http_reader_finish (&conn->reader);
   ash_buffer_finish (&conn->body);
-  ash_buffer_finish (&conn->early);
+  ash_buffer_finish (&conn->pipelined);
   DL_DELETE (conn->listener->conns, conn);
   conn->listener->conn_count--;
   free (conn);
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
-/* A listener that closes still answers what was sent ahead: its caller could not tell whether
- * a request that was read, and then dropped, has run. */
+/* While the listener closes, pipelined requests that were received are still served: if they were
+ * dropped, the caller could not know whether they ran. */
 static bool
-keeps (const struct ash_http_conn *conn)
+stays_open (const struct ash_http_conn *conn)
 {
   return conn->reader.head.keep_alive && conn->reader.done &&
-         (!conn->listener->closing || conn->early.length);
+         (!conn->listener->closing || conn->pipelined.length);
 }
 
 static void
@@ -91,11 +92,12 @@
   char line[256];
   int length;
 
-  conn->keep = keeps (conn);
-  length = snprintf (line, sizeof line, "HTTP/1.1 %u %s\r\n%s%s", status, ash_http_reason (status),
-                     framing, conn->keep ? "" : "Connection: close\r\n");
+  conn->keep_open = stays_open (conn);
+  length = snprintf (line, sizeof line, "HTTP/1.1 %u %s\r\n%s%s", status,
+                     ash_http_reason_phrase (status), framing,
+                     conn->keep_open ? "" : "Connection: close\r\n");
   conn->head_sent = true;
-  /* One write for the whole head: fewer system calls. */
+  /* Only queued: the head is sent in one system call together with the start of the body. */
   ash_buffer_append (&conn->stream.out, line, (size_t) length);
   ash_buffer_append (&conn->stream.out, fields, fields_bytes);
   ash_buffer_append (&conn->stream.out, "\r\n", 2);
@@ -104,15 +106,15 @@
 static void feed (struct ash_http_conn *conn, const uint8_t *bytes, size_t length);
 
 static void
-finish_answer (struct ash_http_conn *conn)
+finish_response (struct ash_http_conn *conn)
 {
-  struct ash_buffer early = conn->early;
+  struct ash_buffer pipelined = conn->pipelined;
 
   conn->request = NULL;
   conn->head_sent = false;
-  conn->answered = true;
+  conn->had_request = true;
   drop_body (conn);
-  if (!conn->keep)
+  if (!conn->keep_open)
     {
       set_state (conn, ASH_CONN_CLOSING);
       if (!conn->stream.out.length)
@@ -126,32 +128,32 @@
   ash_http_reader_next (&conn->reader);
   conn->continue_sent = false;
   ash_stream_pause (&conn->stream, false);
-  if (!early.length)
+  if (!pipelined.length)
     return;
-  conn->early = (struct ash_buffer){ 0 };
-  feed (conn, early.bytes + early.start, early.length);
-  ash_buffer_finish (&early);
+  conn->pipelined = (struct ash_buffer){ 0 };
+  feed (conn, pipelined.bytes + pipelined.start, pipelined.length);
+  ash_buffer_finish (&pipelined);
 }
 
 void
-ash_http_conn_answer (struct ash_http_conn *conn,
-                      uint16_t status,
-                      const char *fields,
-                      size_t fields_bytes,
-                      const void *body,
-                      size_t body_bytes)
+ash_http_conn_respond (struct ash_http_conn *conn,
+                       uint16_t status,
+                       const char *fields,
+                       size_t fields_bytes,
+                       const void *body,
+                       size_t body_bytes)
 {
   bool head_only = conn->reader.head.method && strcmp (conn->reader.head.method, "HEAD") == 0;
   char framing[64];
 
-  if (conn->dead)
+  if (conn->is_closed)
     return;
   snprintf (framing, sizeof framing, "Content-Length: %zu\r\n", body_bytes);
   write_head (conn, status, fields, fields_bytes, framing);
   ash_stream_write (&conn->stream, body, head_only ? 0 : body_bytes);
   if (!body_bytes || head_only)
     ash_stream_write (&conn->stream, "", 0);
-  finish_answer (conn);
+  finish_response (conn);
 }
 
 void
@@ -160,7 +162,7 @@
                      const char *fields,
                      size_t fields_bytes)
 {
-  if (conn->dead)
+  if (conn->is_closed)
     return;
   conn->chunked = !conn->reader.head.http_1_0;
   if (!conn->chunked)
@@ -174,7 +176,7 @@
 {
   char size[32];
 
-  if (conn->dead || !length)
+  if (conn->is_closed || !length)
     return;
   if (conn->chunked)
     {
@@ -188,25 +190,25 @@
 }
 
 void
-ash_http_conn_end (struct ash_http_conn *conn, bool whole)
+ash_http_conn_end (struct ash_http_conn *conn, bool complete)
 {
-  if (conn->dead)
+  if (conn->is_closed)
     return;
-  if (whole && conn->chunked)
+  if (complete && conn->chunked)
     ash_stream_write (&conn->stream, "0\r\n\r\n", 5);
-  if (!whole)
+  if (!complete)
     {
-      conn->keep = false;
-      /* Without chunks a plain close would look like the answer's end. */
+      conn->keep_open = false;
+      /* Without chunked coding, a regular close would mark the end of a complete response. */
       if (!conn->chunked)
         {
           ash_stream_reset (&conn->stream);
-          kill_conn (conn);
+          close_caller (conn);
           conn->request = NULL;
           return;
         }
     }
-  finish_answer (conn);
+  finish_response (conn);
 }
 
 size_t
@@ -218,30 +220,30 @@
 /* ---- requests ---- */
 
 static void
-answer_error (struct ash_http_conn *conn, uint16_t status, const char *text)
+respond_error (struct ash_http_conn *conn, uint16_t status, const char *text)
 {
   conn->reader.head.keep_alive = false;
   set_state (conn, ASH_CONN_SERVING);
-  ash_http_conn_answer (conn, status, "", 0, text, strlen (text));
+  ash_http_conn_respond (conn, status, "", 0, text, strlen (text));
 }
 
 static void
-answer_unread (struct ash_http_conn *conn)
+respond_unreadable (struct ash_http_conn *conn)
 {
   switch (conn->reader.error)
     {
     case ASH_HTTP_HEAD_TOO_LARGE:
-      answer_error (conn, 431, "the head of the request is too large\n");
+      respond_error (conn, 431, "the head of the request is too large\n");
       break;
     case ASH_HTTP_BODY_TOO_LARGE:
-      answer_error (conn, 413, "the body of the request is too large\n");
+      respond_error (conn, 413, "the body of the request is too large\n");
       break;
-    case ASH_HTTP_UNKNOWN_CODING:
-      answer_error (conn, 501, "only the transfer coding chunked is known\n");
+    case ASH_HTTP_UNSUPPORTED_CODING:
+      respond_error (conn, 501, "only the transfer coding chunked is known\n");
       break;
     case ASH_HTTP_MALFORMED:
     case ASH_HTTP_OK:
-      answer_error (conn, 400, "the request is malformed\n");
+      respond_error (conn, 400, "the request is malformed\n");
       break;
     }
 }
@@ -280,17 +282,17 @@
 static void
 feed (struct ash_http_conn *conn, const uint8_t *bytes, size_t length)
 {
-  size_t taken;
+  size_t consumed;
 
   if (conn->state == ASH_CONN_IDLE)
     set_state (conn, ASH_CONN_READING);
-  taken = ash_http_reader_feed (&conn->reader, bytes, length);
-  if (!conn->reader.begun)
+  consumed = ash_http_reader_feed (&conn->reader, bytes, length);
+  if (!conn->reader.started)
     set_state (conn, ASH_CONN_IDLE);
-  if (taken < length && !conn->reader.error)
-    ash_buffer_append (&conn->early, bytes + taken, length - taken);
+  if (consumed < length && !conn->reader.error)
+    ash_buffer_append (&conn->pipelined, bytes + consumed, length - consumed);
   if (conn->reader.error)
-    answer_unread (conn);
+    respond_unreadable (conn);
   else if (conn->reader.done)
     {
       set_state (conn, ASH_CONN_SERVING);
@@ -310,12 +312,12 @@
       feed (conn, bytes, length);
       break;
     case ASH_CONN_SERVING:
-      ash_buffer_append (&conn->early, bytes, length);
-      if (conn->early.length > EARLY_MAX_BYTES)
+      ash_buffer_append (&conn->pipelined, bytes, length);
+      if (conn->pipelined.length > PIPELINED_MAX_BYTES)
         ash_stream_pause (&conn->stream, true);
       break;
     case ASH_CONN_CLOSING:
-      break; /* read and dropped, so that the close is no reset */
+      break; /* discarded: closing a socket with unread bytes would reset the connection */
     }
 }
 
@@ -326,9 +328,9 @@
   bool serving = conn->state == ASH_CONN_SERVING;
 
   (void) end;
-  kill_conn (conn);
+  close_caller (conn);
   if (serving)
-    conn->listener->handler->gone (conn);
+    conn->listener->handler->disconnected (conn);
 }
 
 static void
@@ -374,7 +376,7 @@
 
   for (;;)
     {
-      /* The rest wait in the kernel's queue until the sweep has freed some. */
+      /* Further connections wait in the kernel's queue until the sweep has freed some. */
       if (listener->conn_count >= listener->conn_max)
         {
           ev_io_stop (listener->loop, &listener->io);
@@ -383,7 +385,7 @@
       fd = accept4 (listener->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
       if (fd < 0 && errno == EINTR)
         continue;
-      /* Out of descriptors: tried again by the sweep, not in every turn of the loop. */
+      /* Out of file descriptors: the sweep retries, instead of every loop iteration. */
       if (fd < 0 && (errno == EMFILE || errno == ENFILE))
         ev_io_stop (listener->loop, &listener->io);
       if (fd < 0)
@@ -400,8 +402,8 @@
   accept_all (io->data);
 }
 
-/* Closing a socket that has unread bytes resets it, and a request that arrived in time gets no
- * answer. */
+/* Closing a socket with unread bytes resets the connection, so that a request which arrived in time
+ * would get no response. */
 static bool
 has_unread (const struct ash_http_conn *conn)
 {
@@ -416,9 +418,9 @@
   int64_t idle_ms = conn->listener->bounds.idle_timeout_ms;
 
   if (conn->listener->closing)
-    idle_ms = conn->answered ? -1 : FRESH_MS;
+    idle_ms = conn->had_request ? -1 : FIRST_REQUEST_WAIT_MS;
   if (ash_time_diff (conn->since, now) > idle_ms && !has_unread (conn))
-    kill_conn (conn);
+    close_caller (conn);
 }
 
 static void
@@ -427,7 +429,7 @@
   const struct ash_http_bounds *bounds = &conn->listener->bounds;
   int64_t age_ms = ash_time_diff (conn->since, now);
 
-  if (conn->dead)
+  if (conn->is_closed)
     {
       if (conn->state != ASH_CONN_SERVING || !conn->request)
         free_conn (conn);
@@ -440,11 +442,11 @@
       break;
     case ASH_CONN_READING:
       if (age_ms > bounds->head_timeout_ms)
-        answer_error (conn, 408, "the request did not arrive in time\n");
+        respond_error (conn, 408, "the request did not arrive in time\n");
       break;
     case ASH_CONN_CLOSING:
-      if (age_ms > CLOSING_MS)
-        kill_conn (conn);
+      if (age_ms > CLOSING_TIMEOUT_MS)
+        close_caller (conn);
       break;
     case ASH_CONN_SERVING:
       break;
@@ -522,7 +524,7 @@
 }
 
 void
-ash_http_listener_shut (struct ash_http_listener *listener)
+ash_http_listener_stop_accepting (struct ash_http_listener *listener)
 {
   struct ash_time now = ash_clock_now ();
   struct ash_http_conn *conn;
@@ -532,7 +534,7 @@
     accept_all (listener);
   stop_listening (listener);
   DL_FOREACH (listener->conns, conn)
-    if (!conn->dead && conn->state == ASH_CONN_IDLE)
+    if (!conn->is_closed && conn->state == ASH_CONN_IDLE)
       sweep_idle (conn, now);
 }
 
@@ -542,7 +544,7 @@
   const struct ash_http_conn *conn;
 
   DL_FOREACH (listener->conns, conn)
-    if (!conn->dead)
+    if (!conn->is_closed)
       return true;
   return false;
 }
@@ -554,6 +556,6 @@
   uint32_t busy = 0;
 
   DL_FOREACH (listener->conns, conn)
-    busy += !conn->dead && conn->state != ASH_CONN_IDLE;
+    busy += !conn->is_closed && conn->state != ASH_CONN_IDLE;
   return busy;
 }
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -21,84 +21,84 @@
 #define HEADERS_MAX_BYTES 32768
 #define BLOCK_BYTES 32768
 
-/* Where a TCP header has its flags. */
+/* Offset of the flags byte in a TCP header. */
 #define TCP_FLAGS_OFFSET 13
 
-/* What may wait for a caller that reads slowly. */
+/* Limit on unsent bytes of a streamed response. */
 #define PENDING_MAX_BYTES (4 * 1024 * 1024)
 
 enum exchange_state
 {
-  EXCHANGE_UPLOAD,  /* the request is coming in */
-  EXCHANGE_WAIT,    /* handed out, not answered */
-  EXCHANGE_STREAM,  /* the answer is going out */
-  EXCHANGE_REPLIED, /* a whole answer was queued */
+  EXCHANGE_UPLOAD,  /* the request is being received */
+  EXCHANGE_WAIT,    /* passed to the handler, not answered yet */
+  EXCHANGE_STREAM,  /* the response body is being streamed */
+  EXCHANGE_REPLIED, /* a complete response was queued */
 };
 
-/* A request and its answer. */
-struct ash_exchange
+/* A request and its response. */
+struct ash_http_exchange
 {
   struct ash_http_server *server;
   struct MHD_Connection *connection;
   uint64_t number;
   enum exchange_state state;
   char *uri;
-  bool begun; /* the library has handed out the headers */
+  bool headers_received; /* on_request() was called with the request headers */
   bool suspended;
   bool too_large;
   struct ash_time since;
-  uint8_t *body; /* of the request */
+  uint8_t *body; /* request body */
   size_t body_bytes;
   size_t body_capacity;
   struct MHD_Response *response; /* to be queued when the connection resumes */
   uint32_t status;
-  uint8_t *pending; /* of a streamed answer: not sent yet */
+  uint8_t *pending; /* unsent bytes of a streamed response */
   size_t pending_bytes;
   size_t pending_capacity;
   bool ended;
-  bool broken;
+  bool failed;
   UT_hash_handle hh;
 };
 
-/* A connection, to close those whose headers don't come. */
-struct ash_conn
+/* A connection, tracked to close it if no request headers arrive. */
+struct ash_http_server_conn
 {
   struct MHD_Connection *connection;
-  struct ash_time since; /* opened, or its last request ended */
+  struct ash_time since; /* when it was opened, or its last request ended */
   bool in_request;
-  bool used; /* it has sent a request */
-  struct ash_conn *prev;
-  struct ash_conn *next;
+  bool used; /* at least one request was received */
+  struct ash_http_server_conn *prev;
+  struct ash_http_server_conn *next;
 };
 
-static struct ash_exchange *
+static struct ash_http_exchange *
 find_exchange (const struct ash_http_server *server, uint64_t number)
 {
-  struct ash_exchange *exchange;
+  struct ash_http_exchange *exchange;
 
   HASH_FIND (hh, server->exchanges, &number, sizeof number, exchange);
   return exchange;
 }
 
 static void
-resume (struct ash_exchange *exchange)
+resume (struct ash_http_exchange *exchange)
 {
   if (!exchange->suspended)
     return;
   exchange->suspended = false;
-  exchange->server->resumed = true;
+  exchange->server->run_needed = true;
   MHD_resume_connection (exchange->connection);
 }
 
 static void
-suspend (struct ash_exchange *exchange)
+suspend (struct ash_http_exchange *exchange)
 {
   exchange->suspended = true;
   MHD_suspend_connection (exchange->connection);
 }
 
 static void
-free_exchange (struct ash_exchange *exchange)
+free_exchange (struct ash_http_exchange *exchange)
 {
   HASH_DEL (exchange->server->exchanges, exchange);
   if (exchange->response)
@@ -111,7 +111,7 @@
 
 /* ---- requests ---- */
 
-static struct ash_conn *
+static struct ash_http_server_conn *
 conn_of (struct MHD_Connection *connection)
 {
   const union MHD_ConnectionInfo *info =
@@ -120,11 +120,11 @@
   return info ? info->socket_context : NULL;
 }
 
-static struct ash_exchange *
+static struct ash_http_exchange *
 new_exchange (struct ash_http_server *server, struct MHD_Connection *connection)
 {
-  struct ash_exchange *exchange = calloc (1, sizeof *exchange);
-  struct ash_conn *conn = conn_of (connection);
+  struct ash_http_exchange *exchange = calloc (1, sizeof *exchange);
+  struct ash_http_server_conn *conn = conn_of (connection);
 
   if (!exchange)
     return NULL;
@@ -141,11 +141,12 @@
   return exchange;
 }
 
-/* Called with the request line; what it returns is the request's context. */
+/* Called with the URI of the request line; libmicrohttpd passes the return value as context to
+ * on_request(). */
 static void *
 on_uri (void *data, const char *uri, struct MHD_Connection *connection)
 {
-  struct ash_exchange *exchange = new_exchange (data, connection);
+  struct ash_http_exchange *exchange = new_exchange (data, connection);
 
   if (exchange)
     exchange->uri = strdup (uri);
@@ -171,7 +172,7 @@
 }
 
 static void
-take_upload (struct ash_exchange *exchange, const char *bytes, size_t length)
+append_upload (struct ash_http_exchange *exchange, const char *bytes, size_t length)
 {
   if (exchange->too_large)
     return;
@@ -186,7 +187,7 @@
 }
 
 static enum MHD_Result
-reply_too_large (struct ash_exchange *exchange)
+reply_too_large (struct ash_http_exchange *exchange)
 {
   static const char text[] = "{\"error\":{\"message\":\"the body is too large\",\"type\":"
                              "\"invalid_request_error\",\"code\":\"bad_request\"}}\n";
@@ -204,7 +205,7 @@
 }
 
 static enum MHD_Result
-queue_response (struct ash_exchange *exchange)
+queue_response (struct ash_http_exchange *exchange)
 {
   enum MHD_Result result =
       MHD_queue_response (exchange->connection, exchange->status, exchange->response);
@@ -215,7 +216,7 @@
 }
 
 static enum MHD_Result
-hand_out (struct ash_exchange *exchange, const char *method, const char *path)
+dispatch_request (struct ash_http_exchange *exchange, const char *method, const char *path)
 {
   struct ash_http_server *server = exchange->server;
   struct ash_http_request request = {
@@ -246,21 +247,21 @@
             size_t *upload_bytes,
             void **context)
 {
-  struct ash_exchange *exchange = *context;
+  struct ash_http_exchange *exchange = *context;
 
   (void) version;
   (void) data;
   (void) connection;
   if (!exchange)
     return MHD_NO;
-  if (!exchange->begun)
+  if (!exchange->headers_received)
     {
-      exchange->begun = true;
+      exchange->headers_received = true;
       return MHD_YES;
     }
   if (*upload_bytes)
     {
-      take_upload (exchange, upload, *upload_bytes);
+      append_upload (exchange, upload, *upload_bytes);
       *upload_bytes = 0;
       return MHD_YES;
     }
@@ -270,7 +271,7 @@
     return MHD_YES;
   if (exchange->too_large)
     return reply_too_large (exchange);
-  return hand_out (exchange, method, path);
+  return dispatch_request (exchange, method, path);
 }
 
 static void
@@ -280,8 +281,8 @@
               enum MHD_RequestTerminationCode code)
 {
   struct ash_http_server *server = data;
-  struct ash_exchange *exchange = *context;
-  struct ash_conn *conn = conn_of (connection);
+  struct ash_http_exchange *exchange = *context;
+  struct ash_http_server_conn *conn = conn_of (connection);
   bool gone;
 
   if (conn)
@@ -306,7 +307,7 @@
                enum MHD_ConnectionNotificationCode code)
 {
   struct ash_http_server *server = data;
-  struct ash_conn *conn = *context;
+  struct ash_http_server_conn *conn = *context;
 
   if (code == MHD_CONNECTION_NOTIFY_STARTED)
     {
@@ -326,7 +327,7 @@
   *context = NULL;
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 void
 ash_http_headers_add (struct ash_http_headers *headers, const char *name, const char *format, ...)
@@ -343,14 +344,14 @@
 }
 
 static void
-set_response (struct ash_exchange *exchange,
+set_response (struct ash_http_exchange *exchange,
               struct MHD_Response *response,
               uint32_t status,
               const struct ash_http_headers *headers)
 {
   for (uint32_t i = 0; headers && i < headers->count; i++)
     MHD_add_response_header (response, headers->items[i].name, headers->items[i].value);
-  if (exchange->server->close_kept)
+  if (exchange->server->keep_alive_disabled)
     MHD_add_response_header (response, MHD_HTTP_HEADER_CONNECTION, "close");
   exchange->response = response;
   exchange->status = status;
@@ -365,7 +366,7 @@
                 const uint8_t *body,
                 size_t body_bytes)
 {
-  struct ash_exchange *exchange = find_exchange (server, number);
+  struct ash_http_exchange *exchange = find_exchange (server, number);
   struct MHD_Response *response;
 
   if (!exchange || exchange->state != EXCHANGE_WAIT)
@@ -378,9 +379,9 @@
 }
 
 static ssize_t
-on_more (void *data, uint64_t position, char *out, size_t room)
+read_pending (void *data, uint64_t position, char *out, size_t room)
 {
-  struct ash_exchange *exchange = data;
+  struct ash_http_exchange *exchange = data;
   size_t length = exchange->pending_bytes < room ? exchange->pending_bytes : room;
 
   (void) position;
@@ -391,7 +392,7 @@
       memmove (exchange->pending, exchange->pending + length, exchange->pending_bytes);
       return (ssize_t) length;
     }
-  if (exchange->broken)
+  if (exchange->failed)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   if (exchange->ended)
     return MHD_CONTENT_READER_END_OF_STREAM;
@@ -405,13 +406,13 @@
                 uint32_t status,
                 const struct ash_http_headers *headers)
 {
-  struct ash_exchange *exchange = find_exchange (server, number);
+  struct ash_http_exchange *exchange = find_exchange (server, number);
   struct MHD_Response *response;
 
   if (!exchange || exchange->state != EXCHANGE_WAIT)
     return;
-  response =
-      MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, BLOCK_BYTES, on_more, exchange, NULL);
+  response = MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, BLOCK_BYTES, read_pending,
+                                                exchange, NULL);
   exchange->state = EXCHANGE_STREAM;
   if (response)
     set_response (exchange, response, status, headers);
@@ -423,13 +424,13 @@
                  const uint8_t *bytes,
                  size_t length)
 {
-  struct ash_exchange *exchange = find_exchange (server, number);
+  struct ash_http_exchange *exchange = find_exchange (server, number);
 
   if (!exchange || exchange->state != EXCHANGE_STREAM || exchange->ended)
     return;
   if (exchange->pending_bytes + length > PENDING_MAX_BYTES ||
       !grow (&exchange->pending, &exchange->pending_capacity, exchange->pending_bytes + length))
-    exchange->broken = true;
+    exchange->failed = true;
   else
     {
       memcpy (exchange->pending + exchange->pending_bytes, bytes, length);
@@ -439,15 +440,15 @@
 }
 
 void
-ash_http_end (struct ash_http_server *server, uint64_t number, bool whole)
+ash_http_end (struct ash_http_server *server, uint64_t number, bool complete)
 {
-  struct ash_exchange *exchange = find_exchange (server, number);
+  struct ash_http_exchange *exchange = find_exchange (server, number);
 
   if (!exchange || exchange->state != EXCHANGE_STREAM)
     return;
   exchange->ended = true;
-  if (!whole)
-    exchange->broken = true;
+  if (!complete)
+    exchange->failed = true;
   resume (exchange);
 }
 
@@ -463,12 +464,12 @@
   return MHD_lookup_connection_value (request->connection, MHD_GET_ARGUMENT_KIND, name);
 }
 
-/* ---- the loop ---- */
+/* ---- event loop ---- */
 
 static void
 run (struct ash_http_server *server)
 {
-  server->resumed = false;
+  server->run_needed = false;
   MHD_run (server->daemon);
 }
 
@@ -488,8 +489,8 @@
   run (timer->data);
 }
 
-/* Before the loop sleeps: the library tells when it wants to run again. It does
- * not count connections that were resumed outside of its own calls (0.9.75). */
+/* Sets the timer for the next MHD_run() before the loop blocks. MHD_get_timeout() ignores
+ * connections that were resumed outside of libmicrohttpd's own callbacks (0.9.75). */
 static void
 on_prepare (struct ev_loop *loop, ev_prepare *prepare, int events)
 {
@@ -498,7 +499,7 @@
 
   (void) events;
   ev_timer_stop (loop, &server->timer);
-  if (server->resumed)
+  if (server->run_needed)
     wait_ms = 0;
   else if (MHD_get_timeout (server->daemon, &wait_ms) != MHD_YES)
     return;
@@ -515,11 +516,10 @@
   return info ? info->connect_fd : -1;
 }
 
-/* Whether the caller has closed: the library does not look at the socket of a
- * suspended connection. A caller that only shuts down its sending side counts
- * as gone too. */
+/* Checks for a disconnect, as libmicrohttpd does not read from the socket of a suspended
+ * connection. A caller that only shuts down its sending side counts as disconnected too. */
 static bool
-is_closed (const struct ash_exchange *exchange)
+is_closed (const struct ash_http_exchange *exchange)
 {
   char byte;
   ssize_t length =
@@ -528,11 +528,12 @@
   return length == 0 || (length < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-/* Ends an exchange that nobody waits for any more; none stays suspended. */
+/* Ends an exchange whose caller is disconnected or that the server's stop interrupts. Resumes the
+ * connection, so that libmicrohttpd can close it. */
 static void
-break_off (struct ash_http_server *server, struct ash_exchange *exchange)
+abort_exchange (struct ash_http_server *server, struct ash_http_exchange *exchange)
 {
-  exchange->broken = true;
+  exchange->failed = true;
   exchange->ended = true;
   if (exchange->state == EXCHANGE_WAIT)
     ash_http_reply (server, exchange->number, MHD_HTTP_SERVICE_UNAVAILABLE, NULL, NULL, 0);
@@ -545,11 +546,11 @@
 {
   struct ash_http_server *server = timer->data;
   struct ash_time now = ash_clock_now ();
-  struct ash_time latest = ash_time_add (now, -(int64_t) server->settings->upload_ms);
-  struct ash_time idle = ash_time_add (now, -(int64_t) server->settings->idle_ms);
-  struct ash_exchange *exchange = NULL;
-  struct ash_exchange *next = NULL;
-  struct ash_conn *conn;
+  struct ash_time upload_cutoff = ash_time_add (now, -(int64_t) server->settings->upload_ms);
+  struct ash_time idle_cutoff = ash_time_add (now, -(int64_t) server->settings->idle_ms);
+  struct ash_http_exchange *exchange = NULL;
+  struct ash_http_exchange *next = NULL;
+  struct ash_http_server_conn *conn;
 
   (void) loop;
   (void) events;
@@ -557,17 +558,18 @@
     {
       if (exchange->suspended && is_closed (exchange))
         {
-          /* The error surfaces in on_more() or on writing the answer. */
+          /* libmicrohttpd sees the error in read_pending() or when it writes the response. */
           server->handler.gone (server->handler.data, exchange->number);
           shutdown (socket_of (exchange->connection), SHUT_RDWR);
-          break_off (server, exchange);
+          abort_exchange (server, exchange);
         }
-      else if (exchange->state == EXCHANGE_UPLOAD && ash_time_before (exchange->since, latest))
+      else if (exchange->state == EXCHANGE_UPLOAD &&
+               ash_time_before (exchange->since, upload_cutoff))
         shutdown (socket_of (exchange->connection), SHUT_RDWR);
     }
   DL_FOREACH (server->conns, conn)
-    /* Sends headers slowly, or nothing at all. */
-    if (!conn->in_request && ash_time_before (conn->since, idle))
+    /* The caller has sent no complete request headers in time. */
+    if (!conn->in_request && ash_time_before (conn->since, idle_cutoff))
       shutdown (socket_of (conn->connection), SHUT_RDWR);
 }
 
@@ -622,17 +624,17 @@
 }
 
 void
-ash_http_server_close_kept (struct ash_http_server *server)
+ash_http_server_disable_keep_alive (struct ash_http_server *server)
 {
-  server->close_kept = true;
+  server->keep_alive_disabled = true;
 }
 
-/* A listener that closes resets whoever has connected and was not accepted yet,
- * and such a caller can't know whether its request ran. So for the moment that
- * this takes no handshake begins: SYNs are dropped, and when the caller's system
- * repeats its own it is refused. Dropping them any longer, for handshakes that
- * are half done, keeps callers waiting who could be at another entry (tried).
- * Without the filter few callers would be lost, so its failure stops nothing. */
+/* Closing a listening socket resets connections that are established but not accepted, and their
+ * callers can't know whether the request ran. Therefore SYNs are dropped while the last connections
+ * are accepted, so that no new handshake starts; when the caller's kernel retransmits its SYN, the
+ * connection is refused. Dropping SYNs for longer, until half-open handshakes are complete, makes
+ * callers wait that could go to another entry. Without the filter only few connections would be
+ * reset, so a failure to attach it is ignored. */
 static void
 drop_handshakes (int listen_fd)
 {
@@ -647,7 +649,7 @@
   setsockopt (listen_fd, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
 }
 
-/* The library accepts a few connections a run, and serves others in between. */
+/* Accepts all pending connections at once, as MHD_run() accepts only a few per call. */
 static void
 accept_rest (struct ash_http_server *server)
 {
@@ -674,13 +676,13 @@
     }
   close (server->listen_fd);
   server->listen_fd = -1;
-  server->resumed = true;
+  server->run_needed = true;
 }
 
 static bool
 awaits_first_request (const struct ash_http_server *server, struct ash_time now)
 {
-  struct ash_conn *conn;
+  struct ash_http_server_conn *conn;
 
   DL_FOREACH (server->conns, conn)
     if (!conn->used && ash_time_diff (conn->since, now) < server->settings->upload_ms)
@@ -699,16 +701,16 @@
 static void
 stop_daemon (struct ash_http_server *server)
 {
-  struct ash_exchange *exchange = NULL;
-  struct ash_exchange *next = NULL;
+  struct ash_http_exchange *exchange = NULL;
+  struct ash_http_exchange *next = NULL;
 
   ev_io_stop (server->loop, &server->io);
   ev_prepare_stop (server->loop, &server->prepare);
   ev_timer_stop (server->loop, &server->timer);
   ev_timer_stop (server->loop, &server->sweep);
-  /* The library wants no connection suspended when it stops. */
+  /* MHD_stop_daemon() requires that no connection is suspended. */
   HASH_ITER (hh, server->exchanges, exchange, next)
-    break_off (server, exchange);
+    abort_exchange (server, exchange);
   run (server);
   MHD_stop_daemon (server->daemon);
 }
--- a/options/router_settings.c
+++ b/options/router_settings.c
@@ -8,112 +8,143 @@
 static const char *const log_formats[] = { "text", "json", NULL };
 static const char *const log_levels[] = { "debug", "info", "warn", "error", NULL };
 
-#define AT(field) offsetof (struct ash_router_settings, field)
+#define FIELD_OFFSET(field) offsetof (struct ash_router_settings, field)
 /* clang-format off */
-#define TEXT(name, fallback, help) \
-  { #name, ASH_OPTION_TEXT, AT (name), fallback, 0, ASH_OPTION_TEXT_BYTES, NULL, NULL, help }
-#define CHOICE(name, fallback, list, help) \
-  { #name, ASH_OPTION_CHOICE, AT (name), fallback, 0, 0, list, NULL, help }
-#define MS(name, fallback, min, max, help) \
-  { #name, ASH_OPTION_UINT, AT (name), fallback, min, max, NULL, "ms", help }
-#define SECONDS(name, fallback, min, max, help) \
-  { #name "_s", ASH_OPTION_SECONDS, AT (name##_ms), fallback, min, max, NULL, "s", help }
-#define COUNT(name, fallback, min, max, unit, help) \
-  { #name, ASH_OPTION_UINT, AT (name), fallback, min, max, NULL, unit, help }
-#define NUMBER(name, fallback, min, max, unit, help) \
-  { #name, ASH_OPTION_NUMBER, AT (name), fallback, min, max, NULL, unit, help }
+#define TEXT(name, default_value, help) \
+  { #name, ASH_OPTION_TEXT, FIELD_OFFSET (name), default_value, 0, ASH_OPTION_TEXT_BYTES, \
+    NULL, NULL, help }
+#define CHOICE(name, default_value, list, help) \
+  { #name, ASH_OPTION_CHOICE, FIELD_OFFSET (name), default_value, 0, 0, list, NULL, help }
+#define MS(name, default_value, min, max, help) \
+  { #name, ASH_OPTION_UINT, FIELD_OFFSET (name), default_value, min, max, NULL, "ms", help }
+#define SECONDS(name, default_value, min, max, help) \
+  { #name "_s", ASH_OPTION_SECONDS, FIELD_OFFSET (name##_ms), default_value, min, max, NULL, "s", \
+    help }
+#define COUNT(name, default_value, min, max, unit, help) \
+  { #name, ASH_OPTION_UINT, FIELD_OFFSET (name), default_value, min, max, NULL, unit, help }
+#define NUMBER(name, default_value, min, max, unit, help) \
+  { #name, ASH_OPTION_NUMBER, FIELD_OFFSET (name), default_value, min, max, NULL, unit, help }
 /* clang-format on */
 
 const struct ash_option ash_router_options[] = {
   TEXT (box, NULL, "name of this box"),
   TEXT (hall, NULL, "failure domain of this box"),
   TEXT (frontend_listen, NULL, "IP:PORT for callers"),
-  TEXT (readiness_listen, NULL, "IP:PORT where it tells whether it is ready"),
-  TEXT (directory_listen, NULL, "IP:PORT where callers ask which addresses to use"),
+  TEXT (readiness_listen, NULL, "IP:PORT of the readiness check"),
+  TEXT (directory_listen, NULL, "IP:PORT where callers query the addresses to use"),
   TEXT (peer_listen, NULL, "IP:PORT for peer links"),
-  TEXT (metrics_listen, NULL, "IP:PORT where its figures are read"),
+  TEXT (metrics_listen, NULL, "IP:PORT of the metrics page"),
   TEXT (store_address, NULL, "IP:PORT of the platform's store"),
-  TEXT (fleet_key, NULL, "64 hex digits; proves peers to each other"),
-  CHOICE (log_format, "text", log_formats, "a line's form"),
-  CHOICE (log_level, "info", log_levels, "lowest level written"),
-  COUNT (log_lines_s, "500", 0, 1000000, "lines", "a second at most, below warnings; 0: no bound"),
+  TEXT (fleet_key, NULL, "64 hex digits; the secret with which peers authenticate each other"),
+  CHOICE (log_format, "text", log_formats, "format of a log line"),
+  CHOICE (log_level, "info", log_levels, "lowest level that is logged"),
+  COUNT (log_lines_s,
+         "500",
+         0,
+         1000000,
+         "lines",
+         "logged in a second at most, warnings and errors exempt; 0: no limit"),
   MS (heartbeat_ms, "300", 10, 60000, "period of heartbeats on a peer link"),
-  MS (link_silence_ms, "1000", 50, 600000, "a link without a frame for so long is closed"),
-  MS (dial_retry_ms, "300", 10, 60000, "mean wait before a link is dialled again"),
-  MS (load_period_ms, "50", 10, 10000, "peers are told of changed loads at most this often"),
+  MS (link_silence_ms,
+      "1000",
+      50,
+      600000,
+      "a link is closed after no frame was received for this time"),
+  MS (dial_retry_ms, "300", 10, 60000, "mean delay before a link is connected again"),
+  MS (load_period_ms,
+      "50",
+      10,
+      10000,
+      "minimum interval between two reports of changed loads to peers"),
   MS (store_wait_ms,
       "20000",
       100,
       30000,
-      "how long the store may hold a question for a new configuration"),
+      "how long the store may hold a long poll for a new configuration"),
   MS (list_wait_ms,
       "3000",
       100,
       30000,
-      "the same for the list of endpoints: shorter than an endpoint's entry takes to lapse"),
+      "the same for the list of endpoints; shorter than the expiry time of an endpoint's entry"),
   MS (short_wait_ms,
       "1500",
       100,
       30000,
-      "the same for both at the few routers that ask often, on behalf of all: what a lost answer "
-      "hides from the whole fleet is hidden no longer than this and 0.7 s"),
-  MS (address_keep_ms, "2000", 100, HOUR_MS, "how long callers may keep an answer"),
-  SECONDS (grace, "8", 0.1, HOUR_S, "from the signal to stop to the process's end at most"),
-  COUNT (connections_max,
-         "2500",
-         1,
-         1000000,
-         "connections",
-         "of callers at once; a small box has 4,100 descriptors, endpoints need some"),
-  MS (wait_ms, "0", 0, 10000, "how long a request may wait for room"),
+      "the same for both polls at the few routers that poll often for the whole fleet: a change "
+      "whose answer is lost stays unknown to the fleet for at most this time plus 0.7 s"),
+  MS (address_keep_ms,
+      "2000",
+      100,
+      HOUR_MS,
+      "how long callers may cache an answer of the directory"),
+  SECONDS (grace, "8", 0.1, HOUR_S, "longest time from the stop signal to the exit of the process"),
   COUNT (
-      rank_streams,
-      "16",
+      connections_max,
+      "2500",
       1,
-      10000,
-      "streams",
-      "at once at one rank of an engine at most, over all entries; fewer where its figures say so"),
+      1000000,
+      "connections",
+      "from callers at the same time; a small box has 4,100 descriptors, and endpoints need some"),
+  MS (wait_ms, "0", 0, 10000, "how long a request may wait until an endpoint has room"),
+  COUNT (rank_streams,
+         "16",
+         1,
+         10000,
+         "streams",
+         "at the same time at one rank of an engine at most, from all entries; fewer if the engine "
+         "has fewer slots"),
   COUNT (plain_queue,
          "6",
          0,
          10000,
          "requests",
-         "that may queue at a plain endpoint beyond its slots, over all entries"),
-  MS (map_period_ms, "2500", 50, HOUR_MS, "between two decisions on expert maps"),
-  COUNT (map_layer_moves, "2", 0, 32, "experts", "new to a rank in a layer in one change at most"),
+         "that may queue at a plain endpoint beyond its slots, from all entries"),
+  MS (map_period_ms, "2500", 50, HOUR_MS, "time between two decisions on expert maps"),
+  COUNT (map_layer_moves, "2", 0, 32, "experts", "that one change may add to a rank in a layer"),
   COUNT (map_rank_moves,
          "2",
          0,
          512,
          "experts",
-         "new to a rank in one change at most, in a group of up to 12 ranks; more in larger ones"),
-  COUNT (count_samples, "2", 1, 1024, "ranks", "that are asked for their counts each time"),
-  NUMBER (map_decay, "0.5", 0, 1, "", "what former counts weigh against new ones like them"),
-  NUMBER (map_alike, "0.9", 0, 1, "", "cosine from which two reports of a layer are alike"),
-  NUMBER (map_least_gain,
-          "0.03",
+         "that one change may add to a rank in a group of up to 12 ranks; more in larger groups"),
+  COUNT (count_samples, "2", 1, 1024, "ranks", "that are polled for their expert counts each time"),
+  NUMBER (map_decay, "0.5", 0, 1, "", "weight of former expert counts against similar new counts"),
+  NUMBER (map_alike,
+          "0.9",
           0,
-          10,
-          "mean loads",
-          "that a move must take off its layer in a group of up to 12 ranks; less in larger ones"),
-  NUMBER (resend_ratio, "0.1", 0, 1, "of requests", "that the fleet may send again in a window"),
-  SECONDS (resend_window, "10", 0.1, HOUR_S, "length of that window"),
+          1,
+          "",
+          "cosine similarity from which two reports of a layer count as similar"),
   NUMBER (
-      resend_slack, "20", 0, 100000, "requests", "more that the fleet may send again in a window"),
+      map_least_gain,
+      "0.03",
+      0,
+      10,
+      "mean loads",
+      "least load that a move must take off its layer in a group of up to 12 ranks; less in larger "
+      "groups"),
+  NUMBER (resend_ratio, "0.1", 0, 1, "of requests", "that the fleet may resend in a window"),
+  SECONDS (resend_window, "10", 0.1, HOUR_S, "length of the window for resends"),
+  NUMBER (resend_slack,
+          "20",
+          0,
+          100000,
+          "requests",
+          "that the fleet may resend in a window in addition to resend_ratio"),
   NUMBER (link_mbps,
           "0",
           0,
           1000000,
           "Mbit/s",
-          "that this box can send: those with the fastest links do what is done for all; 0: not "
-          "known"),
+          "send rate of this box; the routers with the fastest links do the work for the whole "
+          "fleet; 0: unknown"),
   { 0 },
 };
 
 static void
-check_together (const struct ash_router_settings *settings,
-                struct ash_node *root,
-                struct ash_findings *findings)
+check_combinations (const struct ash_router_settings *settings,
+                    struct ash_node *root,
+                    struct ash_findings *findings)
 {
   const struct
   {
@@ -128,7 +159,7 @@
     { "store_address", settings->store_address },
   };
 
-  /* One that is missing has its finding already. */
+  /* A missing address already has a finding. */
   for (size_t i = 0; i < sizeof addresses / sizeof addresses[0]; i++)
     if (*addresses[i].value)
       ash_settings_check_address (root, addresses[i].key, addresses[i].value, findings);
@@ -152,7 +183,7 @@
   settings->seed_count =
       ash_settings_read_addresses (root, "seeds", settings->seeds, ASH_ROUTER_SEEDS_MAX, findings);
   ash_node_report_unused (root, "", findings);
-  check_together (settings, root, findings);
+  check_combinations (settings, root, findings);
   ash_node_free (root);
 }
 
--- a/proto/event.c
+++ b/proto/event.c
@@ -5,16 +5,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WORD_BYTES 64
+#define TOKEN_BYTES 64
 
 struct Ash__Event
-ash_event_of (const char *peer, Ash__Event__KindCase kind, const void *message)
+ash_event_wrap (const char *peer, Ash__Event__KindCase kind, const void *message)
 {
   struct Ash__Event event = ASH__EVENT__INIT;
 
-  event.peer = ash_text (peer);
+  event.peer = ash_proto_text (peer);
   event.kind_case = kind;
-  /* All members of the union are pointers to a message; kind tells which. */
+  /* All members of the union are pointers to messages, so any of them can be assigned. */
   event.heartbeat = (void *) (uintptr_t) message;
   return event;
 }
@@ -25,7 +25,7 @@
           Ash__Event__KindCase kind,
           const void *message)
 {
-  struct Ash__Event event = ash_event_of (peer, kind, message);
+  struct Ash__Event event = ash_event_wrap (peer, kind, message);
 
   sink->emit (sink->data, &event);
 }
@@ -80,7 +80,7 @@
       print_quoted (data->data, data->len, out);
       break;
     default:
-      /* ash.proto uses no other type; a new one needs a case here. */
+      /* ash.proto has no fields of other types; a new type needs a case here. */
       fputs ("?", out);
     }
 }
@@ -152,17 +152,17 @@
     print_field (message, &message->descriptor->fields[i], out);
 }
 
-/* ---- reading ---- */
+/* ---- parsing ---- */
 
 static bool
-read_word (const char **text, char word[WORD_BYTES])
+read_token (const char **text, char word[TOKEN_BYTES])
 {
   size_t length = 0;
 
   *text += strspn (*text, " ");
   while ((*text)[length] && !strchr (" =", (*text)[length]))
     length++;
-  if (length == 0 || length >= WORD_BYTES)
+  if (length == 0 || length >= TOKEN_BYTES)
     return false;
   memcpy (word, *text, length);
   word[length] = '\0';
@@ -170,7 +170,8 @@
   return true;
 }
 
-/* Reads a quoted value into new memory, closed by a zero that is not counted. */
+/* Parses a quoted value. @return its bytes, to be freed by the caller, with a terminating zero that
+ * *length does not include; NULL if the value is invalid. */
 static uint8_t *
 read_quoted (const char **text, size_t *length)
 {
@@ -240,7 +241,7 @@
 read_value (const ProtobufCFieldDescriptor *field, const char **text, void *value)
 {
   ProtobufCBinaryData *data = value;
-  char word[WORD_BYTES];
+  char word[TOKEN_BYTES];
 
   switch (field->type)
     {
@@ -258,7 +259,7 @@
       data->data = read_quoted (text, &data->len);
       return data->data != NULL;
     default:
-      return read_word (text, word) && read_scalar (field, word, value);
+      return read_token (text, word) && read_scalar (field, word, value);
     }
 }
 
@@ -283,9 +284,9 @@
 read_field (ProtobufCMessage *message, const char **text)
 {
   const ProtobufCFieldDescriptor *field;
-  char name[WORD_BYTES];
+  char name[TOKEN_BYTES];
 
-  if (!read_word (text, name) || **text != '=')
+  if (!read_token (text, name) || **text != '=')
     return false;
   (*text)++;
   field = protobuf_c_message_descriptor_get_field_by_name (message->descriptor, name);
@@ -293,7 +294,7 @@
     return false;
   if (field->label == PROTOBUF_C_LABEL_REPEATED)
     return read_repeated (message, field, text);
-  /* Given twice: which of them is meant? */
+  /* The field was already set: a field that is given twice is an error. */
   if (!is_default (field, (const char *) message + field->offset))
     return false;
   return read_value (field, text, (char *) message + field->offset);
@@ -314,18 +315,18 @@
 {
   struct Ash__Event *event = (struct Ash__Event *) (void *) new_message (&ash__event__descriptor);
   const ProtobufCFieldDescriptor *kind;
-  char word[WORD_BYTES];
+  char word[TOKEN_BYTES];
 
   *error = "out of memory";
   if (!event)
     return NULL;
   *error = "no box or '-'";
-  if (!read_word (&text, word))
+  if (!read_token (&text, word))
     goto fail;
   if (strcmp (word, "-") != 0)
     event->peer = strdup (word);
   *error = "unknown message";
-  if (!read_word (&text, word))
+  if (!read_token (&text, word))
     goto fail;
   kind = protobuf_c_message_descriptor_get_field_by_name (&ash__event__descriptor, word);
   if (!kind || kind->type != PROTOBUF_C_TYPE_MESSAGE)
--- a/test/faults.c
+++ b/test/faults.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Fault tests with real processes on loopback: kills, pauses, cuts, planned
- * stops. What callers were told is compared with the stand-ins' own records.
+ * Fault tests with real processes on loopback: killed and paused processes, cut
+ * links, planned stops. The outcomes that callers got are compared with the runs
+ * that the stand-in engines recorded.
  */
 #include "test/fault_tests.h"
 #include "test/fleet.h"
@@ -20,29 +21,29 @@
 #define STREAMS 200
 
 static bool
-told (const struct fleet_call *call, const char *outcome)
+has_outcome (const struct fleet_call *call, const char *outcome)
 {
   return strcmp (call->answer.outcome, outcome) == 0;
 }
 
-/* Waits until the guard after the start of an agent's life is over. */
+/* Waits longer than an agent that has just started refuses callers' keys. */
 static void
-wait_guard (void)
+wait_guard_period (void)
 {
-  fleet_sleep (900);
+  fleet_sleep_ms (900);
 }
 
-/* Waits until either model's engine runs something. */
+/* Waits until an engine of either model endpoint has started a run. @return false after 10 s. */
 static bool
 wait_model_run (struct fleet *fleet)
 {
-  int64_t until_ms = fleet_now () + 10000;
+  int64_t until_ms = fleet_now_ms () + 10000;
 
-  while (fleet_runs (fleet, 0, NULL, "runs") + fleet_runs (fleet, 1, NULL, "runs") == 0)
+  while (fleet_count_runs (fleet, 0, NULL, "runs") + fleet_count_runs (fleet, 1, NULL, "runs") == 0)
     {
-      if (fleet_now () > until_ms)
+      if (fleet_now_ms () > until_ms)
         return false;
-      fleet_sleep (10);
+      fleet_sleep_ms (10);
     }
   return true;
 }
@@ -53,18 +54,18 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, SHORT_LIFE);
-  fleet_sleep (OLD_MS);
-  fleet_order (&fleet, &calls[0], 0, "order-1", 1, 300, 0);
-  fleet_order (&fleet, &calls[1], 1, "order-1", 2, 300, 0);
+  fleet_start (&fleet, SHORT_TTL_SETTINGS);
+  fleet_sleep_ms (ID_TTL_PASSED_MS);
+  fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 300, 0);
+  fleet_begin_order (&fleet, &calls[1], 1, "order-1", 2, 300, 0);
   for (int i = 0; i < 2; i++)
     {
-      fleet_wait (&calls[i]);
+      fleet_wait_call (&calls[i]);
       CU_ASSERT_EQUAL (calls[i].answer.status, 200);
-      CU_ASSERT (told (&calls[i], "ran"));
+      CU_ASSERT (has_outcome (&calls[i], "ran"));
     }
   CU_ASSERT_STRING_EQUAL (calls[0].answer.request_id, calls[1].answer.request_id);
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
@@ -76,19 +77,19 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, NO_GUARD);
-  wait_guard ();
-  fleet_order (&fleet, &calls[0], 0, "order-1", 1, 600, 0);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  wait_guard_period ();
+  fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 600, 0);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
-  fleet_end (&fleet.entries[0].pid, SIGKILL);
-  fleet_wait (&calls[0]);
+  fleet_end_process (&fleet.entries[0].pid, SIGKILL);
+  fleet_wait_call (&calls[0]);
   CU_ASSERT_EQUAL (calls[0].answer.status, 0);
-  /* The caller comes through the other entry for the same run's answer. */
-  fleet_order (&fleet, &calls[1], 1, "order-1", 2, 600, 0);
-  fleet_wait (&calls[1]);
+  /* The caller retries through the other entry and gets the answer of the same run. */
+  fleet_begin_order (&fleet, &calls[1], 1, "order-1", 2, 600, 0);
+  fleet_wait_call (&calls[1]);
   CU_ASSERT_EQUAL (calls[1].answer.status, 200);
-  CU_ASSERT (told (&calls[1], "ran"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  CU_ASSERT (has_outcome (&calls[1], "ran"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
@@ -100,50 +101,50 @@
   struct fleet fleet;
   struct fleet_call calls[3];
 
-  fleet_start (&fleet, NO_GUARD);
-  wait_guard ();
-  fleet_order (&fleet, &calls[0], 0, "order-1", 1, 5000, 8000);
-  fleet_order (&fleet, &calls[1], 1, NULL, 0, 5000, 8000);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  wait_guard_period ();
+  fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 5000, 8000);
+  fleet_begin_order (&fleet, &calls[1], 1, NULL, 0, 5000, 8000);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 2));
-  fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
+  fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
   fleet_start_endpoint (&fleet, FLEET_STOCK);
   for (int i = 0; i < 2; i++)
     {
-      fleet_wait (&calls[i]);
-      CU_ASSERT (told (&calls[i], "unknown"));
+      fleet_wait_call (&calls[i]);
+      CU_ASSERT (has_outcome (&calls[i], "unknown"));
       CU_ASSERT_EQUAL (calls[i].answer.status, 502);
     }
   CU_ASSERT (fleet_wait_live (&fleet, 0, FLEET_ENDPOINTS));
-  wait_guard ();
-  /* The new life can't know what the old one did with that key. */
-  fleet_order (&fleet, &calls[2], 0, "order-1", 2, 1, 0);
-  fleet_wait (&calls[2]);
-  CU_ASSERT (told (&calls[2], "unknown"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 2);
+  wait_guard_period ();
+  /* The restarted agent can't know what its former incarnation did with that key. */
+  fleet_begin_order (&fleet, &calls[2], 0, "order-1", 2, 1, 0);
+  fleet_wait_call (&calls[2]);
+  CU_ASSERT (has_outcome (&calls[2], "unknown"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 2);
   for (int i = 0; i < 3; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
 }
 
 static void
-test_young_life_runs_no_key (void)
+test_new_incarnation_runs_no_key (void)
 {
   struct fleet fleet;
   struct fleet_call call;
 
-  fleet_start (&fleet, LINKS "id_life_ms = 20000\nguard_ms = 60000\n");
-  fleet_order (&fleet, &call, 0, "order-1", 1, 1, 0);
-  fleet_wait (&call);
-  CU_ASSERT (told (&call, "not-run"));
+  fleet_start (&fleet, LINK_SETTINGS "id_life_ms = 20000\nguard_ms = 60000\n");
+  fleet_begin_order (&fleet, &call, 0, "order-1", 1, 1, 0);
+  fleet_wait_call (&call);
+  CU_ASSERT (has_outcome (&call, "not-run"));
   CU_ASSERT_EQUAL (call.answer.status, 503);
   CU_ASSERT (call.answer.retry_ms > 0);
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 0);
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 0);
   ash_cli_answer_finish (&call.answer);
   fleet_stop (&fleet);
 }
 
-/* A minted key names its home's life: it runs in a young one, once, whichever
- * attempt it is; and it does not run in the next life. */
+/* A minted key names its home endpoint and the incarnation of that endpoint's agent. Therefore an
+ * agent that has just started runs it, once, at any attempt; a later incarnation refuses it. */
 static void
 test_minted_key (void)
 {
@@ -151,21 +152,21 @@
   struct fleet_call calls[3];
   char key[256];
 
-  fleet_start (&fleet, LINKS "id_life_ms = 20000\nguard_ms = 60000\n");
-  CU_ASSERT (fleet_mint (&fleet, 0, "stock", key));
+  fleet_start (&fleet, LINK_SETTINGS "id_life_ms = 20000\nguard_ms = 60000\n");
+  CU_ASSERT (fleet_mint_key (&fleet, 0, "stock", key));
   for (int i = 0; i < 2; i++)
     {
-      fleet_order (&fleet, &calls[i], i, key, 0, 1, 0);
-      fleet_wait (&calls[i]);
-      CU_ASSERT (told (&calls[i], "ran"));
+      fleet_begin_order (&fleet, &calls[i], i, key, 0, 1, 0);
+      fleet_wait_call (&calls[i]);
+      CU_ASSERT (has_outcome (&calls[i], "ran"));
     }
-  fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
+  fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
   fleet_start_endpoint (&fleet, FLEET_STOCK);
   CU_ASSERT (fleet_wait_live (&fleet, 0, FLEET_ENDPOINTS));
-  fleet_order (&fleet, &calls[2], 0, key, 0, 1, 0);
-  fleet_wait (&calls[2]);
-  CU_ASSERT (told (&calls[2], "unknown"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  fleet_begin_order (&fleet, &calls[2], 0, key, 0, 1, 0);
+  fleet_wait_call (&calls[2]);
+  CU_ASSERT (has_outcome (&calls[2], "unknown"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
   for (int i = 0; i < 3; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
@@ -177,57 +178,57 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, SHORT_LIFE);
-  fleet_sleep (OLD_MS);
+  fleet_start (&fleet, SHORT_TTL_SETTINGS);
+  fleet_sleep_ms (ID_TTL_PASSED_MS);
   kill (fleet.entries[0].pid, SIGSTOP);
-  /* Waits in the paused entry's socket for longer than its deadline. */
-  fleet_order (&fleet, &calls[0], 0, "order-1", 1, 1, 1000);
-  fleet_order (&fleet, &calls[1], 1, "order-1", 2, 1, 0);
-  fleet_wait (&calls[1]);
-  CU_ASSERT (told (&calls[1], "ran"));
-  /* The agent restarts and forgets; then the paused entry wakes with the first
-   * submission in its hands. */
-  fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
+  /* This request waits in the paused entry's socket for longer than its deadline. */
+  fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 1, 1000);
+  fleet_begin_order (&fleet, &calls[1], 1, "order-1", 2, 1, 0);
+  fleet_wait_call (&calls[1]);
+  CU_ASSERT (has_outcome (&calls[1], "ran"));
+  /* The agent restarts and has no record of the key; then the paused entry resumes and reads the
+   * first request, whose deadline has passed. */
+  fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
   fleet_start_endpoint (&fleet, FLEET_STOCK);
   CU_ASSERT (fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS));
-  fleet_sleep (1200);
+  fleet_sleep_ms (1200);
   kill (fleet.entries[0].pid, SIGCONT);
-  fleet_wait (&calls[0]);
-  CU_ASSERT_FALSE (told (&calls[0], "ran"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
-  CU_ASSERT (fleet_log_count (&fleet, "entry-1", " 105 woke ") > 0);
+  fleet_wait_call (&calls[0]);
+  CU_ASSERT_FALSE (has_outcome (&calls[0], "ran"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  CU_ASSERT (fleet_count_log_lines (&fleet, "entry-1", " 105 woke ") > 0);
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
 }
 
-/* Streams over links that are cut in the middle and healed. */
+/* One link is cut and restored, the other closed and reopened, while streams run over both. */
 static void
-test_streams_over_a_cut (void)
+test_streams_over_link_cut (void)
 {
   static struct fleet_call calls[STREAMS];
   struct fleet fleet;
   int whole = 0;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int i = 0; i < STREAMS; i++)
-    fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 150);
+    fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 150);
   CU_ASSERT (wait_model_run (&fleet));
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   fleet_control (fleet.endpoints[0].control_port, "/control?mode=1");
-  fleet_sleep (300);
+  fleet_sleep_ms (300);
   fleet_control (fleet.endpoints[0].control_port, "/control?mode=0");
   fleet_control (fleet.endpoints[1].control_port, "/control?mode=3");
-  fleet_sleep (200);
+  fleet_sleep_ms (200);
   fleet_control (fleet.endpoints[1].control_port, "/control?mode=0");
   for (int i = 0; i < STREAMS; i++)
     {
-      fleet_wait (&calls[i]);
+      fleet_wait_call (&calls[i]);
       whole += fleet_stream_ok (&calls[i].answer, 150);
       ash_cli_answer_finish (&calls[i].answer);
     }
   CU_ASSERT_EQUAL (whole, STREAMS);
-  CU_ASSERT (fleet_log_count (&fleet, "entry-1", " 403 request_resumed ") > 0);
+  CU_ASSERT (fleet_count_log_lines (&fleet, "entry-1", " 403 request_resumed ") > 0);
   fleet_stop (&fleet);
 }
 
@@ -237,17 +238,17 @@
   struct fleet fleet;
   struct fleet_call call;
 
-  fleet_start (&fleet, NO_GUARD);
-  wait_guard ();
-  fleet_order (&fleet, &call, 0, "order-1", 1, 300, 8000);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  wait_guard_period ();
+  fleet_begin_order (&fleet, &call, 0, "order-1", 1, 300, 8000);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
   fleet_control (fleet.endpoints[FLEET_STOCK].control_port, "/control?mode=2");
-  fleet_sleep (1500);
+  fleet_sleep_ms (1500);
   fleet_control (fleet.endpoints[FLEET_STOCK].control_port, "/control?mode=0");
-  fleet_wait (&call);
-  CU_ASSERT (told (&call, "ran"));
+  fleet_wait_call (&call);
+  CU_ASSERT (has_outcome (&call, "ran"));
   CU_ASSERT_EQUAL (call.answer.status, 200);
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
   ash_cli_answer_finish (&call.answer);
   fleet_stop (&fleet);
 }
@@ -259,40 +260,40 @@
   struct fleet_call calls[2];
   const char *text;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int a = 0; a < FLEET_MODELS; a++)
     fleet_control (fleet.endpoints[a].http_port, "/control?break_after=3");
-  fleet_chat (&fleet, &calls[0], 0, true, 10);
-  fleet_chat (&fleet, &calls[1], 0, false, 10);
-  fleet_wait (&calls[0]);
+  fleet_begin_chat (&fleet, &calls[0], 0, true, 10);
+  fleet_begin_chat (&fleet, &calls[1], 0, false, 10);
+  fleet_wait_call (&calls[0]);
   CU_ASSERT_FALSE (calls[0].answer.whole);
   text = calls[0].answer.body ? calls[0].answer.body : "";
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "event: error"));
   CU_ASSERT_PTR_NULL (strstr (text, "[DONE]"));
-  fleet_wait (&calls[1]);
+  fleet_wait_call (&calls[1]);
   CU_ASSERT_EQUAL (calls[1].answer.status, 200);
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
 }
 
-/* The engine takes the request and drops the connection without an answer. A
- * kept connection must not make libcurl send it again by itself. */
+/* The engine reads the request, then closes the connection without an answer. libcurl must not
+ * send the request again by itself, as it may on a reused connection. */
 static void
-test_dropped_by_the_engine (void)
+test_dropped_by_engine (void)
 {
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, NO_GUARD);
-  fleet_order (&fleet, &calls[0], 0, NULL, 0, 1, 0);
-  fleet_wait (&calls[0]);
-  CU_ASSERT (told (&calls[0], "ran"));
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  fleet_begin_order (&fleet, &calls[0], 0, NULL, 0, 1, 0);
+  fleet_wait_call (&calls[0]);
+  CU_ASSERT (has_outcome (&calls[0], "ran"));
   fleet_control (fleet.endpoints[FLEET_STOCK].http_port, "/control?drop=1");
-  fleet_order (&fleet, &calls[1], 0, NULL, 0, 1, 0);
-  fleet_wait (&calls[1]);
-  CU_ASSERT (told (&calls[1], "unknown"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 2);
+  fleet_begin_order (&fleet, &calls[1], 0, NULL, 0, 1, 0);
+  fleet_wait_call (&calls[1]);
+  CU_ASSERT (has_outcome (&calls[1], "unknown"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 2);
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
@@ -304,66 +305,66 @@
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, NO_GUARD);
-  fleet_end (&fleet.endpoints[FLEET_STOCK].engine, SIGKILL);
-  fleet_end (&fleet.endpoints[0].engine, SIGKILL);
-  fleet_order (&fleet, &calls[0], 0, NULL, 0, 1, 0);
-  fleet_wait (&calls[0]);
-  CU_ASSERT (told (&calls[0], "not-run"));
-  fleet_chat (&fleet, &calls[1], 0, true, 3);
-  fleet_wait (&calls[1]);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  fleet_end_process (&fleet.endpoints[FLEET_STOCK].engine, SIGKILL);
+  fleet_end_process (&fleet.endpoints[0].engine, SIGKILL);
+  fleet_begin_order (&fleet, &calls[0], 0, NULL, 0, 1, 0);
+  fleet_wait_call (&calls[0]);
+  CU_ASSERT (has_outcome (&calls[0], "not-run"));
+  fleet_begin_chat (&fleet, &calls[1], 0, true, 3);
+  fleet_wait_call (&calls[1]);
   CU_ASSERT (fleet_stream_ok (&calls[1].answer, 3));
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
 }
 
-/* Work that nobody waits for any more ends at the engine, well before its
- * deadline: the caller's connection closes, or its entry dies. */
+/* A run is cancelled at the engine, well before its deadline, once its caller has disconnected or
+ * its entry has been killed. */
 static void
 test_cancel (bool kill_the_entry)
 {
   struct fleet fleet;
   struct fleet_call call;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   if (kill_the_entry)
     {
-      fleet_chat (&fleet, &call, 0, true, 2000);
+      fleet_begin_chat (&fleet, &call, 0, true, 2000);
       CU_ASSERT (wait_model_run (&fleet));
-      fleet_end (&fleet.entries[0].pid, SIGKILL);
+      fleet_end_process (&fleet.entries[0].pid, SIGKILL);
     }
   else
     {
-      /* The tool gives up five seconds after the deadline; the stand-in of a
-       * caller that leaves is its whole process, so a child makes the call. */
+      /* ash_cli_fetch() closes its connection only five seconds after the deadline. To disconnect
+       * earlier, a child process makes the call and is killed. */
       pid_t caller = fork ();
 
       if (caller == 0)
         {
-          fleet_chat (&fleet, &call, 0, false, 2000);
+          fleet_begin_chat (&fleet, &call, 0, false, 2000);
           pause ();
         }
       CU_ASSERT (wait_model_run (&fleet));
-      fleet_end (&caller, SIGKILL);
+      fleet_end_process (&caller, SIGKILL);
     }
-  for (int i = 0; i < 300 && !fleet_log_count (&fleet, "model-1", " 503 run_cancelled ") &&
-                  !fleet_log_count (&fleet, "model-2", " 503 run_cancelled ");
+  for (int i = 0; i < 300 && !fleet_count_log_lines (&fleet, "model-1", " 503 run_cancelled ") &&
+                  !fleet_count_log_lines (&fleet, "model-2", " 503 run_cancelled ");
        i++)
-    fleet_sleep (10);
-  CU_ASSERT_EQUAL (fleet_log_count (&fleet, "model-1", " 503 run_cancelled ") +
-                       fleet_log_count (&fleet, "model-2", " 503 run_cancelled "),
+    fleet_sleep_ms (10);
+  CU_ASSERT_EQUAL (fleet_count_log_lines (&fleet, "model-1", " 503 run_cancelled ") +
+                       fleet_count_log_lines (&fleet, "model-2", " 503 run_cancelled "),
                    1);
   if (kill_the_entry)
     {
-      fleet_wait (&call);
+      fleet_wait_call (&call);
       ash_cli_answer_finish (&call.answer);
     }
   fleet_stop (&fleet);
 }
 
 static void
-test_cancel_caller_gone (void)
+test_cancel_caller_disconnected (void)
 {
   test_cancel (false);
 }
@@ -374,30 +375,30 @@
   test_cancel (true);
 }
 
-/* ---- leaving and planned stop ---- */
+/* ---- boxes that are leaving, and planned stops ---- */
 
 static void *
 keep_calling (void *data)
 {
   struct fleet *fleet = ((void **) data)[0];
   volatile bool *stop = ((void **) data)[1];
-  int *bad = ((void **) data)[2];
+  int *failures = ((void **) data)[2];
   int entry = *(int *) ((void **) data)[3];
-  struct fleet_call calls[LOAD];
+  struct fleet_call calls[LOAD_STREAMS];
 
   while (!*stop)
     {
-      for (int i = 0; i < LOAD; i++)
-        fleet_chat (fleet, &calls[i], entry < 0 ? i % FLEET_ENTRIES : entry, i % 2, 5);
-      for (int i = 0; i < LOAD; i++)
+      for (int i = 0; i < LOAD_STREAMS; i++)
+        fleet_begin_chat (fleet, &calls[i], entry < 0 ? i % FLEET_ENTRIES : entry, i % 2, 5);
+      for (int i = 0; i < LOAD_STREAMS; i++)
         {
-          fleet_wait (&calls[i]);
+          fleet_wait_call (&calls[i]);
           if (calls[i].answer.status != 200 || !calls[i].answer.whole)
             {
-              fprintf (stderr, "under load: status %ld outcome %s: %s\n", calls[i].answer.status,
-                       calls[i].answer.outcome,
+              fprintf (stderr, "call under load failed: status %ld outcome %s: %s\n",
+                       calls[i].answer.status, calls[i].answer.outcome,
                        calls[i].answer.body ? calls[i].answer.body : calls[i].answer.error);
-              (*bad)++;
+              (*failures)++;
             }
           ash_cli_answer_finish (&calls[i].answer);
         }
@@ -405,65 +406,65 @@
   return NULL;
 }
 
-/* Stops and restarts the agents one after the other under load. */
+/* Agents are stopped as planned and restarted, one after the other, under load: no call fails. */
 static void
 test_planned_stop_of_agents (void)
 {
   struct fleet fleet;
   volatile bool stop = false;
-  int bad = 0;
+  int failures = 0;
   int entry = -1;
-  void *data[] = { &fleet, (void *) (uintptr_t) &stop, &bad, &entry };
+  void *data[] = { &fleet, (void *) (uintptr_t) &stop, &failures, &entry };
   pthread_t thread;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   pthread_create (&thread, NULL, keep_calling, data);
   for (int a = 0; a < FLEET_MODELS; a++)
     {
-      fleet_sleep (200);
-      CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[a].pid, SIGTERM), 0);
+      fleet_sleep_ms (200);
+      CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[a].pid, SIGTERM), 0);
       fleet_start_endpoint (&fleet, a);
       for (int e = 0; e < FLEET_ENTRIES; e++)
         CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS));
     }
   stop = true;
   pthread_join (thread, NULL);
-  CU_ASSERT_EQUAL (bad, 0);
+  CU_ASSERT_EQUAL (failures, 0);
   fleet_stop (&fleet);
 }
 
-/* Stops an entry while its callers still use the address that they keep. */
+/* An entry is stopped as planned while callers still connect to it, as its address is cached. */
 static void
 test_planned_stop_of_entry (void)
 {
   struct fleet fleet;
-  struct fleet_call calls[LOAD];
+  struct fleet_call calls[LOAD_STREAMS];
   struct fleet_call late;
   pid_t pid;
 
-  fleet_start (&fleet, NO_GUARD);
-  for (int i = 0; i < LOAD; i++)
-    fleet_chat (&fleet, &calls[i], 0, true, 200);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  for (int i = 0; i < LOAD_STREAMS; i++)
+    fleet_begin_chat (&fleet, &calls[i], 0, true, 200);
   CU_ASSERT (wait_model_run (&fleet));
   pid = fleet.entries[0].pid;
   kill (pid, SIGTERM);
-  fleet_sleep (100);
-  /* Within the time to keep an address it still serves who comes. */
-  fleet_chat (&fleet, &late, 0, true, 5);
-  fleet_wait (&late);
+  fleet_sleep_ms (100);
+  /* For address_keep_ms after the signal the entry still accepts and serves new callers. */
+  fleet_begin_chat (&fleet, &late, 0, true, 5);
+  fleet_wait_call (&late);
   CU_ASSERT (fleet_stream_ok (&late.answer, 5));
   ash_cli_answer_finish (&late.answer);
   expect_streams (calls, 200);
-  CU_ASSERT_EQUAL (fleet_end (&fleet.entries[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.entries[0].pid, 0), 0);
   fleet_start_entry (&fleet, 0);
   CU_ASSERT (fleet_wait_live (&fleet, 0, FLEET_ENDPOINTS));
   fleet_stop (&fleet);
 }
 
-/* A caller that has connected in time is served, though its request comes only
- * when the entry takes no new connections any more. */
+/* A caller that connected before the entry closed its listener is served, although it sends its
+ * request only afterwards. */
 static void
-test_planned_stop_before_the_request (void)
+test_planned_stop_before_request (void)
 {
   static const char request[] = "GET /healthz HTTP/1.1\r\nHost: entry\r\n\r\n";
   struct fleet fleet;
@@ -472,50 +473,51 @@
   int late;
   int fd;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   port = fleet.entries[0].http_port;
-  fd = open_raw (port);
+  fd = raw_connect (port);
   kill (fleet.entries[0].pid, SIGTERM);
-  for (int i = 0; i < 100 && (late = open_raw (port)) >= 0; i++)
+  for (int i = 0; i < 100 && (late = raw_connect (port)) >= 0; i++)
     {
       close (late);
-      fleet_sleep (50);
+      fleet_sleep_ms (50);
     }
   CU_ASSERT (late < 0);
-  send_raw (fd, request, sizeof request - 1);
-  CU_ASSERT (read_to_close (fd, text, sizeof text));
+  raw_send (fd, request, sizeof request - 1);
+  CU_ASSERT (raw_read_until_closed (fd, text, sizeof text));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, " 200 "));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "Connection: close"));
-  CU_ASSERT_EQUAL (fleet_end (&fleet.entries[0].pid, 0), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.entries[0].pid, 0), 0);
   fleet_stop (&fleet);
 }
 
-/* ---- planned stop with an end ---- */
+/* ---- planned stop: grace period ---- */
 
-/* Short, so that the tests wait little; what is in hand would take 20 s. */
-#define SHORT_GRACE NO_GUARD "grace_ms = 1500\n"
+/* A short grace period keeps the tests short; the requests in flight would take 20 s. */
+#define SHORT_GRACE NO_GUARD_SETTINGS "grace_ms = 1500\n"
 #define LONG_TOKENS 4000
 #define LONG_WORK_MS 20000
 #define ALL_DAY_MS 600000
 
-/* A planned stop had no bound: an entry ended when nothing was in flight any more, and calls may
- * take 600 s. Operators wait for some seconds, then kill; callers saw answers cut without a word,
- * and could not know of their orders. Now each gets a final answer, and the process ends itself. */
+/* Guards against a planned stop of an entry that waits for all requests in flight, which may take
+ * 600 s: operators kill the process after a few seconds, so that callers get truncated answers and
+ * no outcome for their orders. At the end of the grace period each caller must get a final answer
+ * and the process must exit. */
 static void
-test_stop_of_entry_ends (void)
+test_entry_stop_grace (void)
 {
   struct fleet fleet;
   struct fleet_call stream;
   struct fleet_call order;
 
   fleet_start (&fleet, SHORT_GRACE);
-  fleet_chat (&fleet, &stream, 0, true, LONG_TOKENS);
-  fleet_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, ALL_DAY_MS);
+  fleet_begin_chat (&fleet, &stream, 0, true, LONG_TOKENS);
+  fleet_begin_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, ALL_DAY_MS);
   CU_ASSERT (wait_model_run (&fleet));
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
-  CU_ASSERT_EQUAL (fleet_end (&fleet.entries[0].pid, SIGTERM), 0);
-  fleet_wait (&stream);
-  fleet_wait (&order);
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.entries[0].pid, SIGTERM), 0);
+  fleet_wait_call (&stream);
+  fleet_wait_call (&order);
   CU_ASSERT_FALSE (stream.answer.whole);
   CU_ASSERT_PTR_NOT_NULL (
       strstr (stream.answer.body ? stream.answer.body : "", "\"code\":\"stopped\""));
@@ -526,40 +528,41 @@
   fleet_stop (&fleet);
 }
 
-/* The same of agents. What may be repeated goes on at another endpoint, and comes whole. */
+/* The same for a planned stop of agents. Requests that may be repeated are retried at another
+ * endpoint and get whole answers. */
 static void
-test_stop_of_agents_ends (void)
+test_agent_stop_grace (void)
 {
   struct fleet fleet;
-  struct fleet_call calls[LOAD];
+  struct fleet_call calls[LOAD_STREAMS];
   struct fleet_call order;
 
   fleet_start (&fleet, SHORT_GRACE);
-  for (int i = 0; i < LOAD; i++)
-    fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, false, LONG_TOKENS / 8);
-  fleet_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, ALL_DAY_MS);
+  for (int i = 0; i < LOAD_STREAMS; i++)
+    fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, false, LONG_TOKENS / 8);
+  fleet_begin_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, ALL_DAY_MS);
   CU_ASSERT (wait_runs (&fleet, 0, "runs", 1));
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
-  CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[0].pid, SIGTERM), 0);
-  CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGTERM), 0);
-  for (int i = 0; i < LOAD; i++)
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[0].pid, SIGTERM), 0);
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGTERM), 0);
+  for (int i = 0; i < LOAD_STREAMS; i++)
     {
-      fleet_wait (&calls[i]);
+      fleet_wait_call (&calls[i]);
       CU_ASSERT_EQUAL (calls[i].answer.status, 200);
       CU_ASSERT (calls[i].answer.whole);
       CU_ASSERT_STRING_EQUAL (calls[i].answer.endpoint, "model-2");
       ash_cli_answer_finish (&calls[i].answer);
     }
-  fleet_wait (&order);
+  fleet_wait_call (&order);
   CU_ASSERT_EQUAL (order.answer.status, 502);
   CU_ASSERT_STRING_EQUAL (order.answer.outcome, "unknown");
   ash_cli_answer_finish (&order.answer);
   fleet_stop (&fleet);
 }
 
-/* @return whether the process ends by itself, properly, within 10 s. */
+/* @return whether the process exits with status 0 within 10 s, without another signal. */
 static bool
-ends_itself (pid_t *pid)
+exits_cleanly (pid_t *pid)
 {
   int status = 0;
 
@@ -570,13 +573,13 @@
           *pid = 0;
           return WIFEXITED (status) && WEXITSTATUS (status) == 0;
         }
-      fleet_sleep (20);
+      fleet_sleep_ms (20);
     }
   return false;
 }
 
-/* A caller that has connected and sends nothing has upload_ms for it; in a planned stop it kept the
- * entry for as long, until the operator killed it with whatever else was in hand. */
+/* Guards against a connected caller that sends nothing, as it may for upload_ms, and so delays a
+ * planned stop until the operator kills the entry with other requests in flight. */
 static void
 test_stop_with_silent_caller (void)
 {
@@ -584,102 +587,101 @@
   int fd;
 
   fleet_start (&fleet, SHORT_GRACE "upload_ms = 60000\n");
-  fd = open_raw (fleet.entries[0].http_port);
+  fd = raw_connect (fleet.entries[0].http_port);
   CU_ASSERT (fd >= 0);
   kill (fleet.entries[0].pid, SIGTERM);
-  CU_ASSERT (ends_itself (&fleet.entries[0].pid));
+  CU_ASSERT (exits_cleanly (&fleet.entries[0].pid));
   close (fd);
   fleet_stop (&fleet);
 }
 
-/* From one source alone, the platform's list, and heard by one entry alone:
- * the other learns it from that one. */
+/* Only the platform's list shows that the box is leaving: entries stop sending requests to it. */
 static void
-test_leaving_by_the_list (void)
+test_leaving_by_platform_list (void)
 {
   struct fleet fleet;
-  struct fleet_call calls[LOAD];
+  struct fleet_call calls[LOAD_STREAMS];
   int before;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_control (fleet.platform_port, "/control/box?box=model-1&state=leaving");
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS - 1));
-  before = fleet_runs (&fleet, 0, NULL, "runs");
-  for (int i = 0; i < LOAD; i++)
-    fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
+  before = fleet_count_runs (&fleet, 0, NULL, "runs");
+  for (int i = 0; i < LOAD_STREAMS; i++)
+    fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
   expect_streams (calls, 3);
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, 0, NULL, "runs"), before);
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, 0, NULL, "runs"), before);
   fleet_stop (&fleet);
 }
 
-/* The agent's own signal, while the list lags and says it is live. */
+/* An agent that is stopped announces by itself that it is leaving, while the platform's list lags
+ * and still has it as live. */
 static void
-test_leaving_by_its_own_word (void)
+test_leaving_by_agent_signal (void)
 {
   struct fleet fleet;
   struct fleet_call slow;
   struct fleet_call order;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   fleet_control (fleet.platform_port, "/control/mode?lag_ms=30000");
-  fleet_order (&fleet, &slow, 0, NULL, 0, 1000, 0);
+  fleet_begin_order (&fleet, &slow, 0, NULL, 0, 1000, 0);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
   kill (fleet.endpoints[FLEET_STOCK].pid, SIGTERM);
   CU_ASSERT (fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS - 1));
-  fleet_order (&fleet, &order, 1, NULL, 0, 1, 0);
-  fleet_wait (&order);
-  CU_ASSERT (told (&order, "not-run"));
-  fleet_wait (&slow);
-  CU_ASSERT (told (&slow, "ran"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
-  CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[FLEET_STOCK].pid, 0), 0);
+  fleet_begin_order (&fleet, &order, 1, NULL, 0, 1, 0);
+  fleet_wait_call (&order);
+  CU_ASSERT (has_outcome (&order, "not-run"));
+  fleet_wait_call (&slow);
+  CU_ASSERT (has_outcome (&slow, "ran"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, 0), 0);
   ash_cli_answer_finish (&order.answer);
   ash_cli_answer_finish (&slow.answer);
   fleet_stop (&fleet);
 }
 
-/* One entry alone hears of it; the other, which can't read the platform, learns
- * it from that one. */
+/* Only one entry can read the platform's list; the other learns from that entry that the box is
+ * leaving. */
 static void
-test_leaving_by_hearsay (void)
+test_leaving_learned_from_peer (void)
 {
   struct fleet fleet;
 
-  fleet_start (&fleet, NO_GUARD);
-  fleet_end (&fleet.entries[1].pid, SIGKILL);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  fleet_end_process (&fleet.entries[1].pid, SIGKILL);
   fleet.entries[1].platform_port = fleet.endpoints[0].peer_port;
   fleet_start_entry (&fleet, 1);
   CU_ASSERT (fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS));
   fleet_control (fleet.platform_port, "/control/box?box=model-1&state=leaving");
   CU_ASSERT (fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS - 1));
-  CU_ASSERT (fleet_log_count (&fleet, "entry-2", " 303 box_leaving ") > 0);
-  CU_ASSERT_EQUAL (fleet_log_count (&fleet, "entry-2", "box=model-1 source=platform"), 0);
+  CU_ASSERT (fleet_count_log_lines (&fleet, "entry-2", " 303 box_leaving ") > 0);
+  CU_ASSERT_EQUAL (fleet_count_log_lines (&fleet, "entry-2", "box=model-1 source=platform"), 0);
   fleet_stop (&fleet);
 }
 
-/* A caller that knows both entries: where one does not take its connection, it
- * goes to the other. */
+/* Calls entry e; if the connection fails, calls the other entry. */
 static void
-call_either (struct fleet *fleet, int e, int *bad)
+call_with_failover (struct fleet *fleet, int e, int *failures)
 {
-  int64_t started_ms = fleet_now ();
+  int64_t started_ms = fleet_now_ms ();
   struct fleet_call call;
 
   for (int i = 0; i < 2; i++)
     {
-      fleet_chat (fleet, &call, (e + i) % FLEET_ENTRIES, true, 5);
-      fleet_wait (&call);
+      fleet_begin_chat (fleet, &call, (e + i) % FLEET_ENTRIES, true, 5);
+      fleet_wait_call (&call);
       if (call.answer.connected)
         break;
       ash_cli_answer_finish (&call.answer);
     }
   if (!fleet_stream_ok (&call.answer, 5))
     {
-      fprintf (stderr, "one by one: after %lld ms, status %ld: %s\n",
-               (long long) (fleet_now () - started_ms), call.answer.status,
+      fprintf (stderr, "call during restarts failed after %lld ms, status %ld: %s\n",
+               (long long) (fleet_now_ms () - started_ms), call.answer.status,
                call.answer.body ? call.answer.body : call.answer.error);
-      (*bad)++;
+      (*failures)++;
     }
   ash_cli_answer_finish (&call.answer);
 }
@@ -689,45 +691,46 @@
   struct fleet *fleet;
   pthread_t thread;
   int entry;
-  int bad;
+  int failures;
   volatile bool stop;
 };
 
 static void *
-keep_calling_either (void *data)
+keep_calling_with_failover (void *data)
 {
   struct callers *callers = data;
 
   while (!callers->stop)
-    call_either (callers->fleet, callers->entry, &callers->bad);
+    call_with_failover (callers->fleet, callers->entry, &callers->failures);
   return NULL;
 }
 
-/* Every daemon is stopped as planned and started again, one after the other. */
+/* Every daemon is stopped as planned and restarted, one after the other, under load: no call fails.
+ */
 static void
 test_restart_one_by_one (void)
 {
   struct fleet fleet;
   struct callers callers[4] = { 0 };
-  int bad = 0;
+  int failures = 0;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int i = 0; i < 4; i++)
     {
       callers[i].fleet = &fleet;
       callers[i].entry = i % FLEET_ENTRIES;
-      pthread_create (&callers[i].thread, NULL, keep_calling_either, &callers[i]);
+      pthread_create (&callers[i].thread, NULL, keep_calling_with_failover, &callers[i]);
     }
   for (int a = 0; a < FLEET_MODELS; a++)
     {
-      CU_ASSERT_EQUAL (fleet_end (&fleet.endpoints[a].pid, SIGTERM), 0);
+      CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[a].pid, SIGTERM), 0);
       fleet_start_endpoint (&fleet, a);
       for (int e = 0; e < FLEET_ENTRIES; e++)
         CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS));
     }
   for (int e = 0; e < FLEET_ENTRIES; e++)
     {
-      CU_ASSERT_EQUAL (fleet_end (&fleet.entries[e].pid, SIGTERM), 0);
+      CU_ASSERT_EQUAL (fleet_end_process (&fleet.entries[e].pid, SIGTERM), 0);
       fleet_start_entry (&fleet, e);
       CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS));
     }
@@ -735,91 +738,92 @@
     {
       callers[i].stop = true;
       pthread_join (callers[i].thread, NULL);
-      bad += callers[i].bad;
+      failures += callers[i].failures;
     }
-  CU_ASSERT_EQUAL (bad, 0);
+  CU_ASSERT_EQUAL (failures, 0);
   fleet_stop (&fleet);
 }
 
-/* An engine stops in the middle: what waits for it is answered by the other, and so
- * is what comes; what it had begun goes on with it. */
+/* An engine is paused during a stream: requests that are queued for it and new ones are answered by
+ * the other engine; the stream that it had begun continues when it resumes. */
 static void
-test_engine_stands_still (void)
+test_engine_stalled (void)
 {
-  static struct fleet_call calls[LOAD];
+  static struct fleet_call calls[LOAD_STREAMS];
   struct fleet fleet;
   struct fleet_call begun;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   do
     {
-      fleet_chat (&fleet, &begun, 0, true, 400);
-      fleet_sleep (200);
-      if (fleet_runs (&fleet, 0, NULL, "runs") > fleet_runs (&fleet, 0, NULL, "ended"))
+      fleet_begin_chat (&fleet, &begun, 0, true, 400);
+      fleet_sleep_ms (200);
+      if (fleet_count_runs (&fleet, 0, NULL, "runs") > fleet_count_runs (&fleet, 0, NULL, "ended"))
         break;
-      fleet_wait (&begun);
+      fleet_wait_call (&begun);
       ash_cli_answer_finish (&begun.answer);
     }
   while (true);
   kill (fleet.endpoints[0].engine, SIGSTOP);
-  for (int i = 0; i < LOAD; i++)
-    fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 5);
+  for (int i = 0; i < LOAD_STREAMS; i++)
+    fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 5);
   expect_streams (calls, 5);
-  CU_ASSERT (fleet_log_count (&fleet, "model-1", " 505 stalled ") > 0);
+  CU_ASSERT (fleet_count_log_lines (&fleet, "model-1", " 505 stalled ") > 0);
   kill (fleet.endpoints[0].engine, SIGCONT);
-  fleet_wait (&begun);
+  fleet_wait_call (&begun);
   CU_ASSERT (fleet_stream_ok (&begun.answer, 400));
   ash_cli_answer_finish (&begun.answer);
   fleet_stop (&fleet);
 }
 
-/* A box dies and comes back again and again: each life is taken for what it is. Orders
- * run at most once, none that was told "not run" has run, and in the end it serves. */
+/* An agent is killed and restarted repeatedly while orders arrive. Each order runs at most once,
+ * none that was answered "not-run" has run, and at the end the agent serves again. */
 static void
 test_flapping_box (void)
 {
-  static struct fleet_call orders[LOAD];
-  static struct fleet_call calls[LOAD];
+  static struct fleet_call orders[LOAD_STREAMS];
+  static struct fleet_call calls[LOAD_STREAMS];
   struct fleet fleet;
-  int told_ran = 0;
-  int told_unknown = 0;
+  int ran = 0;
+  int unknown = 0;
 
-  fleet_start (&fleet, NO_GUARD);
-  for (int i = 0; i < LOAD; i++)
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  for (int i = 0; i < LOAD_STREAMS; i++)
     {
       char key[16];
 
       if (i % 4 == 0)
         {
-          fleet_end (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
+          fleet_end_process (&fleet.endpoints[FLEET_STOCK].pid, SIGKILL);
           fleet_start_endpoint (&fleet, FLEET_STOCK);
         }
       sprintf (key, "order-%d", i);
-      fleet_order (&fleet, &orders[i], i % FLEET_ENTRIES, key, 1, 20, 3000);
-      fleet_sleep (40);
+      fleet_begin_order (&fleet, &orders[i], i % FLEET_ENTRIES, key, 1, 20, 3000);
+      fleet_sleep_ms (40);
     }
-  for (int i = 0; i < LOAD; i++)
+  for (int i = 0; i < LOAD_STREAMS; i++)
     {
-      fleet_wait (&orders[i]);
-      told_ran += told (&orders[i], "ran");
-      told_unknown += told (&orders[i], "unknown");
-      CU_ASSERT (told (&orders[i], "ran") || told (&orders[i], "unknown") ||
-                 told (&orders[i], "not-run"));
-      if (told (&orders[i], "not-run"))
-        CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, orders[i].answer.request_id, "runs"), 0);
-      CU_ASSERT (fleet_runs (&fleet, FLEET_STOCK, orders[i].answer.request_id, "runs") <= 1);
+      fleet_wait_call (&orders[i]);
+      ran += has_outcome (&orders[i], "ran");
+      unknown += has_outcome (&orders[i], "unknown");
+      CU_ASSERT (has_outcome (&orders[i], "ran") || has_outcome (&orders[i], "unknown") ||
+                 has_outcome (&orders[i], "not-run"));
+      if (has_outcome (&orders[i], "not-run"))
+        CU_ASSERT_EQUAL (
+            fleet_count_runs (&fleet, FLEET_STOCK, orders[i].answer.request_id, "runs"), 0);
+      CU_ASSERT (fleet_count_runs (&fleet, FLEET_STOCK, orders[i].answer.request_id, "runs") <= 1);
       ash_cli_answer_finish (&orders[i].answer);
     }
-  CU_ASSERT (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs") <= told_ran + told_unknown);
+  CU_ASSERT (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs") <= ran + unknown);
   for (int e = 0; e < FLEET_ENTRIES; e++)
     CU_ASSERT (fleet_wait_live (&fleet, e, FLEET_ENDPOINTS));
-  for (int i = 0; i < LOAD; i++)
-    fleet_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
+  for (int i = 0; i < LOAD_STREAMS; i++)
+    fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, true, 3);
   expect_streams (calls, 3);
   fleet_stop (&fleet);
 }
 
-/* Every engine fails: retries come out of a budget, so there is no storm. */
+/* All engines drop every request: the retry budget bounds the number of retries. */
 static void
 test_no_retry_storm (void)
 {
@@ -832,52 +836,53 @@
   struct fleet fleet;
   int runs;
 
-  fleet_start (&fleet, NO_GUARD);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
   for (int a = 0; a < FLEET_MODELS; a++)
     fleet_control (fleet.endpoints[a].http_port, "/control?drop=1");
   for (int i = 0; i < CALLS; i++)
-    fleet_chat (&fleet, &calls[i], 0, false, 5);
+    fleet_begin_chat (&fleet, &calls[i], 0, false, 5);
   for (int i = 0; i < CALLS; i++)
     {
-      fleet_wait (&calls[i]);
-      CU_ASSERT (told (&calls[i], "unknown"));
+      fleet_wait_call (&calls[i]);
+      CU_ASSERT (has_outcome (&calls[i], "unknown"));
       CU_ASSERT (calls[i].answer.retry_ms > 0);
       ash_cli_answer_finish (&calls[i].answer);
     }
-  runs = fleet_runs (&fleet, 0, NULL, "runs") + fleet_runs (&fleet, 1, NULL, "runs");
+  runs = fleet_count_runs (&fleet, 0, NULL, "runs") + fleet_count_runs (&fleet, 1, NULL, "runs");
   CU_ASSERT (runs > CALLS);
   CU_ASSERT (runs <= CALLS + BUDGET);
   fleet_stop (&fleet);
 }
 
-/* Two at once: the link to the endpoint is cut, then the entry is killed. */
+/* The link to the endpoint is cut and then the entry is killed: the caller still gets the answer of
+ * the same run through the other entry. */
 static void
-test_cut_and_kill (void)
+test_link_cut_and_entry_killed (void)
 {
   struct fleet fleet;
   struct fleet_call calls[2];
 
-  fleet_start (&fleet, NO_GUARD);
-  wait_guard ();
-  fleet_order (&fleet, &calls[0], 0, "order-1", 1, 800, 0);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  wait_guard_period ();
+  fleet_begin_order (&fleet, &calls[0], 0, "order-1", 1, 800, 0);
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
   fleet_control (fleet.endpoints[FLEET_STOCK].control_port, "/control?mode=1");
-  fleet_end (&fleet.entries[0].pid, SIGKILL);
-  fleet_wait (&calls[0]);
-  fleet_sleep (1000);
+  fleet_end_process (&fleet.entries[0].pid, SIGKILL);
+  fleet_wait_call (&calls[0]);
+  fleet_sleep_ms (1000);
   fleet_control (fleet.endpoints[FLEET_STOCK].control_port, "/control?mode=0");
   CU_ASSERT (fleet_wait_live (&fleet, 1, FLEET_ENDPOINTS));
-  fleet_order (&fleet, &calls[1], 1, "order-1", 2, 800, 0);
-  fleet_wait (&calls[1]);
-  CU_ASSERT (told (&calls[1], "ran"));
-  CU_ASSERT_EQUAL (fleet_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
+  fleet_begin_order (&fleet, &calls[1], 1, "order-1", 2, 800, 0);
+  fleet_wait_call (&calls[1]);
+  CU_ASSERT (has_outcome (&calls[1], "ran"));
+  CU_ASSERT_EQUAL (fleet_count_runs (&fleet, FLEET_STOCK, NULL, "runs"), 1);
   for (int i = 0; i < 2; i++)
     ash_cli_answer_finish (&calls[i].answer);
   fleet_stop (&fleet);
 }
 
-/* A plain service gets the path and query as the caller wrote them, escapes
- * included: decoded once on the way they would mean something else. */
+/* A plain service gets the path and query with the caller's percent-encoding. If an entry or agent
+ * decoded them, an encoded "?" in the path would begin the query. */
 static void
 test_escaped_path (void)
 {
@@ -885,9 +890,9 @@
   struct fleet_call call;
   const char *body;
 
-  fleet_start (&fleet, NO_GUARD);
-  fleet_order (&fleet, &call, 0, NULL, 0, 0, 0);
-  fleet_wait (&call);
+  fleet_start (&fleet, NO_GUARD_SETTINGS);
+  fleet_begin_order (&fleet, &call, 0, NULL, 0, 0, 0);
+  fleet_wait_call (&call);
   ash_cli_answer_finish (&call.answer);
   snprintf (call.url, sizeof call.url,
             "http://127.0.0.1:%u/v1/services/stock/a%%20b%%3Fc/d?work_ms=0",
@@ -904,35 +909,35 @@
   { "one key through two entries runs once", test_one_key_two_entries },
   { "an entry is killed", test_entry_killed },
   { "an agent is killed", test_agent_killed },
-  { "a young life runs no caller's key", test_young_life_runs_no_key },
+  { "a new incarnation runs no caller's key", test_new_incarnation_runs_no_key },
   { "a minted key", test_minted_key },
   { "an entry is paused past the deadline", test_entry_paused },
-  { "200 streams over a cut", test_streams_over_a_cut },
+  { "200 streams over a cut", test_streams_over_link_cut },
   { "a cut one way", test_one_way_cut },
-  { "a broken stream says so", test_broken_stream },
-  { "an engine drops a request", test_dropped_by_the_engine },
+  { "a broken stream ends with an error event", test_broken_stream },
+  { "an engine drops a request", test_dropped_by_engine },
   { "an engine is down", test_engine_down },
-  { "cancel: the caller goes away", test_cancel_caller_gone },
+  { "cancel: the caller goes away", test_cancel_caller_disconnected },
   { "cancel: the entry is killed", test_cancel_entry_killed },
   { "planned stop of agents under load", test_planned_stop_of_agents },
   { "planned stop of an entry", test_planned_stop_of_entry },
-  { "planned stop: connected, and asks late", test_planned_stop_before_the_request },
-  { "planned stop of an entry has an end", test_stop_of_entry_ends },
-  { "planned stop of agents has an end", test_stop_of_agents_ends },
+  { "planned stop: connected early, request sent late", test_planned_stop_before_request },
+  { "planned stop of an entry has an end", test_entry_stop_grace },
+  { "planned stop of agents has an end", test_agent_stop_grace },
   { "planned stop: a silent caller does not hold it", test_stop_with_silent_caller },
-  { "leaving by the platform's list", test_leaving_by_the_list },
-  { "leaving by its own word", test_leaving_by_its_own_word },
-  { "leaving by hearsay", test_leaving_by_hearsay },
+  { "leaving by the platform's list", test_leaving_by_platform_list },
+  { "leaving announced by the agent", test_leaving_by_agent_signal },
+  { "leaving learned from a peer", test_leaving_learned_from_peer },
   { "restart one by one under load", test_restart_one_by_one },
-  { "an engine stands still", test_engine_stands_still },
+  { "an engine stalls", test_engine_stalled },
   { "a box that flaps", test_flapping_box },
   { "a failing service gets no storm of retries", test_no_retry_storm },
-  { "a cut and a kill", test_cut_and_kill },
+  { "a cut and a kill", test_link_cut_and_entry_killed },
   { "escapes in a path", test_escaped_path },
   { NULL, NULL },
 };
 
-/* usage: test-faults [PART OF A NAME] */
+/* usage: test-faults [PART_OF_A_TEST_NAME] */
 int
 main (int argc, char **argv)
 {
--- a/test/groups.c
+++ b/test/groups.c
@@ -1,8 +1,7 @@
 /**
  * @file
- * The expert map of a group changes while agents are killed and paused and ranks
- * are replaced. The stand-in of the group compares the map of every rank at
- * every step.
+ * Tests changes of a group's expert map while agents are killed and paused and ranks are replaced.
+ * The stand-in of the group's engines compares the maps of all ranks at every step.
  */
 #include "proto/ash.pb-c.h"
 #include "test/group_fleet.h"
@@ -15,14 +14,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STEPS_SOON 60 /* a group that goes on has begun so many more within seconds */
+#define MORE_STEPS 60 /* a group that makes progress begins that many within seconds */
 
-/* The group goes on, and has never run a step with two maps. */
+/* Checks that the group makes progress and that no step was run with different maps. */
 static void
-assert_in_order (const struct group_fleet *group)
+assert_steps_consistent (const struct group_fleet *group)
 {
-  CU_ASSERT (group_fleet_wait (group, "steps", group_fleet_check (group, "steps") + STEPS_SOON));
-  CU_ASSERT_EQUAL (group_fleet_check (group, "differences"), 0);
+  CU_ASSERT (
+      group_fleet_wait (group, "steps", group_fleet_read_counter (group, "steps") + MORE_STEPS));
+  CU_ASSERT_EQUAL (group_fleet_read_counter (group, "differences"), 0);
 }
 
 static void
@@ -33,11 +33,12 @@
   group_fleet_start (&group);
   group_fleet_make_hot (&group, 3);
   CU_ASSERT (group_fleet_wait (&group, "changes", 1));
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   group_fleet_stop (&group);
 }
 
-/* The coordinator is killed in the middle of changes, again and again. */
+/* Agents 0 and 1, each of which may be the coordinator then, are killed in turn during changes of
+ * the map. */
 static void
 kill_coordinator (void (*start) (struct group_fleet *group))
 {
@@ -47,14 +48,14 @@
   for (int i = 0; i < 6; i++)
     {
       group_fleet_make_hot (&group, 2 * i);
-      fleet_sleep (350 + 37 * i);
-      fleet_end (&group.agents[i % 2], SIGKILL);
-      fleet_sleep (150);
+      fleet_sleep_ms (350 + 37 * i);
+      fleet_end_process (&group.agents[i % 2], SIGKILL);
+      fleet_sleep_ms (150);
       group_fleet_start_agent (&group, i % 2);
     }
   group_fleet_make_hot (&group, 15);
   CU_ASSERT (group_fleet_wait (&group, "changes", 1));
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   group_fleet_stop (&group);
 }
 
@@ -65,33 +66,33 @@
 }
 
 static void
-test_coordinator_killed_unchecked (void)
+test_coordinator_killed_unfenced (void)
 {
-  kill_coordinator (group_fleet_start_unchecked);
+  kill_coordinator (group_fleet_start_unfenced);
 }
 
-/* It is killed when all ranks are armed and none has heard the commit: they hold
- * the step until somebody takes over. Its rank is needed for that, so it has to
- * come back, without any memory, as the box's platform sees to. */
+/* The coordinator is killed when all ranks are armed and none has received the commit: the ranks
+ * hold the step until another coordinator takes over. The takeover needs the killed agent's rank,
+ * so that agent is restarted, without any state, as the platform of its box would do. */
 static void
 test_killed_before_commit (void)
 {
   struct group_fleet group;
 
   group_fleet_start (&group);
-  group_fleet_lose (&group, ASH__RANK_ORDER__KIND__COMMIT);
+  group_fleet_drop_orders (&group, ASH__RANK_ORDER__KIND__COMMIT);
   group_fleet_make_hot (&group, 3);
-  CU_ASSERT (group_fleet_wait_still (&group));
-  fleet_end (&group.agents[0], SIGKILL);
-  group_fleet_lose (&group, ASH__RANK_ORDER__KIND__NONE);
+  CU_ASSERT (group_fleet_wait_stalled (&group));
+  fleet_end_process (&group.agents[0], SIGKILL);
+  group_fleet_drop_orders (&group, ASH__RANK_ORDER__KIND__NONE);
   group_fleet_start_agent (&group, 0);
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   CU_ASSERT (group_fleet_wait (&group, "changes", 1));
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   group_fleet_stop (&group);
 }
 
-/* It is paused, others go on, and it wakes late with what it believed. */
+/* The coordinator is paused while the other agents continue, and resumes with outdated state. */
 static void
 pause_coordinator (void (*start) (struct group_fleet *group))
 {
@@ -103,12 +104,12 @@
   for (int i = 0; i < 3; i++)
     {
       group_fleet_make_hot (&group, 6 + i);
-      fleet_sleep (300 + 50 * i);
+      fleet_sleep_ms (300 + 50 * i);
       kill (group.agents[0], SIGSTOP);
-      fleet_sleep (1500);
+      fleet_sleep_ms (1500);
       kill (group.agents[0], SIGCONT);
     }
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   group_fleet_stop (&group);
 }
 
@@ -119,12 +120,12 @@
 }
 
 static void
-test_coordinator_paused_unchecked (void)
+test_coordinator_paused_unfenced (void)
 {
-  pause_coordinator (group_fleet_start_unchecked);
+  pause_coordinator (group_fleet_start_unfenced);
 }
 
-/* A rank is replaced and forgets all: the others give it their state. */
+/* A rank is replaced and has lost its state: it gets the state of the other ranks. */
 static void
 test_rank_replaced (void)
 {
@@ -139,14 +140,14 @@
 
       snprintf (path, sizeof path, "/replace?rank=%d", r);
       fleet_control (group.ports[1], path);
-      assert_in_order (&group);
+      assert_steps_consistent (&group);
     }
   group_fleet_make_hot (&group, 1);
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   group_fleet_stop (&group);
 }
 
-/* Two at once: whoever is left gives both the state. */
+/* Two ranks are replaced at once: both get the state of the remaining ranks. */
 static void
 test_two_ranks_replaced (void)
 {
@@ -161,28 +162,28 @@
 
       snprintf (path, sizeof path, "/replace?rank=%d&other=%d", r, (r + 1) % GROUP_RANKS);
       fleet_control (group.ports[1], path);
-      assert_in_order (&group);
+      assert_steps_consistent (&group);
     }
   group_fleet_stop (&group);
 }
 
-/* In an event's lead time experts are moved for what its profile expects, though the
- * loads are even yet. */
+/* In the lead time of a declared event, experts are moved for the loads in the event's profile,
+ * while the measured loads are still even. */
 static void
 test_declared_event (void)
 {
   struct group_fleet group;
 
   group_fleet_start (&group);
-  fleet_sleep (1000);
-  CU_ASSERT_EQUAL (group_fleet_check (&group, "changes"), 0);
-  group_fleet_declare (&group, 5);
+  fleet_sleep_ms (1000);
+  CU_ASSERT_EQUAL (group_fleet_read_counter (&group, "changes"), 0);
+  group_fleet_declare_event (&group, 5);
   CU_ASSERT (group_fleet_wait (&group, "changes", 1));
-  assert_in_order (&group);
+  assert_steps_consistent (&group);
   group_fleet_stop (&group);
 }
 
-/* Whoever asks an entry is told what was decided, by whom, and on which numbers. */
+/* An entry explains a group: each agent's decisions and the loads that they are based on. */
 static void
 test_explain (void)
 {
@@ -199,7 +200,7 @@
   group_fleet_start (&group);
   group_fleet_make_hot (&group, 3);
   CU_ASSERT (group_fleet_wait (&group, "changes", 1));
-  fleet_sleep (400);
+  fleet_sleep_ms (400);
   snprintf (url, sizeof url, "http://127.0.0.1:%u/v1/explain/group/g", group.ports[2]);
   ash_cli_fetch (&request, &answer);
   CU_ASSERT_EQUAL (answer.status, 200);
@@ -216,7 +217,7 @@
                    json_number_value (json_object_get (row, "predicted")));
       }
   CU_ASSERT (moved);
-  /* What was not worth moving is said, too. */
+  /* Decisions to leave the map unchanged are listed, too. */
   row = json_array_get (decisions, 0);
   CU_ASSERT_STRING_EQUAL (json_string_value (json_object_get (row, "what")), "kept");
   json_decref (root);
@@ -240,8 +241,8 @@
   CU_add_test (suite, "the coordinator is killed", test_coordinator_killed);
   CU_add_test (suite, "the coordinator is killed before the commit", test_killed_before_commit);
   CU_add_test (suite, "the coordinator is paused", test_coordinator_paused);
-  CU_add_test (suite, "killed, and engines check no fence", test_coordinator_killed_unchecked);
-  CU_add_test (suite, "paused, and engines check no fence", test_coordinator_paused_unchecked);
+  CU_add_test (suite, "killed, and engines check no fence", test_coordinator_killed_unfenced);
+  CU_add_test (suite, "paused, and engines check no fence", test_coordinator_paused_unfenced);
   CU_add_test (suite, "ranks are replaced", test_rank_replaced);
   CU_add_test (suite, "a declared event", test_declared_event);
   CU_add_test (suite, "explain", test_explain);
--- a/test/session.c
+++ b/test/session.c
@@ -13,7 +13,7 @@
 }
 
 static void
-write_line (struct session *session, char direction, const struct Ash__Event *event)
+write_event (struct session *session, char direction, const struct Ash__Event *event)
 {
   if (!session->transcript)
     return;
@@ -27,7 +27,7 @@
 {
   struct session *session = data;
 
-  write_line (session, '>', event);
+  write_event (session, '>', event);
   if (session->emitted)
     session->emitted (session->data, session, event);
 }
@@ -62,14 +62,14 @@
     ash_agent_finish (&session->agent);
 }
 
-/* A rank takes orders, and begins a step with each tick if it may. */
+/* Delivers an order to the rank; on a tick the rank begins its next step if it may. */
 static void
-give_rank (struct session *session, const struct Ash__Event *event)
+deliver_to_rank (struct session *session, const struct Ash__Event *event)
 {
   struct ash_sink sink = { on_emit, session };
 
   if (event->kind_case == ASH__EVENT__KIND_RANK_ORDER)
-    ash_expert_rank_take (&session->rank, event->rank_order, event->peer, &sink);
+    ash_expert_rank_handle_order (&session->rank, event->rank_order, event->peer, &sink);
   else if (event->kind_case == ASH__EVENT__KIND_TICK && ash_expert_rank_may_begin (&session->rank))
     {
       uint64_t map = ash_expert_rank_begin (&session->rank);
@@ -82,10 +82,10 @@
 }
 
 void
-session_give (struct session *session, struct ash_time now, const struct Ash__Event *event)
+session_deliver (struct session *session, struct ash_time now, const struct Ash__Event *event)
 {
   session->now = now;
-  write_line (session, '<', event);
+  write_event (session, '<', event);
   switch (session->core)
     {
     case SESSION_ENTRY:
@@ -95,29 +95,29 @@
       ash_agent_handle (&session->agent, now, event);
       break;
     case SESSION_RANK:
-      give_rank (session, event);
+      deliver_to_rank (session, event);
       break;
     }
 }
 
 void
-session_give_message (struct session *session,
-                      struct ash_time now,
-                      const char *peer,
-                      Ash__Event__KindCase kind,
-                      const void *message)
+session_deliver_message (struct session *session,
+                         struct ash_time now,
+                         const char *peer,
+                         Ash__Event__KindCase kind,
+                         const void *message)
 {
-  struct Ash__Event event = ash_event_of (peer, kind, message);
+  struct Ash__Event event = ash_event_wrap (peer, kind, message);
 
-  session_give (session, now, &event);
+  session_deliver (session, now, &event);
 }
 
 enum ash_config_result
-session_offer (struct session *session,
-               struct ash_time now,
-               uint64_t revision,
-               const char *text,
-               size_t text_bytes)
+session_offer_config (struct session *session,
+                      struct ash_time now,
+                      uint64_t revision,
+                      const char *text,
+                      size_t text_bytes)
 {
   struct ash_config *config =
       session->core == SESSION_ENTRY ? &session->entry.config : &session->agent.config;
@@ -135,7 +135,7 @@
 }
 
 struct Ash__Event *
-session_copy (const struct Ash__Event *event)
+session_copy_event (const struct Ash__Event *event)
 {
   size_t size = ash__event__get_packed_size (event);
   uint8_t *packed = malloc (size ? size : 1);
--- a/test/standin.c
+++ b/test/standin.c
@@ -31,7 +31,7 @@
 }
 
 int64_t
-standin_number (struct standin_request *request, const char *name, int64_t fallback)
+standin_query_number (struct standin_request *request, const char *name, int64_t fallback)
 {
   const char *value =
       MHD_lookup_connection_value (request->connection, MHD_GET_ARGUMENT_KIND, name);
@@ -66,7 +66,7 @@
             size_t *upload_bytes,
             void **context)
 {
-  standin_handle *handle = *(standin_handle **) data;
+  standin_handler *handle = *(standin_handler **) data;
   struct standin_request *request = *context;
 
   (void) version;
@@ -113,7 +113,7 @@
 }
 
 int
-standin_serve (uint16_t port, standin_handle *handle)
+standin_serve (uint16_t port, standin_handler *handle)
 {
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_port = htons (port) };
   struct MHD_Daemon *daemon;
@@ -136,12 +136,12 @@
       return EXIT_FAILURE;
     }
   sigwait (&signals, &number);
-  /* Threads may sleep in the middle of an answer; the process just ends. */
+  /* Exits without waiting for connection threads, which may sleep in the middle of an answer. */
   _exit (EXIT_SUCCESS);
 }
 
-/* Prints free ports of the loopback address. They are all held until the last
- * is found, so that they differ. */
+/* Prints free loopback ports. All sockets stay open until the last port is found, so that the ports
+ * differ. */
 static int
 print_ports (int count)
 {
--- a/test/standin_engine.c
+++ b/test/standin_engine.c
@@ -1,20 +1,22 @@
 /**
  * @file
- * The stand-in of a model engine and of a plain service. It works on a batch
- * of up to SLOTS requests, each gets a token a step, and it records each run
- * of each request id, which tests compare with what callers were told.
+ * Stand-in of a model engine and of a plain service. It runs a batch of up to SLOTS requests, each
+ * of which gets one token per step. It records each run of each request id; tests compare these
+ * records with the outcomes that callers got.
  *
- * POST /v1/chat/completions, /v1/completions   `max_tokens` tokens
- * any  other path                              a plain call; ?work_ms=W
- * GET  /runs                                   {"ID": {"runs": n, "ended": n, "cancelled": n}}
- * GET  /load                                   running, waiting; lags
- * GET  /resume?id=ID&offset=N&max_tokens=T  the rest of a streamed answer
- * GET  /cache?after=N       cache events above N: late, and every seventh is missing
- * POST /control?break_after=N                  breaks answers after N tokens
- * POST /control?drop=1                         takes requests, then drops them unanswered
+ * POST /v1/chat/completions, /v1/completions  an answer of `max_tokens` tokens
+ * any method, other paths                     a plain call that takes ?work_ms=W
+ * GET  /runs                                  {"ID": {"runs": n, "ended": n, "cancelled": n}}
+ * GET  /load                                  running and waiting requests, up to 200 ms old
+ * GET  /resume?id=ID&offset=N&max_tokens=T    a streamed answer from byte N on
+ * GET  /cache?after=N                         cache events with numbers above N, 300 ms late and
+ *                                             without every seventh
+ * POST /control?break_after=N                 breaks streamed answers off after N tokens
+ * POST /control?drop=1                        closes connections of new requests without an answer
+ * POST /control?step_ms=T                     sets the duration of a step
  *
- * The text of an answer is made from the request's id alone, so that every
- * byte that a caller gets can be checked to be of its own request.
+ * The text of an answer depends only on the request's id, so that tests can check that each byte
+ * belongs to the caller's own request.
  */
 #include "test/standin.h"
 
@@ -28,7 +30,7 @@
 #define TOKENS_DEFAULT 16
 #define CACHE_EVENTS 64
 #define CACHE_LAG_MS 300
-#define CACHE_GAP 7
+#define CACHE_LOST_EVERY 7
 
 struct generation
 {
@@ -36,32 +38,32 @@
   bool stream;
   int64_t tokens;
   int64_t sent;
-  bool closing; /* the end of the stream was sent */
+  bool done_sent; /* the whole answer was sent, including the end of a stream */
 };
 
 struct cache_event
 {
-  int64_t number; /* 0: none yet */
-  int64_t shown_ms;
+  int64_t number; /* from 1; 0: unused */
+  int64_t visible_from_ms;
   char id[64];
 };
 
-static struct cache_event cache_events[CACHE_EVENTS]; /* a ring */
+static struct cache_event cache_events[CACHE_EVENTS]; /* a ring buffer */
 static int64_t cache_count;
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static json_t *runs; /* id -> counts */
+static json_t *runs; /* request id -> {"runs", "ended", "cancelled"} */
 static int64_t slots = 8;
 static int64_t step_ms = 5;
 static int64_t running;
 static int64_t waiting;
 static int64_t break_after = -1;
 static bool drop;
-static int64_t shown_running;
-static int64_t shown_waiting;
-static int64_t shown_ms;
+static int64_t reported_running;
+static int64_t reported_waiting;
+static int64_t load_sampled_ms;
 
 static void
-count (const char *id, const char *what)
+count_run (const char *id, const char *what)
 {
   json_t *row;
 
@@ -101,7 +103,7 @@
   pthread_mutex_unlock (&lock);
 }
 
-/* All requests of the batch step together: to the next whole step. */
+/* Sleeps until the next multiple of step_ms: all requests of the batch step at the same time. */
 static void
 wait_step (void)
 {
@@ -119,20 +121,20 @@
 }
 
 static ssize_t
-on_more (void *data, uint64_t position, char *out, size_t room)
+read_answer (void *data, uint64_t position, char *out, size_t room)
 {
   struct generation *generation = data;
 
   (void) position;
   if (room < 512)
     return 0;
-  if (generation->closing)
+  if (generation->done_sent)
     return MHD_CONTENT_READER_END_OF_STREAM;
   if (break_after >= 0 && generation->sent >= break_after)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   if (generation->sent == generation->tokens)
     {
-      generation->closing = true;
+      generation->done_sent = true;
       return sprintf (out, "data: [DONE]\n\n");
     }
   wait_step ();
@@ -141,20 +143,20 @@
 }
 
 static void
-on_free (void *data)
+end_generation (void *data)
 {
   struct generation *generation = data;
 
   leave_batch ();
-  count (generation->id, generation->closing ? "ended" : "cancelled");
+  count_run (generation->id, generation->done_sent ? "ended" : "cancelled");
   free (generation);
 }
 
 static enum MHD_Result
 reply_stream (struct standin_request *request, struct generation *generation)
 {
-  struct MHD_Response *response =
-      MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, 1024, on_more, generation, on_free);
+  struct MHD_Response *response = MHD_create_response_from_callback (
+      MHD_SIZE_UNKNOWN, 1024, read_answer, generation, end_generation);
   enum MHD_Result result;
 
   MHD_add_response_header (response, "Content-Type", "text/event-stream");
@@ -181,22 +183,22 @@
     }
   length += sprintf (text + length, "\"}}]}\n");
   result = standin_reply (request, MHD_HTTP_OK, "application/json", text, (size_t) length);
-  generation->closing = true;
-  on_free (generation);
+  generation->done_sent = true;
+  end_generation (generation);
   free (text);
   return result;
 }
 
-/* A prefix was put into the cache. Events are shown CACHE_LAG_MS later. */
+/* Records that a request's prefix was cached; /cache reports the event after CACHE_LAG_MS. */
 static void
-note_cached (const char *id)
+add_cache_event (const char *id)
 {
   struct cache_event *event;
 
   pthread_mutex_lock (&lock);
   event = &cache_events[cache_count++ % CACHE_EVENTS];
   event->number = cache_count;
-  event->shown_ms = standin_now_ms () + CACHE_LAG_MS;
+  event->visible_from_ms = standin_now_ms () + CACHE_LAG_MS;
   snprintf (event->id, sizeof event->id, "%s", id);
   pthread_mutex_unlock (&lock);
 }
@@ -213,8 +215,8 @@
   generation->tokens = tokens ? json_integer_value (tokens) : TOKENS_DEFAULT;
   json_decref (body);
   enter_batch ();
-  count (id, "runs");
-  note_cached (id);
+  count_run (id, "runs");
+  add_cache_event (id);
   return generation->stream ? reply_stream (request, generation)
                             : reply_whole (request, generation);
 }
@@ -226,25 +228,25 @@
   int length;
 
   enter_batch ();
-  count (id, "runs");
-  standin_sleep_ms (standin_number (request, "work_ms", 1));
+  count_run (id, "runs");
+  standin_sleep_ms (standin_query_number (request, "work_ms", 1));
   leave_batch ();
-  count (id, "ended");
+  count_run (id, "ended");
   length = snprintf (text, sizeof text,
                      "{\"id\":\"%s\",\"method\":\"%s\",\"path\":\"%s\",\"body_bytes\":%zu}\n", id,
                      request->method, request->path, request->body_bytes);
   return standin_reply (request, MHD_HTTP_OK, "application/json", text, (size_t) length);
 }
 
-/* The text of an answer comes from its id alone, so it can be made again from
- * any offset, as an engine that resumes streams does from its cache. */
+/* Generates the answer again from the request's id and sends it from the offset on, as an engine
+ * that can resume streams would from its cache. */
 static enum MHD_Result
 handle_resume (struct standin_request *request)
 {
   const char *id = MHD_lookup_connection_value (request->connection, MHD_GET_ARGUMENT_KIND, "id");
-  struct generation generation = { .tokens =
-                                       standin_number (request, "max_tokens", TOKENS_DEFAULT) };
-  size_t offset = (size_t) standin_number (request, "offset", 0);
+  struct generation generation = { .tokens = standin_query_number (request, "max_tokens",
+                                                                   TOKENS_DEFAULT) };
+  size_t offset = (size_t) standin_query_number (request, "offset", 0);
   char *text = calloc ((size_t) generation.tokens + 1, 256);
   size_t length = 0;
   enum MHD_Result result;
@@ -264,7 +266,7 @@
 static enum MHD_Result
 handle_cache (struct standin_request *request)
 {
-  int64_t after = standin_number (request, "after", 0);
+  int64_t after = standin_query_number (request, "after", 0);
   json_t *list = json_array ();
   enum MHD_Result result;
   char *text;
@@ -274,8 +276,8 @@
     {
       const struct cache_event *event = &cache_events[i];
 
-      if (event->number > after && event->number % CACHE_GAP &&
-          event->shown_ms <= standin_now_ms ())
+      if (event->number > after && event->number % CACHE_LOST_EVERY &&
+          event->visible_from_ms <= standin_now_ms ())
         json_array_append_new (list, json_pack ("{s:I, s:s}", "number", (json_int_t) event->number,
                                                 "prefix", event->id));
     }
@@ -308,15 +310,15 @@
   int length;
 
   pthread_mutex_lock (&lock);
-  if (standin_now_ms () - shown_ms > LOAD_LAG_MS)
+  if (standin_now_ms () - load_sampled_ms > LOAD_LAG_MS)
     {
-      shown_running = running;
-      shown_waiting = waiting;
-      shown_ms = standin_now_ms ();
+      reported_running = running;
+      reported_waiting = waiting;
+      load_sampled_ms = standin_now_ms ();
     }
-  length =
-      sprintf (text, "{\"running\":%lld,\"waiting\":%lld,\"step_us\":%lld}\n",
-               (long long) shown_running, (long long) shown_waiting, (long long) step_ms * 1000);
+  length = sprintf (text, "{\"running\":%lld,\"waiting\":%lld,\"step_us\":%lld}\n",
+                    (long long) reported_running, (long long) reported_waiting,
+                    (long long) step_ms * 1000);
   pthread_mutex_unlock (&lock);
   return standin_reply (request, MHD_HTTP_OK, "application/json", text, (size_t) length);
 }
@@ -337,16 +339,16 @@
     return handle_cache (request);
   if (strcmp (request->path, "/control") == 0)
     {
-      break_after = standin_number (request, "break_after", break_after);
-      drop = standin_number (request, "drop", drop) != 0;
-      step_ms = standin_number (request, "step_ms", step_ms);
+      break_after = standin_query_number (request, "break_after", break_after);
+      drop = standin_query_number (request, "drop", drop) != 0;
+      step_ms = standin_query_number (request, "step_ms", step_ms);
       return standin_reply (request, MHD_HTTP_OK, "text/plain", "ok\n", 3);
     }
   if (!id)
     id = "direct";
   if (drop)
     {
-      count (id, "runs");
+      count_run (id, "runs");
       return MHD_NO;
     }
   if (strcmp (request->path, "/v1/chat/completions") == 0 ||
