--- a/controllers/addresses.c
+++ b/controllers/addresses.c
@@ -37,7 +37,7 @@
 }
 
 /* Lists the whole published subset, this entry last. Used if this box is probably isolated, or no
- * entry is known to serve; the others may serve where this one can't. */
+ * entry is known to serve: callers may still reach other entries that serve. */
 static void
 list_published (struct ash_addresses *addresses,
                 const struct ash_entry_box *const ranked[ASH_ADDRESSES_MAX],
--- a/controllers/addresses.h
+++ b/controllers/addresses.h
@@ -1,8 +1,9 @@
 /**
  * @file
- * Answers address queries of callers, the first level of load balancing. An account is spread over
- * a subset of the published entries. The answer lists those of them that are believed to serve,
- * starting at a random one, with a randomized lifetime.
+ * Answers address queries of callers, the first level of load balancing. Callers send their
+ * requests to entries; an account is spread over a subset of the published ones. The answer lists
+ * the entries of the subset that are believed to serve, starting at a random one, with a randomized
+ * lifetime.
  */
 #ifndef ASH_ADDRESSES_H
 #define ASH_ADDRESSES_H
--- a/controllers/agent.c
+++ b/controllers/agent.c
@@ -73,7 +73,7 @@
   return record;
 }
 
-/* Extends what a refusal of the record covers to this requester's attempt. */
+/* Extends the attempts that a refusal of the record covers by this requester's attempt. */
 static void
 extend_refusal (struct ash_record *record, const struct ash_requester *requester)
 {
@@ -315,7 +315,7 @@
 static bool
 can_cancel_at_once (const struct ash_record *record)
 {
-  /* The caller of a keyed request may still come for the answer through another entry. */
+  /* The caller of a keyed request may still fetch the answer through another entry. */
   return !record->keyed;
 }
 
@@ -405,7 +405,7 @@
   disowned.has_it = !record || record->state != ASH_RECORD_REFUSED;
   if (!disowned.has_it)
     {
-      /* From now on it may run at the other home, so its outcome is not known here. */
+      /* From now on the request may run at the other home, so its outcome is not known here. */
       record->disowned = true;
       record->outcome = ASH__OUTCOME__UNKNOWN;
     }
--- a/controllers/agent.h
+++ b/controllers/agent.h
@@ -17,7 +17,7 @@
 #include "options/settings.h"
 #include "proto/event.h"
 
-/** Number of request priorities; higher ones are treated as the last. */
+/** Number of request priorities; higher values are treated as the last one. */
 #define ASH_PRIORITIES 16
 
 /** Smoothed duration of runs. */
@@ -66,7 +66,8 @@
 void
 ash_agent_handle (struct ash_agent *agent, struct ash_time now, const struct Ash__Event *event);
 
-/** @return whether no request is queued or running, so that a stop breaks none. */
+/** @return whether no request is queued or running, so that the process can stop without breaking
+ * any. */
 bool ash_agent_idle (const struct ash_agent *agent);
 
 /** Fills in the agent's fields of the next heartbeat to an entry. */
--- a/controllers/agent_admit.c
+++ b/controllers/agent_admit.c
@@ -18,7 +18,8 @@
 }
 
 /* Whether a caller's first attempt that arrives now may have been sent before this incarnation
- * started: it may take guard_ms to the entry, and from there as long as a link may be silent. */
+ * started: it may take guard_ms to reach the entry, and from the entry as long as a link may be
+ * silent before it is closed. */
 bool
 ash_agent_guarded (const struct ash_agent *agent, struct ash_time now)
 {
@@ -26,7 +27,9 @@
          agent->settings->guard_ms + agent->settings->link_silence_ms;
 }
 
-/* Requests without a key have only one attempt. */
+/* An earlier attempt with the same key may have been handled by a previous incarnation, until a
+ * key's lifetime has passed since this one started. Requests without a key have only one attempt,
+ * and a minted key is valid for one incarnation only. */
 bool
 ash_agent_knows_all_attempts (const struct ash_agent *agent,
                               struct ash_time now,
@@ -169,7 +172,7 @@
     {
       if (!ash_agent_knows_all_attempts (agent, now, requester))
         return ASH__REASON__NEW_LIFE;
-      /* A later attempt may have run in the previous incarnation. */
+      /* A later attempt may have overtaken this one and run in the previous incarnation. */
       if (!requester->minted && ash_agent_guarded (agent, now))
         return ASH__REASON__NEW_LIFE;
       home = agent->config.ready
--- a/controllers/agent_engine.c
+++ b/controllers/agent_engine.c
@@ -115,7 +115,7 @@
   DL_FOREACH_SAFE (agent->ledger.running, record, next)
     {
       /* A keyed request may run past its deadline for the orphan grace period, since the caller may
-       * still come for the answer. */
+       * still fetch the answer. */
       struct ash_time late = record->keyed
                                  ? ash_time_add (record->deadline, agent->settings->keyed_orphan_ms)
                                  : record->deadline;
--- a/controllers/change_plan.c
+++ b/controllers/change_plan.c
@@ -23,7 +23,7 @@
 /* Weight of the newest interval in the smoothed interval between shifts. */
 #define NEW_INTERVAL_WEIGHT 0.5
 
-/* Time lost per millisecond compared to evenly loaded ranks. */
+/* Milliseconds lost per millisecond of running time, compared to evenly loaded ranks. */
 static double
 loss_rate (const struct ash_change_terms *terms, double skew)
 {
@@ -51,8 +51,8 @@
          CHANGE_STALL_MS;
 }
 
-/* Time lost if the first change makes @copies copies per rank and a second change, if @rest is not
- * zero, makes @rest more. */
+/* Time lost if the first change makes @p copies copies per rank and a second change, if @p rest is
+ * not 0, makes @p rest more. */
 static double
 expected_loss (const struct ash_change_terms *terms,
                double skew,
--- a/controllers/change_plan.h
+++ b/controllers/change_plan.h
@@ -18,8 +18,8 @@
 struct ash_change_terms
 {
   double copy_ms;         /**< time that a rank takes to copy one expert */
-  double expert_fraction; /**< fraction, 0 to 1, of a pass with evenly loaded ranks that grows
-                                with the skew */
+  double expert_fraction; /**< fraction, 0 to 1, of the duration of a pass that is proportional to
+                               the skew, if ranks are evenly loaded */
   double remaining_ms;    /**< expected remaining time of the present demand */
   /** Slowdown of each rank: 1 is normal speed, 2 takes twice as long; NULL: no rank is slow. */
   const double *pace;
--- a/controllers/config.c
+++ b/controllers/config.c
@@ -7,8 +7,8 @@
 
 #define MS_PER_S 1000
 
-/* Deltas are used if they take at most 1/DELTAS_PART of the document's size. */
-#define DELTAS_PART 2
+/* Deltas are sent if they take at most 1 / DELTAS_SIZE_DIVISOR of the document's size. */
+#define DELTAS_SIZE_DIVISOR 2
 
 void
 ash_config_init (struct ash_config *config)
@@ -61,7 +61,7 @@
   return true;
 }
 
-/* Accounts are most of a document, and those of past documents are not needed. */
+/* Accounts make up most of a document, and those of past documents are not needed. */
 static void
 free_accounts (struct ash_document *document)
 {
@@ -123,7 +123,7 @@
   for (uint32_t i = config->delta_count; i > 0; i--)
     {
       bytes += ash__config_delta__get_packed_size (config->deltas[i - 1]);
-      if (bytes > config->text_bytes / DELTAS_PART)
+      if (bytes > config->text_bytes / DELTAS_SIZE_DIVISOR)
         return 0;
       if (config->deltas[i - 1]->base_revision != revision)
         continue;
--- a/controllers/config.h
+++ b/controllers/config.h
@@ -2,7 +2,7 @@
  * @file
  * The active configuration of a process. Revisions only grow; a document with findings is refused,
  * and the last accepted one stays active. Earlier sets of endpoints are kept for the lifetime of a
- * key, because the home of a key depends on them.
+ * key, because the home of a key, the endpoint that runs its requests, depends on them.
  */
 #ifndef ASH_CONFIG_H
 #define ASH_CONFIG_H
--- a/controllers/declared.h
+++ b/controllers/declared.h
@@ -12,8 +12,8 @@
 /** State of an event at a time. */
 enum ash_declared_state
 {
-  ASH_DECLARED_COMING, /**< in the future */
-  ASH_DECLARED_LEAD,   /**< about to begin, treated as active */
+  ASH_DECLARED_COMING, /**< before the lead time */
+  ASH_DECLARED_LEAD,   /**< within the lead time before the start: treated as active */
   ASH_DECLARED_ON,
   ASH_DECLARED_OVER,
 };
--- a/controllers/direct.c
+++ b/controllers/direct.c
@@ -26,8 +26,8 @@
 #define REJECT_EJECT_MAX_MS 2000
 #define REJECTIONS_MAX 5
 
-/* Weight of the newest pause in the moving average, which so covers about a dozen pauses: one or
- * two engine passes of a few streams. */
+/* Weight of the newest pause in the moving average, which therefore covers about a dozen pauses:
+ * one or two engine passes of a few streams. */
 #define PAUSE_WEIGHT 0.1
 
 /* The average is ignored if the last pause was measured longer ago than this. */
@@ -37,11 +37,11 @@
  * several times in that period. */
 #define PACE_MAX_AGE_MS 1500
 
-/* Paces up to this count as normal speed: sending such an endpoint less gains nothing. */
+/* Paces up to this count as normal speed: sending such an endpoint fewer requests gains nothing. */
 #define PACE_SLOW_MIN 1.2
 
 /* Requests added to the load of an endpoint in another hall when loads are compared, since traffic
- * between halls has a cost. A wider margin makes the load of a group's ranks uneven. */
+ * between halls has a cost. With a higher value, the load of a group's ranks becomes uneven. */
 #define OTHER_HALL_WORK 2.0
 
 /* Multiplicative hashing: the product's upper bits are used. */
@@ -51,15 +51,15 @@
 /* Fraction of an endpoint's cap that routers of other halls leave unused where there are so many
  * routers that loads are sent to other halls less often. If all of them took the last free slots of
  * ranks whose load they learn late, the ranks would get far more streams than their cap. */
-#define REMOTE_RESERVE_PART 0.5
+#define REMOTE_RESERVE_FRACTION 0.5
 
 /* Caps are set so that an engine pass takes this fraction of the target pause. Passes vary in
  * length, and a single one that exceeds the target makes a stream miss it. */
-#define PAUSE_PART 0.75
+#define PAUSE_FRACTION 0.75
 
 /* Lower bound of a reduced cap, as a fraction of the full one. Below it, requests lose more by
  * waiting than streams gain. */
-#define CAP_MIN_PART 0.5
+#define CAP_MIN_FRACTION 0.5
 
 void
 ash_direct_init (struct ash_direct_set *set, uint64_t seed)
@@ -393,21 +393,21 @@
     return cap > pace ? (uint32_t) (cap / pace) : 1;
   if (!knows_pause (endpoint, now))
     return criteria->cap;
-  cap *= PAUSE_PART * criteria->pause_target_ms / endpoint->pause_ms;
-  if (cap < CAP_MIN_PART * criteria->cap)
-    cap = CAP_MIN_PART * criteria->cap;
+  cap *= PAUSE_FRACTION * criteria->pause_target_ms / endpoint->pause_ms;
+  if (cap < CAP_MIN_FRACTION * criteria->cap)
+    cap = CAP_MIN_FRACTION * criteria->cap;
   return cap > criteria->cap ? criteria->cap : (uint32_t) (cap + 0.5);
 }
 
 /* Sort key of a candidate: lower is better, members compared in this order. */
-struct rank
+struct sort_key
 {
   bool ejected;
   double work; /* load with the next request, weighted by hall and speed */
 };
 
 static int
-compare_rank (struct rank a, struct rank b)
+compare_keys (struct sort_key a, struct sort_key b)
 {
   if (a.ejected != b.ejected)
     return a.ejected ? 1 : -1;
@@ -440,8 +440,8 @@
          !was_tried (criteria, endpoint->hash);
 }
 
-/* Where the load of remote endpoints is known late, a part of their cap is reserved for requests
- * that this router does not know of yet. */
+/* Where routers learn the load of remote endpoints late, a part of each endpoint's cap is reserved
+ * for requests of other routers that this router does not know of yet. */
 static bool
 has_room (const struct ash_direct_endpoint *endpoint,
           const struct ash_direct_criteria *criteria,
@@ -450,7 +450,7 @@
   uint32_t load = endpoint->in_flight + endpoint->elsewhere;
 
   if (criteria->remote_parts > 1 && is_remote (endpoint, criteria))
-    load += (uint32_t) (REMOTE_RESERVE_PART * criteria->cap + 0.5);
+    load += (uint32_t) (REMOTE_RESERVE_FRACTION * criteria->cap + 0.5);
   return load < effective_cap (endpoint, criteria, now);
 }
 
@@ -465,31 +465,31 @@
   return rate_ms < 0 || rate_ms > backoff_ms ? rate_ms : backoff_ms;
 }
 
-static struct rank
-rank_of (const struct ash_direct_endpoint *endpoint,
-         const struct ash_direct_criteria *criteria,
-         struct ash_time now)
+static struct sort_key
+sort_key_of (const struct ash_direct_endpoint *endpoint,
+             const struct ash_direct_criteria *criteria,
+             struct ash_time now)
 {
   uint32_t load = endpoint->in_flight + endpoint->elsewhere;
-  struct rank rank = { ash_time_before (now, endpoint->ejected_until), load + 1.0 };
+  struct sort_key key = { ash_time_before (now, endpoint->ejected_until), load + 1.0 };
 
   if (is_remote (endpoint, criteria))
-    rank.work += OTHER_HALL_WORK;
+    key.work += OTHER_HALL_WORK;
   if (criteria->pause_target_ms)
-    rank.work *=
-        ash_direct_pace (endpoint, now) *
-        (knows_pause (endpoint, now) ? endpoint->pause_ms : PAUSE_PART * criteria->pause_target_ms);
-  return rank;
+    key.work *= ash_direct_pace (endpoint, now) *
+                (knows_pause (endpoint, now) ? endpoint->pause_ms
+                                             : PAUSE_FRACTION * criteria->pause_target_ms);
+  return key;
 }
 
-/* Chooses among the endpoints that match the criteria. */
+/* Chooses among the matching endpoints, without those of other halls outside this router's part. */
 static enum ash_direct_choice
 search (struct ash_direct_set *set,
         struct ash_time now,
         const struct ash_direct_criteria *criteria,
         struct ash_direct_endpoint **chosen)
 {
-  struct rank best = { true, 0 };
+  struct sort_key best = { true, 0 };
   uint32_t equals = 0;
   enum ash_direct_choice fallback = ASH_DIRECT_NONE;
 
@@ -497,7 +497,7 @@
   for (struct ash_direct_endpoint *endpoint = set->endpoints; endpoint;
        endpoint = endpoint->hh.next)
     {
-      struct rank rank;
+      struct sort_key key;
       int order;
 
       if (!is_eligible (endpoint, criteria) ||
@@ -510,12 +510,12 @@
       fallback = ASH_DIRECT_THROTTLED;
       if (throttle_ms (endpoint, now))
         continue;
-      rank = rank_of (endpoint, criteria, now);
-      order = *chosen ? compare_rank (rank, best) : -1;
+      key = sort_key_of (endpoint, criteria, now);
+      order = *chosen ? compare_keys (key, best) : -1;
       equals = order < 0 ? 1 : equals + (order == 0);
       if (order < 0 || (order == 0 && ash_random_below (&set->random, equals) == 0))
         {
-          best = rank;
+          best = key;
           *chosen = endpoint;
         }
     }
--- a/controllers/direct.h
+++ b/controllers/direct.h
@@ -62,7 +62,7 @@
   struct ash_time pause_seen; /**< when a pause was last measured */
   double pace; /**< processing time relative to normal; expires some time after pace_seen */
   struct ash_time pace_seen; /**< when the pace was last reported */
-  bool announced_leaving;    /**< announced in an answer; holds for the incarnation */
+  bool announced_leaving;    /**< an answer announced its shutdown; reset when it restarts */
   struct ash_rate_limit limit;
   struct ash_time backoff_until; /**< it asked this router to send no requests until then */
   void *owner;                   /**< user data of the code that holds its connections */
@@ -106,8 +106,8 @@
 
 /**
  * Handles the removal of an endpoint from the list.
- * @param trusted whether the list was reliable throughout. If so the endpoint is removed at once;
- * otherwise it is used until @p until, unless it is listed again before.
+ * @param trusted whether the list can be trusted, so that the endpoint was really removed. If so it
+ * gets no more requests; otherwise it is used until @p until, or longer if it is listed again.
  * @return whether its state changed.
  */
 bool
@@ -165,8 +165,8 @@
   const char *service;
   const char *hall;      /**< hall of this router; NULL: halls don't matter */
   uint64_t own;          /**< hash that identifies this router */
-  uint32_t remote_parts; /**< this router uses one in so many of the endpoints of other halls; 0 or
-                            1: all of them */
+  uint32_t remote_parts; /**< this router uses 1 / remote_parts of the endpoints of other halls; 0
+                            or 1: all of them */
   uint32_t cap;          /**< maximum concurrent requests of one endpoint, over all routers */
   uint32_t pause_target_ms; /**< target time between stream events; 0: the cap is fixed */
   const uint64_t *tried;    /**< hashes of endpoints not to choose */
--- a/controllers/expert_guard.h
+++ b/controllers/expert_guard.h
@@ -2,8 +2,9 @@
  * @file
  * Filters the orders that an agent forwards to its rank's engine. Some engines do not
  * check ballots, so the agent checks them for every engine. A restarted agent has lost
- * its fence. The incarnation that it reports to coordinators therefore combines the
- * engine's and its own, so that a restart of either invalidates all earlier orders.
+ * its fence (the highest ballot and sequence number so far). The incarnation that it reports to
+ * coordinators therefore combines the engine's and its own, so that a restart of either invalidates
+ * all earlier orders.
  *
  * An engine that does not check orders also executes them in the order of arrival.
  * Such an engine is sent one order at a time. After a restart of the agent, the last
--- a/controllers/expert_history.h
+++ b/controllers/expert_history.h
@@ -26,7 +26,7 @@
 struct ash_expert_note
 {
   enum ash_expert_note_kind kind;
-  struct ash_time at;  /**< the last time, if the same decision was made several times */
+  struct ash_time at;  /**< when it was made; the last time if it was made several times */
   uint32_t times;      /**< number of equal decisions in a row */
   bool forecast;       /**< based on the loads forecast for a declared event */
   uint64_t ballot;     /**< ballot of the change; 0: no change was begun */
@@ -49,7 +49,8 @@
 void ash_expert_history_add (struct ash_expert_history *history,
                              const struct ash_expert_note *note);
 
-/** @return the note @p i places before the last one, or NULL if there is none. */
+/** @return the last note if @p i is 0, the one before it if @p i is 1, and so on; NULL if there is
+ * none. */
 const struct ash_expert_note *ash_expert_history_last (const struct ash_expert_history *history,
                                                        uint32_t i);
 
--- a/controllers/expert_policy.c
+++ b/controllers/expert_policy.c
@@ -13,7 +13,7 @@
  * equally loaded ranks is relieved. */
 #define SPREAD_WEIGHT 0.05
 
-/* Smallest gain that is not noise. */
+/* Gains up to this value are treated as noise. */
 #define GAIN_MIN 0.01
 
 /* Loads of the ranks under a placement. */
@@ -374,7 +374,7 @@
 /* ---- the full repack ---- */
 
 static uint16_t
-most_loaded_expert (const struct loads *loads, uint32_t expert_count, const uint16_t *left)
+most_loaded_expert (const struct loads *loads, uint32_t expert_count, const uint16_t *unplaced)
 {
   uint32_t found = 0;
   double most = -1;
@@ -383,7 +383,7 @@
     {
       double share = loads->tokens[e] / loads->replicas[e];
 
-      if ((left && !left[e]) || share <= most)
+      if ((unplaced && !unplaced[e]) || share <= most)
         continue;
       most = share;
       found = e;
@@ -399,8 +399,8 @@
 {
   uint32_t found = placement->rank_count;
 
-  /* Two replicas of an expert on one rank do not spread its load: only if there is no other
-   * room. */
+  /* Two replicas of an expert on one rank do not spread its load, so a rank gets a second one only
+   * if no other rank has a free slot. */
   for (int strict = 1; strict >= 0 && found == placement->rank_count; strict--)
     for (uint32_t r = 0; r < placement->rank_count; r++)
       {
@@ -419,7 +419,7 @@
 ash_expert_repack (struct ash_expert_placement *placement, const double *tokens)
 {
   struct loads loads = { 0 };
-  uint16_t left[ASH_EXPERTS_MAX];
+  uint16_t unplaced[ASH_EXPERTS_MAX];
   double load[ASH_EXPERT_POLICY_RANKS_MAX] = { 0 };
   uint32_t used[ASH_EXPERT_POLICY_RANKS_MAX] = { 0 };
 
@@ -430,14 +430,14 @@
     }
   for (uint32_t s = placement->expert_count; s < slot_count (placement); s++)
     loads.replicas[most_loaded_expert (&loads, placement->expert_count, NULL)]++;
-  memcpy (left, loads.replicas, sizeof left);
+  memcpy (unplaced, loads.replicas, sizeof unplaced);
   for (uint32_t s = 0; s < slot_count (placement); s++)
     {
-      uint16_t expert = most_loaded_expert (&loads, placement->expert_count, left);
+      uint16_t expert = most_loaded_expert (&loads, placement->expert_count, unplaced);
       uint32_t rank = least_loaded_rank (placement, load, used, expert);
 
       placement->slots[rank * placement->rank_slots + used[rank]++] = expert;
       load[rank] += loads.tokens[expert] / loads.replicas[expert];
-      left[expert]--;
+      unplaced[expert]--;
     }
 }
--- a/controllers/ledger.c
+++ b/controllers/ledger.c
@@ -67,7 +67,7 @@
 {
   struct ash_record *record;
 
-  /* At most as many as the engine has slots: a few dozen. */
+  /* The engine runs at most as many requests as it has slots: a few dozen. */
   DL_FOREACH (ledger->running, record)
     if (record->run == run)
       return record;
--- a/controllers/map_steps.c
+++ b/controllers/map_steps.c
@@ -45,7 +45,8 @@
 }
 
 /* Duration of the group's passes, from the streams of this router, or else from the steps that its
- * ranks report. Without a duration, up to nine holds were refused before one was in time. */
+ * ranks report. If the duration is unknown, up to nine holds are refused before one arrives in
+ * time. */
 static double
 pass_ms_of (const struct ash_map_switch *sw)
 {
--- a/controllers/map_switch.c
+++ b/controllers/map_switch.c
@@ -12,7 +12,8 @@
 
 /* The held step is this many steps after the one that is estimated to be running. A hold that
  * arrives too late is refused and tried again for a later step, which costs one round trip; a hold
- * far ahead delays the change by all passes up to it. */
+ * far ahead delays the change by all passes up to it. The change is aborted if
+ * HOLDS_MAX holds are refused. */
 #define STEPS_AHEAD 1
 #define HOLDS_MAX 16
 
@@ -33,8 +34,9 @@
  * group is stalled meanwhile. */
 #define ARM_TIMEOUT_MS 1000
 
-/* Maximum time to wait for the map in use, without which ranks cannot be fenced. Its lists arrive
- * within a round trip, or are requested again after 400 ms. */
+/* Maximum time to wait for the map in use, without which ranks cannot be fenced. It is read
+ * from the ranks' lists of experts, which arrive within a round trip, or are requested again after
+ * 400 ms. */
 #define FENCE_TIMEOUT_MS 2000
 
 /* Intervals at which reports are requested: from all ranks; from the first rank, to notice new
--- a/controllers/map_switch.h
+++ b/controllers/map_switch.h
@@ -63,7 +63,7 @@
   struct ash_rank_report report;
   struct ash_time reported; /**< when the last report arrived */
   bool known;               /**< the rank has reported */
-  uint64_t prepared;        /**< version that is prepared, from its lists, which do not lag */
+  uint64_t prepared; /**< version that is prepared, by its lists of experts, which do not lag */
   struct ash_time lists_requested; /**< when the request for those lists was sent */
   bool answered;                   /**< the rank has executed the present phase's order */
   bool copying;                    /**< the rank has begun to copy experts */
@@ -156,7 +156,7 @@
                                 uint64_t version);
 
 /**
- * Records the version that a rank has prepared, from its lists.
+ * Records the version that a rank has prepared, from its lists of experts.
  * @param requested when the lists were requested; their state is not older than that.
  */
 void ash_map_switch_set_prepared (struct ash_map_switch *sw,
@@ -165,7 +165,7 @@
                                   uint64_t version,
                                   struct ash_time requested);
 
-/** @return whether a rank's lists are needed to take over another router's change. */
+/** @return whether a rank's lists of experts are needed to take over another router's change. */
 bool ash_map_switch_needs_lists (const struct ash_map_switch *sw, uint32_t rank);
 
 /** @return whether another router is known to hold a step. */
--- a/controllers/map_takeover.c
+++ b/controllers/map_takeover.c
@@ -4,8 +4,8 @@
  * request. */
 #define REPORT_MARGIN_MS 120
 
-/* Whether a rank's lists are newer than its last report. Reports lag behind the rank's state, lists
- * do not. */
+/* Whether a rank's lists of experts are newer than its last report. Reports lag behind the rank's
+ * state, lists do not. */
 static bool
 lists_are_newer (const struct ash_map_switch *sw, const struct ash_map_rank *rank)
 {
@@ -63,9 +63,10 @@
 }
 
 /* Whether this router can hold a step at that rank without any other order releasing it. A rank has
- * one hold at most. A present hold may be of this router before its restart, whose go order may
- * still arrive. If this router has already released that step or a later one at the rank, a delayed
- * go order, of this router or of one that took over from it, may release the step again. */
+ * one hold at most. A present hold may have been placed by this router before it restarted, and its
+ * go order may still arrive. If this router has already released that step or a later one at the
+ * rank, a delayed go order, of this router or of one that took over from it, may release the step
+ * again. */
 static bool
 can_hold (const struct ash_map_switch *sw, uint32_t rank, uint64_t step)
 {
--- a/controllers/map_takeover.h
+++ b/controllers/map_takeover.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * Taking over a change of a map that another router left with a held step: the state that this
- * router must know before it reverts the change, and the rank at which it can hold the step itself.
+ * Taking over a change of a map that another router abandoned while it held a step: the state that
+ * this router must know before it reverts the change, and the rank at which it can hold the step
+ * itself.
  */
 #ifndef ASH_MAP_TAKEOVER_H
 #define ASH_MAP_TAKEOVER_H
--- a/controllers/membership.h
+++ b/controllers/membership.h
@@ -29,9 +29,9 @@
   uint64_t leaving_incarnation; /**< the incarnation that is leaving; 0: none */
   bool listed_leaving; /**< leaving by the platform's list, which does not show the incarnation */
   uint64_t listed_incarnation; /**< incarnation that was known when listed_leaving was set */
-  uint64_t revision;           /**< its active configuration */
+  uint64_t revision;           /**< of its active configuration */
   uint64_t offered;            /**< last configuration revision sent to it by this process */
-  uint32_t reported;           /**< in flight and queued by its last heartbeat */
+  uint32_t reported;           /**< requests in flight and queued there, by its last heartbeat */
   bool reads_platform;         /**< an entry whose last read of the platform succeeded */
   uint32_t step_us;            /**< mean duration of a run, by its last heartbeat */
   uint32_t in_flight;          /**< requests of this process at that box */
--- a/controllers/pass_model.h
+++ b/controllers/pass_model.h
@@ -1,8 +1,8 @@
 /**
  * @file
  * Estimates the duration of the passes of a group of ranks from the performance figures that its
- * engine publishes. All ranks run a pass together: the experts take as long as on the most loaded
- * rank, which grows with the skew of the map in use (maximum load divided by the mean load).
+ * engine publishes. All ranks run a pass together: the time for the experts is that of the most
+ * loaded rank, which grows with the skew of the map in use (maximum load divided by the mean load).
  */
 #ifndef ASH_PASS_MODEL_H
 #define ASH_PASS_MODEL_H
@@ -16,7 +16,8 @@
  */
 double ash_pass_model_ms (const struct ash_engine_facts *engine, double streams, double skew);
 
-/** @return the fraction, 0 to 1, of a pass with evenly loaded ranks that grows with the skew. */
+/** @return the fraction, 0 to 1, of the duration of a pass that is proportional to the skew, if
+ * ranks are evenly loaded. */
 double ash_pass_model_expert_fraction (const struct ash_engine_facts *engine, double streams);
 
 /** @return milliseconds that a rank takes to copy one expert; 0 if its link speed is unknown. */
--- a/controllers/pass_watch.c
+++ b/controllers/pass_watch.c
@@ -11,12 +11,13 @@
 
 /* Passes are slow if they take more than SLOW_RATIO + SLOW_RATIO_RANKS / ranks times the explained
  * duration: 1.3 times with 16 ranks, 1.22 times with 64. Prompts add about 10 % to a pass, a shift
- * at least 40 %. A false alarm costs a sample of the counts, which weighs more in a group with few
- * ranks and streams. */
+ * at least 40 %. A false alarm costs a query for the experts' token counts, which is relatively
+ * more expensive in a group with few ranks and streams. */
 #define SLOW_RATIO 1.2
 #define SLOW_RATIO_RANKS 1.6
 
-/* A longer pause is not the duration of a pass: the stream stalled for another reason. */
+/* Longer pauses are ignored: they are not the duration of a pass, the stream stalled for another
+ * reason. */
 #define PAUSE_MAX_MS 600
 
 void
--- a/controllers/pass_watch.h
+++ b/controllers/pass_watch.h
@@ -12,11 +12,11 @@
 /** Smoothed pauses of the streams of one group. */
 struct ash_pass_watch
 {
-  double pass_ms; /**< smoothed duration of a pass */
-  double ratio;   /**< smoothed duration, relative to a pass with evenly loaded ranks */
-  double
-      accepted_ratio; /**< lowest ratio since the counts last showed no shift; 0: they never did */
-  double expert_fraction; /**< fraction of a pass with evenly loaded ranks that grows with skew */
+  double pass_ms;         /**< smoothed duration of a pass */
+  double ratio;           /**< smoothed duration, relative to a pass with evenly loaded ranks */
+  double accepted_ratio;  /**< lowest ratio since the experts' token counts last showed no shift; 0:
+                             never */
+  double expert_fraction; /**< see ash_pass_model_expert_fraction() */
   uint32_t pause_count;   /**< number of pauses since the last reset */
 };
 
@@ -32,11 +32,12 @@
                                double streams,
                                int64_t pause_ms);
 
-/** Accepts the present duration as normal, because the counts show no shift of the demand. */
+/** Accepts the present duration as normal, because the experts' token counts show no shift of the
+ * demand. */
 void ash_pass_watch_accept_ratio (struct ash_pass_watch *watch);
 
 /**
- * @param ranks number of ranks of all groups whose demand one sample of the counts covers.
+ * @param ranks number of ranks of all groups whose demand one sample of the token counts covers.
  * @param skew estimated skew of the map in use.
  * @return whether passes take much longer than the skew explains.
  */
--- a/controllers/planned_stop.h
+++ b/controllers/planned_stop.h
@@ -16,7 +16,7 @@
 /** Time limits of a shutdown. ASH_TIME_NEVER if there is no shutdown, or it has no time limit. */
 struct ash_planned_stop
 {
-  struct ash_time served_until;    /**< callers that still hold the address are served until then */
+  struct ash_time served_until;    /**< callers that still use the address are served until then */
   struct ash_time answer_deadline; /**< requests in flight get a final answer at that time */
 };
 
--- a/controllers/pollers.c
+++ b/controllers/pollers.c
@@ -31,7 +31,7 @@
   uint32_t own_rank = rank_in_hall (own, others, count);
   uint32_t before = 0;
 
-  /* Stops once the result is known, which is early for nearly all routers of a large fleet. */
+  /* Stops once the result is known: early for all but a few of 400 routers. */
   for (size_t i = 0; i < count && own_rank < wanted && before < wanted; i++)
     {
       struct ash_poller other = others[i];
--- a/controllers/prompt_gate.c
+++ b/controllers/prompt_gate.c
@@ -2,8 +2,8 @@
 
 #include "controllers/pass_model.h"
 
-/* The gate closes when passes take this many times the usual duration, as after a shift. Prompts
- * and copies lengthen passes by less. */
+/* The gate closes when passes take this many times the usual duration, as they do after a shift
+ * of the demand for experts. Prompts and copies of experts lengthen passes by less. */
 #define CLOSE_RATIO 1.25
 
 /* The gate opens when passes take less than this many times the usual duration. */
@@ -13,27 +13,29 @@
  * enough time for prompts. */
 #define LONG_PASS_FRACTION 0.6
 
-/* A longer pause is not the duration of a pass: the stream stalled for another reason. */
+/* Longer pauses are ignored: they are not the duration of a pass, the stream stalled for another
+ * reason. */
 #define PAUSE_MAX_MS 600
 
 /* Maximum time that the gate stays closed. The maps are adapted by then; if passes are still long,
  * their duration becomes the usual one. */
 #define CLOSED_MAX_MS 450
 
-/* Weight of the newest pass in the usual duration, which is smoothed over some seconds with a few
- * streams. */
+/* Weight of the newest pause in the smoothed usual duration of a pass. With a few streams, the
+ * duration is smoothed over some seconds. */
 #define NEW_PAUSE_WEIGHT 0.03
 
 /* Fraction of the target time to the first event for which a prompt may be held. The rest is enough
  * for the first event once passes have their usual duration. */
 #define HOLD_FRACTION 0.4
 
-/* The same for a stream that broke before. When many routers or links fail, all their streams
- * return at once; without the longer hold, new requests would miss their targets as well. */
+/* HOLD_FRACTION for the prompt of a stream that broke before. When many routers or links fail, all
+ * their streams return at once; without the longer hold, new requests would miss their targets as
+ * well. */
 #define HOLD_RESUMED_FRACTION 1.5
 
 /* Maximum time to copy one expert, as a fraction of the time for which a prompt may be held. A
- * change copies several experts, after the counts were sampled. */
+ * change of the map copies several experts, after the token counts of the experts were sampled. */
 #define COPY_FRACTION 0.25
 
 /* Fraction of the target pause that reading prompts may take in each pass. */
@@ -109,29 +111,30 @@
 static void
 refill (struct ash_prompt_gate *gate, double per_pass, struct ash_time now)
 {
-  double most = per_pass > BURST_MIN ? per_pass : BURST_MIN;
+  double burst = per_pass > BURST_MIN ? per_pass : BURST_MIN;
 
   gate->allowed += per_pass * (double) ash_time_diff (gate->allowed_at, now) / gate->usual_ms;
   gate->allowed_at = now;
-  if (gate->allowed > most)
-    gate->allowed = most;
+  if (gate->allowed > burst)
+    gate->allowed = burst;
 }
 
 struct ash_time
 ash_prompt_gate_send_time (struct ash_prompt_gate *gate,
                            const struct ash_prompt_terms *terms,
-                           struct ash_time came,
+                           struct ash_time arrived,
                            struct ash_time now)
 {
   double hold_fraction = terms->resumed ? HOLD_RESUMED_FRACTION : HOLD_FRACTION;
-  struct ash_time most = ash_time_add (came, (int64_t) (hold_fraction * terms->answer_target_ms));
-  double needed = terms->resumed ? 2 : 1; /* leaves one for new requests */
+  struct ash_time hold_until =
+      ash_time_add (arrived, (int64_t) (hold_fraction * terms->answer_target_ms));
+  double needed = terms->resumed ? 2 : 1; /* a resumed stream leaves one prompt to new requests */
   struct ash_time until;
 
-  if (!terms->pause_target_ms || !ash_time_before (now, most))
+  if (!terms->pause_target_ms || !ash_time_before (now, hold_until))
     return now;
   if (terms->maps_adapt_in_time && is_closed (gate, now))
-    return most;
+    return hold_until;
   if (terms->per_pass <= 0 || gate->usual_ms <= 0)
     return now;
   refill (gate, terms->per_pass, now);
@@ -139,7 +142,7 @@
     return now;
   until = ash_time_add (
       now, 1 + (int64_t) ((needed - gate->allowed) * gate->usual_ms / terms->per_pass));
-  return ash_time_before (until, most) ? until : most;
+  return ash_time_before (until, hold_until) ? until : hold_until;
 }
 
 void
--- a/controllers/prompt_gate.h
+++ b/controllers/prompt_gate.h
@@ -2,7 +2,7 @@
  * @file
  * Delays new prompts of a service. Ranks run their passes together, so the time that reading a
  * prompt adds to a pass delays the events of all running streams:
- *  - when passes have just become long, prompts are held for a moment. After a shift of the demand
+ *  - when passes have just become long, prompts are held for a moment: after a shift of the demand
  *    for experts, passes take twice as long until the maps are adapted, and prompts are read at the
  *    speed of the most loaded ranks;
  *  - prompts that arrive at once, for example when callers reconnect together, are sent a few per
@@ -57,7 +57,7 @@
                                          uint32_t answer_target_ms);
 
 /**
- * Adds the pause between two events of a stream, and closes or opens the gate.
+ * Updates the gate with the pause between two events of a stream, which may close or open it.
  * @param pause_target_ms target for the longest pause of a stream.
  * @return whether the gate has just closed or opened.
  */
@@ -67,12 +67,12 @@
                                 uint32_t pause_target_ms);
 
 /**
- * @param came when the request arrived.
+ * @param arrived when the request arrived.
  * @return @p now if the prompt may be sent, otherwise the time at which to check again.
  */
 struct ash_time ash_prompt_gate_send_time (struct ash_prompt_gate *gate,
                                            const struct ash_prompt_terms *terms,
-                                           struct ash_time came,
+                                           struct ash_time arrived,
                                            struct ash_time now);
 
 /** Records that a prompt is sent. */
--- a/controllers/rate_limit.c
+++ b/controllers/rate_limit.c
@@ -11,7 +11,7 @@
 
 /* Number of routers that share a rate: HOLDERS_BASE plus HOLDERS_PER_S for each request per second.
  * At low rates there are few, since each may send one request at once. While routers see different
- * members, two of them may hold the same share. */
+ * sets of routers, two of them may hold the same share. */
 #define HOLDERS_BASE 2.0
 #define HOLDERS_PER_S 1.5
 
--- a/controllers/rate_limit.h
+++ b/controllers/rate_limit.h
@@ -2,8 +2,9 @@
  * @file
  * Rate limits set by endpoints: the requests per second that an endpoint accepts from all routers
  * together. A few routers each get a share of the rate; the others send the endpoint nothing. All
- * routers select the sharing ones by the same function of the routers that they see, so a fleet of
- * any size keeps to the rate without coordination, and the shares are large enough to be useful.
+ * routers select those that share it by the same function of the set of routers that they see, so a
+ * fleet of any size keeps to the rate without coordination, and the shares are large enough to be
+ * useful.
  */
 #ifndef ASH_RATE_LIMIT_H
 #define ASH_RATE_LIMIT_H
--- a/controllers/readers.h
+++ b/controllers/readers.h
@@ -1,9 +1,9 @@
 /**
  * @file
  * Selects the entries that read the configuration from the platform: the first few of each hall in
- * a fixed order, so that a partitioned hall still reads. The others receive the configuration from
- * them. There is no election: an entry reads as long as too few of the entries before it report
- * that they read successfully.
+ * a fixed order, so that a hall is still updated if a network partition separates it from the
+ * others. The others receive the configuration from them. There is no election: an entry reads as
+ * long as too few of the entries before it report that they read successfully.
  */
 #ifndef ASH_READERS_H
 #define ASH_READERS_H
--- a/controllers/resend_window.c
+++ b/controllers/resend_window.c
@@ -1,11 +1,11 @@
 #include "controllers/resend_window.h"
 
-/* Fraction of its share that a router uses. Clients count requests and resends at other times, and
- * a router that was just restarted has lost its count. */
+/* Fraction of its share that a router uses. Clients count requests and resends at other times than
+ * routers do, and a router that was just restarted has lost its counts. */
 #define USED_FRACTION 0.6
 
 /* Buckets per window. There are two more than that, so that the kept buckets always cover the whole
- * window, though the newest is only partly filled. */
+ * window, though the newest covers only part of its time. */
 #define WINDOW_BUCKETS (ASH_RESEND_BUCKETS - 2)
 
 /* Moves the window to the current bucket and clears the buckets it skips. */
--- a/controllers/route_table.h
+++ b/controllers/route_table.h
@@ -30,7 +30,7 @@
   double sequence_ms;     /**< added to a step per decoding request */
   double context_ms_1k;   /**< added to a step per 1,000 tokens of context */
   double read_tokens_s;   /**< prefill rate in prompt tokens per second */
-  uint32_t report_lag_ms; /**< age of reports from remote engines */
+  uint32_t report_lag_ms; /**< age of a report when it arrives from a remote engine */
   uint32_t usual_prompt_tokens;
   uint32_t usual_answer_tokens;
   uint32_t layers;       /**< groups of layers, each with its own experts; 0: no experts */
--- a/controllers/tombstones.c
+++ b/controllers/tombstones.c
@@ -2,8 +2,8 @@
 
 #include <stddef.h>
 
-/* An entry that is not renewed lapses after three heartbeats (4 s), which routers notice a second
- * later. An entry that is still listed after this time belongs to a running endpoint. */
+/* A list entry that is not renewed lapses after three heartbeats (4 s), which routers notice a
+ * second later. An entry that is still listed after this time belongs to a running endpoint. */
 #define LAPSE_MS 6000
 
 static struct ash_tombstone *
--- a/controllers/tombstones.h
+++ b/controllers/tombstones.h
@@ -41,8 +41,8 @@
  * @param endpoint hash of its id.
  * @param born_ms start time of the listed incarnation; 0: not known.
  * @param era era of the store that lists it.
- * @return whether the entry may be stale: from an older copy, with the endpoint gone. If it is
- * certainly not, the tombstone is deleted.
+ * @return whether the entry may be stale: from an older copy of the store, for an endpoint that no
+ * longer runs. If it is certainly not, the tombstone is deleted.
  */
 bool ash_tombstones_is_stale (struct ash_tombstones *tombstones,
                               struct ash_time now,
