--- a/controllers/agent.c
+++ b/controllers/agent.c
@@ -73,7 +73,7 @@
   return record;
 }
 
-/* Extends the attempts that a refusal of the record covers by this requester's attempt. */
+/* Extends the refusal of the record to cover this requester's attempt. */
 static void
 extend_refusal (struct ash_record *record, const struct ash_requester *requester)
 {
--- a/controllers/direct.h
+++ b/controllers/direct.h
@@ -21,7 +21,7 @@
  * were already tried. */
 #define ASH_DIRECT_TRIED_MAX 8
 
-/** Groups of peers that get load reports at different periods: routers of the own hall, and those
+/** Groups of peers that get load reports at different periods: routers of the same hall, and those
  * of other halls. */
 #define ASH_DIRECT_AUDIENCES 2
 
@@ -49,7 +49,7 @@
 struct ash_direct_endpoint
 {
   struct ash_direct_facts facts;
-  uint64_t hash; /**< of the id; identifies the endpoint in messages to peers */
+  uint64_t hash; /**< hash of the id; identifies the endpoint in messages to peers */
   enum ash_direct_presence presence;
   struct ash_time lapsed_until;
   uint32_t in_flight;                      /**< requests from this router */
@@ -60,7 +60,7 @@
   struct ash_time ejected_until; /**< other endpoints are preferred until then */
   double pause_ms;            /**< moving average of the time between stream events; 0: not known */
   struct ash_time pause_seen; /**< when a pause was last measured */
-  double pace; /**< processing time relative to normal; expires some time after pace_seen */
+  double pace; /**< processing time relative to normal; ignored some time after pace_seen */
   struct ash_time pace_seen; /**< when the pace was last reported */
   bool announced_leaving;    /**< an answer announced its shutdown; reset when it restarts */
   struct ash_rate_limit limit;
--- a/controllers/expert_history.h
+++ b/controllers/expert_history.h
@@ -34,7 +34,7 @@
   uint32_t moves;      /**< number of moves in the decision */
   double skew_before;  /**< predicted skew without the moves */
   double skew_after;   /**< predicted skew with the moves */
-  double refused_gain; /**< of the best move that was not worth its cost */
+  double refused_gain; /**< gain of the best move that was not worth its cost */
 };
 
 /** Ring buffer of notes. Valid and empty when zeroed. */
--- a/controllers/ledger.c
+++ b/controllers/ledger.c
@@ -240,7 +240,8 @@
     return false;
   memcpy (answer->bytes + answer->length, bytes, length);
   answer->length += length;
-  /* Trims only at twice the bound, so that bytes are moved once per keep_bytes received. */
+  /* Trims only at twice the bound, so that the kept bytes are moved only once per keep_bytes
+   * received. */
   if (answer->length <= 2 * keep_bytes)
     return true;
   excess = answer->length - keep_bytes;
--- a/controllers/map_steps.c
+++ b/controllers/map_steps.c
@@ -35,7 +35,7 @@
 
   ash_map_record_step (sw, now, step);
   /* A new step shortly after the last sample gives no duration: ranks that are queried at the same
-   * time may answer before and after the begin of a pass. */
+   * time may answer before and after a pass begins. */
   if (step <= sw->sampled_step || since_ms < SAMPLES_APART_MS)
     return;
   if (sw->sampled_step && since_ms < STEPPING_MS)
--- a/controllers/map_switch.h
+++ b/controllers/map_switch.h
@@ -103,8 +103,8 @@
   uint64_t released;            /**< last step that this router released */
   struct ash_time released_at;
   uint64_t foreign_held;         /**< step that another router holds; 0: none */
-  uint32_t foreign_rank;         /**< rank at which it is held */
-  struct ash_time foreign_since; /**< when the hold was first observed */
+  uint32_t foreign_rank;         /**< rank at which step foreign_held is held */
+  struct ash_time foreign_since; /**< when the hold of that step was first observed */
   struct ash_map_rank ranks[ASH_LAYER_RANKS_MAX];
 };
 
--- a/controllers/membership.h
+++ b/controllers/membership.h
@@ -22,7 +22,7 @@
   bool linked;                  /**< the link to it is up */
   uint64_t incarnation;         /**< last known incarnation; 0: none yet */
   struct ash_time learned;      /**< when this incarnation was learned */
-  struct ash_time heartbeat_at; /**< when the last heartbeat was received */
+  struct ash_time heartbeat_at; /**< when the last heartbeat was received, or the link came up */
   struct ash_time
       ejected_until; /**< it had stalled: other boxes are preferred until then; 0: not ejected */
   bool suspect;      /**< silent for too long: other boxes are preferred */
--- a/controllers/pass_watch.h
+++ b/controllers/pass_watch.h
@@ -24,7 +24,7 @@
 void ash_pass_watch_reset (struct ash_pass_watch *watch);
 
 /**
- * Adds the pause between two events of a stream.
+ * Updates the smoothed durations with the pause between two events of a stream.
  * @param streams mean number of streams per rank of the group.
  */
 void ash_pass_watch_add_pause (struct ash_pass_watch *watch,
--- a/controllers/peer_version.c
+++ b/controllers/peer_version.c
@@ -1,6 +1,6 @@
 #include "controllers/peer_version.h"
 
-/* A new own version shows that the own source works: the waiting time starts anew. */
+/* A new version of this process shows that its source works, so the waiting time restarts. */
 static void
 note_own (struct ash_peer_version *tracker, struct ash_time now, uint64_t own)
 {
--- a/controllers/peer_version.h
+++ b/controllers/peer_version.h
@@ -17,8 +17,8 @@
 {
   uint64_t newest;       /**< newest reported version that may have content missing here */
   uint64_t same;         /**< newest version known to have the same content as the own one */
-  uint64_t own;          /**< own version at the last call */
-  struct ash_time since; /**< since when the own version has not advanced */
+  uint64_t own;          /**< version of this process at the last call */
+  struct ash_time since; /**< since when the version of this process has not advanced */
 };
 
 /** Handles a version reported by a peer. @param own version that this process has. */
@@ -34,8 +34,8 @@
                              uint64_t reported,
                              uint64_t own);
 
-/** @return whether a newer version has been known for at least @p for_ms without the own one
- * advancing. */
+/** @return whether a newer version has been known for at least @p for_ms while the version of
+ * this process did not advance. */
 bool ash_peer_version_is_behind (struct ash_peer_version *tracker,
                                  struct ash_time now,
                                  uint64_t own,
