--- a/controllers/direct.c
+++ b/controllers/direct.c
@@ -407,7 +407,7 @@
 };
 
 static int
-compare_keys (struct sort_key a, struct sort_key b)
+compare_sort_keys (struct sort_key a, struct sort_key b)
 {
   if (a.ejected != b.ejected)
     return a.ejected ? 1 : -1;
@@ -511,7 +511,7 @@
       if (throttle_ms (endpoint, now))
         continue;
       key = sort_key_of (endpoint, criteria, now);
-      order = *chosen ? compare_keys (key, best) : -1;
+      order = *chosen ? compare_sort_keys (key, best) : -1;
       equals = order < 0 ? 1 : equals + (order == 0);
       if (order < 0 || (order == 0 && ash_random_below (&set->random, equals) == 0))
         {
