--- a/daemon/api.c
+++ b/daemon/api.c
@@ -273,8 +273,8 @@
   json_decref (body);
 }
 
-/* The service's name ends at a slash, a question mark or the end of the target. The rest is passed
- * to the endpoint unchanged. */
+/* Submits a call at SERVICES_PATH. The service's name in the path ends at a slash, a question mark
+ * or the end of the target. The rest of the target is passed to the endpoint unchanged. */
 static void
 handle_service (struct ash_api *api, const struct ash_http_request *request)
 {
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -163,8 +163,8 @@
 }
 
 /* Runs before all other watchers each time the event loop wakes up, which the tick makes it do at
- * least every TICK_S. A longer gap means that the process was suspended and that messages still
- * unread are old. */
+ * least every TICK_S. A longer gap means that the process was suspended, and that messages that it
+ * has not read yet may be as old as the gap. */
 static void
 check_for_pause (struct ev_loop *loop, ev_check *check, int events)
 {
--- a/daemon/daemon.h
+++ b/daemon/daemon.h
@@ -22,9 +22,11 @@
 {
   void (*event) (void *data, const struct Ash__Event *event); /**< a message, tick or stop */
   void (*configured) (void *data);                            /**< a new configuration is active */
-  void (*heartbeat) (void *data, struct Ash__Heartbeat *heartbeat); /**< fills an outgoing one */
-  void (*resumed) (void *data);  /**< the process resumed after it had been suspended */
-  bool (*may_exit) (void *data); /**< during a planned stop: the process may end now */
+  void (*heartbeat) (
+      void *data,
+      struct Ash__Heartbeat *heartbeat); /**< adds the role's fields to an outgoing heartbeat */
+  void (*resumed) (void *data);          /**< the process resumed after it had been suspended */
+  bool (*may_exit) (void *data); /**< during a planned stop: whether the process may end now */
   /** Answers an operator's query. @return a new JSON object, or NULL if nothing is known. */
   json_t *(*explain) (void *data, const struct Ash__Query *query);
   void *data;
@@ -74,7 +76,8 @@
 /** Sends a message to the box event->peer. @return false if it could not be sent. */
 bool ash_daemon_send (struct ash_daemon *daemon, const struct Ash__Event *event);
 
-/** Run a role until the process is to end. @return false on failure. */
+/** Run the daemon in the role of an entry or an endpoint until the process is to end. @return false
+ * on failure. */
 bool ash_run_entry (const struct ash_settings *settings);
 bool ash_run_endpoint (const struct ash_settings *settings);
 
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -26,8 +26,9 @@
   struct ash_time next_link_check;
   struct ash_time stop_since;
   bool serving;
-  bool logged_isolated; /* whether the last log line on it reported this box in isolation */
-  bool failed;          /* it could not listen for callers */
+  bool
+      logged_isolated; /* whether the last log line about isolation reported this box as isolated */
+  bool failed;         /* it could not listen for callers */
 };
 
 /* ---- links ---- */
@@ -54,8 +55,8 @@
 }
 
 /* The link to a box that is no longer declared is kept for key_life_ms: the box finishes its
- * requests, and is requested to disown keys whose home it was. No request lasts longer than that.
- */
+ * requests, and this entry may have to request that the box disown keys whose home it was. No
+ * request lasts longer than that. */
 static bool
 is_link_needed (void *data, const char *box, const char *address)
 {
@@ -119,8 +120,8 @@
 }
 
 /* Callers keep this box's address across a restart. Without its links this box would refuse
- * requests that another entry could serve, so it first waits until each service has an endpoint.
- * A service that no entry can reach delays it by at most ready_wait_ms. */
+ * requests that another entry could serve, so it first waits until each service has an endpoint. A
+ * service that no entry can reach delays readiness by at most ready_wait_ms. */
 static bool
 is_ready (const struct entry *entry)
 {
@@ -130,8 +131,8 @@
 
   if (!entry->core.config.ready)
     return false;
-  /* A peer has a newer configuration and is about to send it. The one here may come from a stale
-   * answer of the platform. */
+  /* A peer has a newer configuration and is about to send it. The active configuration may come
+   * from a stale answer of the platform. */
   if (ash_membership_knows_newer (&entry->core.membership, document->revision))
     return false;
   for (uint32_t i = 0; i < document->service_count; i++)
@@ -160,8 +161,8 @@
     }
 }
 
-/* Logs when this box begins or ceases to reach so few others that it is likely in isolation itself.
- * Its view of other boxes is unreliable meanwhile. */
+/* Logs when this box begins or ceases to reach so few other boxes that it is probably isolated
+ * itself. While it is isolated, its view of other boxes is unreliable. */
 static void
 log_isolation (struct entry *entry)
 {
@@ -259,8 +260,8 @@
                                   settings->platform_readers);
 }
 
-/* Whether the platform answers. An entry that reads the platform relies on its own reads. One that
- * doesn't, or has only just begun to, relies on what the reading entries report. */
+/* Whether the platform answers. An entry that reads the platform relies on its own reads. An entry
+ * that doesn't, or has only just begun to, relies on what the entries that read it report. */
 static bool
 platform_answers (void *data)
 {
@@ -311,7 +312,8 @@
 }
 
 /* By the end of the grace period all requests have their final answers. Callers that read or send
- * slowly may still be connected; they must not keep the process running until it is killed. */
+ * slowly may still be connected; these connections must not keep the process running until it is
+ * killed. */
 static bool
 is_grace_over (const struct entry *entry, struct ash_time now)
 {
--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Decides what an exchange does next: send the request to an endpoint, resend it where that is
- * safe, wait for a free slot, or end with a final answer.
+ * State machine of an exchange, in the router process. Decides what the exchange does next: send
+ * the request to an endpoint, resend it where that is safe, wait for a free slot, or end with a
+ * final answer.
  */
 #include "daemon/exchange.h"
 
--- a/daemon/exchange.h
+++ b/daemon/exchange.h
@@ -1,9 +1,10 @@
 /**
  * @file
- * A caller's HTTP request, from the time it has been read completely until its answer has been
- * sent. Shared by the files that handle it:
+ * A caller's HTTP request in the router process (ashspindle-router), from the time it has been read
+ * completely until its answer has been sent. The files that handle it run in the router's event
+ * loop:
  * - requests.c creates an exchange
- * - exchange.c decides what it does next
+ * - exchange.c decides what it does next: send, resend, wait or end
  * - exchange_watch.c monitors the endpoint that it was sent to
  * - exchange_cut.c handles lost connections to endpoints
  * - exchange_answer.c receives the endpoint's answer
@@ -52,7 +53,8 @@
       *endpoint;                 /**< the endpoint at which the request is in flight; NULL: none */
   struct ash_time sent_at;       /**< when the request was last sent to an endpoint */
   struct ash_time last_received; /**< when data last came from the endpoint; initially sent_at */
-  struct ash_time idle_valid_since; /**< idle connections may be reused if data came since then */
+  struct ash_time
+      idle_valid_since; /**< only idle connections that have received data since then are reused */
   struct ash_exchange_answer answer;
   struct ash_event_stream event_stream;
   bool has_event;
@@ -120,10 +122,16 @@
  */
 struct ash_id ash_exchange_digest (struct ash_exchange *exchange);
 
-/** The connection to the endpoint closed before the answer was complete. */
+/**
+ * Handles a connection to the endpoint that closed before the answer was complete: starts a probe
+ * of the endpoint, and makes the request wait for the result if it is suspected already.
+ */
 void ash_exchange_record_disconnect (struct ash_exchange *exchange);
 
-/** The request got a complete answer: it is no longer suspected of terminating endpoints. */
+/**
+ * Records that the request got a complete answer: it is no longer suspected of terminating
+ * endpoints.
+ */
 void ash_exchange_record_success (struct ash_exchange *exchange);
 
 /** @return how many ms the request stays quarantined; 0: it is not. */
--- a/daemon/exchange_answer.c
+++ b/daemon/exchange_answer.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Receives an endpoint's answer: checks that it belongs to the request, then buffers it until it is
- * complete or passes it on event by event.
+ * Receives an endpoint's answer to an exchange, in the router process: checks that it belongs to
+ * the request, then buffers it until it is complete or passes it on event by event.
  */
 #include "daemon/exchange.h"
 #include "daemon/fleet_terms.h"
@@ -10,7 +10,7 @@
 
 /* Answers up to this size are buffered until they are complete, so that the request can be resent
  * if the connection breaks. */
-#define HOLD_MAX_BYTES (128 * 1024)
+#define BUFFER_MAX_BYTES (128 * 1024)
 
 /* Reading from the endpoint pauses while more than this waits to be sent to the caller. */
 #define QUEUE_MAX_BYTES (64 * 1024)
@@ -42,8 +42,8 @@
   struct ash_answer_fields facts;
 
   ash_platform_answer_read (head, &facts);
-  /* The answer to an earlier request on this connection: it is discarded, and the answer to this
-   * request follows. */
+  /* This is the answer to an earlier request on this connection: it is discarded, and the answer to
+   * this request follows. */
   if (facts.attempt_id && exchange->facts.attempt_id &&
       strcmp (facts.attempt_id, exchange->facts.attempt_id) != 0)
     return false;
@@ -94,7 +94,7 @@
     return;
   record_pass (exchange, pause_ms);
   ash_direct_note_pause (exchange->endpoint, exchange->last_received, pause_ms);
-  ash_map_manager_add_pause (&exchange->router->groups, exchange->endpoint->hash, pause_ms);
+  ash_map_manager_add_pause (&exchange->router->map_manager, exchange->endpoint->hash, pause_ms);
 }
 
 static void
@@ -146,7 +146,7 @@
     ash_http_conn_write (exchange->conn, bytes, length);
   else if (!ash_buffer_append (&answer->body, bytes, length))
     answer->invalid = true;
-  else if (answer->body.length > HOLD_MAX_BYTES && !exchange->forward.answer_started)
+  else if (answer->body.length > BUFFER_MAX_BYTES && !exchange->forward.answer_started)
     {
       answer->passthrough = true;
       ash_exchange_answer_begin (exchange);
--- a/daemon/exchange_cut.c
+++ b/daemon/exchange_cut.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Handles connections to endpoints that close during an exchange, and requests that are quarantined
- * because endpoint processes ended while running them.
+ * In the router process, handles connections to endpoints that close during an exchange, and
+ * requests that are quarantined because endpoint processes ended while running them.
  */
 #include "daemon/exchange.h"
 
--- a/daemon/exchange_end.c
+++ b/daemon/exchange_end.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Ends an exchange: sends the final answer to the caller, logs and counts it, and frees the
- * exchange.
+ * Ends an exchange, in the router process: sends the final answer to the caller, logs and counts
+ * it, and frees the exchange.
  */
 #include "daemon/exchange.h"
 
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Monitors the endpoint that an exchange was sent to: how long it may be silent, and what its
- * answer or silence shows about the endpoint and the connections to it.
+ * Monitors, in the router process, the endpoint that an exchange was sent to: how long it may be
+ * silent, and what its answer or silence shows about the endpoint and the connections to it.
  */
 #include "daemon/exchange.h"
 
@@ -20,7 +20,7 @@
  * after 2 s, and ranks that depend on a lost endpoint stall for 1.5 s. */
 #define EVENT_PAUSE_MAX_MS 1650
 
-/* Divisor of the silence limit: after that part of it the exchange checks whether the endpoint's
+/* After a silence of the silence limit divided by this, the exchange checks whether the endpoint's
  * kernel has acknowledged the request. If it has not after 450 ms (half of SILENCE_MIN_MS), which
  * includes two retransmissions, the connection is dead rather than the endpoint slow. */
 #define ACK_CHECK_DIVISOR 2
@@ -84,9 +84,10 @@
   return earlier (until, exchange->forward.deadline);
 }
 
-/* @return the middle of the silence. A connection that received data later worked while the
- * connection of this exchange did not. Connections to other endpoints are judged by the same time,
- * since a network fault often breaks all connections that were open. */
+/* @return the time since which an idle connection must have received data to be kept: the middle of
+ * the endpoint's silence. A connection that received data later worked while the connection of this
+ * exchange did not. The same time applies to connections to other endpoints, since a network fault
+ * often breaks all connections that were open. */
 static struct ash_time
 valid_since (const struct ash_exchange *exchange, struct ash_time now)
 {
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -17,7 +17,8 @@
  * in case the seeds no longer run. */
 #define LISTS_TO_NEW_PEER 8
 
-/* A router that has had no link for this long is not expected to return under its name. */
+/* A router to which there was no link for this long is forgotten: it is not expected to return
+ * under the same name. */
 #define PEER_EXPIRY_MS 30000
 
 static struct ash_fleet_peer *
@@ -60,7 +61,7 @@
   snprintf (peer->hall, sizeof peer->hall, "%s", heartbeat->hall);
   peer->leaving = heartbeat->leaving;
   peer->version = heartbeat->revision;
-  /* Until the peer had a list of endpoints, it discarded this router's reports about them. */
+  /* Until the peer had a list of endpoints, it discarded this router's reports about endpoints. */
   peer->needs_full_report =
       peer->needs_full_report || (heartbeat->endpoints_revision && !peer->endpoints_revision);
   peer->endpoints_revision = heartbeat->endpoints_revision;
@@ -126,8 +127,8 @@
       ash_peer_sync_send_config (&router->peer_sync, peer->box);
       break;
     case ASH__EVENT__KIND_CONFIG_OFFER:
-      /* Several peers may send the same configuration: a document of up to a megabyte is not parsed
-       * in vain. */
+      /* Several peers may send the same configuration: don't parse a document of up to a megabyte
+       * again. */
       if (event->config_offer->revision <= ash_router_version (router))
         break;
       ash_router_offer_config (router, (const char *) event->config_offer->document.data,
@@ -176,9 +177,10 @@
 }
 
 /* Whether the next heartbeat to a peer lists the other routers, so that all discover each other. A
- * new router gets the full list from the seeds. Besides, about one random peer per period gets a
- * list, for pairs that missed each other. Lists to all peers at every change of a link would be
- * most of a large fleet's traffic between halls. */
+ * new router gets the full list from the seeds. In addition, about one random peer per heartbeat
+ * period gets the list, for pairs of routers that have not discovered each other. If all peers got
+ * the list at every change of a link, the lists would be most of a large fleet's traffic between
+ * halls. */
 static bool
 should_name_peers (struct ash_fleet *fleet, struct ash_fleet_peer *peer)
 {
@@ -232,7 +234,7 @@
   heartbeat->reads_platform =
       !router->stopping && ash_store_is_answering (&router->store, ASH_STORE_SERVERS);
   heartbeat->link_mbps = (uint32_t) router->settings.link_mbps;
-  heartbeat->changes_map = ash_map_manager_is_changing (&router->groups);
+  heartbeat->changes_map = ash_map_manager_is_changing (&router->map_manager);
   heartbeat->endpoints_revision = router->endpoints.revision;
   heartbeat->endpoints_digest = router->store.digest;
   if (peer && should_name_peers (fleet, peer))
@@ -351,17 +353,18 @@
   bool ready = ash_router_ready (fleet->router);
   bool answered = ash_store_is_answering (&fleet->router->store, ASH_STORE_SERVERS);
 
-  /* This router has become ready or unready for callers: peers that get heartbeats seldom must know
-   * now. */
+  /* This router has become ready or unready for callers: notify all peers now, since some get
+   * heartbeats seldom. */
   if (ready != fleet->ready_sent)
     ash_peers_send_heartbeats (&fleet->links);
-  /* The routers of the own hall choose who reads the store by whether it answers each of them. */
+  /* The routers of the own hall choose those that read the store among the routers that the store
+   * answers. */
   else if (answered != fleet->store_answered)
     ash_fleet_notify_hall (fleet);
   fleet->ready_sent = ready;
   fleet->store_answered = answered;
-  /* Readers are chosen once per tick instead of at each query: with 400 routers it takes 1.4 to 2.0
-   * ms. */
+  /* The routers that read the store are chosen once per tick, not whenever the result is needed:
+   * with 400 routers the choice takes 1.4 to 2.0 ms. */
   ash_fleet_choose_readers (fleet);
 
   fleet->far_linked = 0;
--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -25,7 +25,7 @@
       struct ash_direct_endpoint *endpoint = ash_direct_find_hash (set, peer->load_endpoints[i]);
       uint32_t load = (uint32_t) peer->load_in_flight[i];
 
-      /* An endpoint that was added after the peer's report does not include the peer's load. */
+      /* If the endpoint was added after the peer's report, its load does not include the peer's. */
       if (endpoint)
         endpoint->elsewhere -= load < endpoint->elsewhere ? load : endpoint->elsewhere;
     }
@@ -69,7 +69,7 @@
   return true;
 }
 
-/* Sets a peer's load at an endpoint. The peer's arrays must have room for another entry. */
+/* Sets a peer's load at an endpoint. The peer's arrays must have room for another endpoint. */
 static void
 set_load (struct ash_fleet *fleet, struct ash_fleet_peer *peer, uint64_t hash, uint64_t in_flight)
 {
@@ -115,8 +115,8 @@
     set_load (fleet, peer, loads->endpoints[i], loads->in_flight[i]);
 }
 
-/* Lists slow endpoints, only at the router that leads the changes of expert maps and measures their
- * pace. If other routers forwarded its reports, slow endpoints would be reported forever. */
+/* Lists slow endpoints if this router leads the changes of expert maps and so measures their pace.
+ * If other routers forwarded its reports, slow endpoints would be reported forever. */
 static size_t
 list_slow (const struct ash_fleet *fleet,
            uint64_t slow[ASH_FLEET_SLOW_MAX],
@@ -127,7 +127,7 @@
   struct ash_time now = ash_clock_now ();
   size_t count = 0;
 
-  for (; router->groups.leads && endpoint && count < ASH_FLEET_SLOW_MAX;
+  for (; router->map_manager.leads && endpoint && count < ASH_FLEET_SLOW_MAX;
        endpoint = endpoint->hh.next)
     {
       double pace = ash_direct_pace (endpoint, now);
@@ -168,8 +168,8 @@
   return is_near ? ASH_FLEET_NEAR : ASH_FLEET_FAR;
 }
 
-/* Sends all loads to peers that have just connected. The other peers get nothing, or each new
- * router would cause full reports among all routers. */
+/* Sends all loads to peers that have just connected. The other peers get no full report: otherwise
+ * each new router would cause full reports among all routers. */
 static void
 send_full_reports (struct ash_fleet *fleet)
 {
--- a/daemon/fleet_roles.c
+++ b/daemon/fleet_roles.c
@@ -11,8 +11,8 @@
 #define FREQUENT_READERS 3
 
 /* Routers of each hall that poll the store: one remains if another is lost while a third is being
- * stopped. If all routers of a large fleet polled, most calls to the store would report the same
- * endpoint. */
+ * stopped. If all the routers of a large fleet polled, most calls to the store would report the
+ * same endpoint. */
 #define HALL_READERS 3
 
 /* Routers that are kept informed of a change of an expert map so that they can continue it: one of
@@ -85,7 +85,8 @@
   return fleet->reads_store;
 }
 
-/* @return the minimum number of routers: those known, or the seeds if these are more. */
+/* @return how many routers the fleet has at least: the number of known routers, or of seeds if
+ * there are more seeds. */
 static uint32_t
 known_count (const struct ash_fleet *fleet)
 {
@@ -99,8 +100,8 @@
 }
 
 /* Whether a peer stopped sending while it changed an expert map, and may have left a group blocked.
- * The link's longer timeout is not waited for, since a router that changes a map sends several
- * messages in that time to those that would lead next. */
+ * Doesn't wait for the link's timeout, which is longer: a router that changes a map sends several
+ * messages within MAP_CHANGE_SILENCE_MS to the routers that would lead next. */
 static bool
 is_stuck (const struct ash_fleet_peer *peer, struct ash_time now)
 {
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -87,7 +87,7 @@
   return true;
 }
 
-/* @return whether the endpoint had not been known to be leaving. */
+/* @return whether this is new: the endpoint was not known to be leaving. */
 static bool
 update_leaving (struct ash_fleet *fleet,
                 struct ash_direct_endpoint *endpoint,
@@ -103,7 +103,7 @@
   return true;
 }
 
-/* The endpoint asks only this router to back off, so peers are not notified. */
+/* The request to back off applies to this router only, so peers are not notified. */
 static void
 apply_backoff (struct ash_fleet *fleet,
                struct ash_direct_endpoint *endpoint,
@@ -227,8 +227,8 @@
       if (!endpoint->limit.milli_per_s)
         continue;
       routers_digest = routers_digest ? routers_digest : members_digest (fleet, now);
-      /* A stopping router gets no part: the other routers split the limit without it as soon as
-       * they know that it stops. */
+      /* A stopping router gets no part of the limit: the other routers split it without this router
+       * as soon as they know that it is stopping. */
       if (fleet->router->stopping)
         ash_rate_limit_release (&endpoint->limit);
       else if (endpoint->limit.routers_digest != routers_digest)
--- a/daemon/group_agent.c
+++ b/daemon/group_agent.c
@@ -24,7 +24,7 @@
 #define TAKEOVER_MS 400
 #define TAKEOVER_STAGGER_MS 150
 
-/* The gain of a move is summed over this many intervals. */
+/* The gain of a move is summed over this many intervals between decisions. */
 #define GAIN_HORIZON_INTERVALS 10
 
 enum call_kind
@@ -85,7 +85,8 @@
     ash_daemon_send (group->daemon, &event);
 }
 
-/* The state of the own rank shows whether a change is unfinished and may have been abandoned. */
+/* Updates the agent from the state of its own rank, which shows whether a change is unfinished and
+ * may have been abandoned. */
 static void
 update_from_state (struct ash_group_agent *group, const struct Ash__RankState *state)
 {
@@ -385,7 +386,7 @@
 /* ---- timers ---- */
 
 /* The lowest rank that can be reached decides on moves. No election is needed: if two agents both
- * consider themselves the lowest, their ballots fence each other off. */
+ * consider themselves the lowest, the ranks refuse the orders with the lower ballot. */
 static bool
 is_decider (const struct ash_group_agent *group)
 {
@@ -467,7 +468,7 @@
 }
 
 /* In the lead time before a declared event, moves are decided for the expert loads that the event's
- * profile forecasts. Once the event has begun, the reported loads count. */
+ * profile forecasts. Once the event has begun, the reported loads are used again. */
 static void
 apply_forecast (struct ash_group_agent *group)
 {
--- a/daemon/group_agent.h
+++ b/daemon/group_agent.h
@@ -1,8 +1,9 @@
 /**
  * @file
- * An agent's part in its lock-step group: passes a coordinator's orders to the engine of its own
- * rank, returns the answers, and may coordinate changes of the expert map itself. It stores no
- * state: an agent that takes over coordination reads the state of all ranks.
+ * An agent's part in its lock-step group, in ashspindled in the endpoint role (the router process
+ * uses map_manager.h instead): passes a coordinator's orders to the engine of its own rank, returns
+ * the answers, and may coordinate changes of the expert map itself. It stores no state: an agent
+ * that takes over coordination reads the state of all ranks.
  */
 #ifndef ASH_GROUP_AGENT_H
 #define ASH_GROUP_AGENT_H
--- a/daemon/map_manager.c
+++ b/daemon/map_manager.c
@@ -22,9 +22,10 @@
  * stream. */
 #define COUNTS_INTERVAL_MS 100
 
-/* Minimum time from a sample to the next one because of slow passes: two or three passes, so that
- * the effect of the last decision has been measured. A sample costs the router and two ranks two
- * requests each. At a skew of about 3, most of each second without a needed sample is wasted. */
+/* Minimum time from the end of a sample to the next sample that slow passes cause: two or three
+ * passes, so that the effect of the last decision has been measured. A sample costs the router and
+ * two ranks two requests each. At a skew of about 3, a second by which a needed sample is delayed
+ * costs most of a second of the group's work. */
 #define SAMPLE_AGAIN_MS 300
 
 /* If a group has run at most this many passes since it formed, all its counts reflect the present
@@ -61,17 +62,18 @@
   return false;
 }
 
-/* Notifies the routers that would lead next of a change before its first order is sent, and
- * frequently while it is in progress, so that they notice soon if this router fails during it. */
+/* Notifies the routers that would lead next of a change of a map before its first order is sent,
+ * and frequently while it is in progress, so that they notice soon if this router fails during
+ * it. */
 static void
 report_changing (struct ash_map_manager *manager, struct ash_time now)
 {
-  bool changes = ash_map_manager_is_changing (manager);
+  bool is_changing = ash_map_manager_is_changing (manager);
 
-  if (changes == manager->changes &&
-      (!changes || ash_time_diff (manager->changing_sent_at, now) < CHANGING_RESEND_MS))
+  if (is_changing == manager->reported_changing &&
+      (!is_changing || ash_time_diff (manager->changing_sent_at, now) < CHANGING_RESEND_MS))
     return;
-  manager->changes = changes;
+  manager->reported_changing = is_changing;
   manager->changing_sent_at = now;
   ash_fleet_notify_successors (&manager->router->fleet);
 }
@@ -80,11 +82,11 @@
 
 /* Computes the time that each rank will take to copy the experts that are new to it. */
 static void
-expect_copies (const struct ash_rank_group *group,
-               const struct ash_engine_facts *engine,
-               uint32_t copy_ms[ASH_LAYER_RANKS_MAX])
+compute_copy_ms (const struct ash_rank_group *group,
+                 const struct ash_engine_facts *engine,
+                 uint32_t copy_ms[ASH_LAYER_RANKS_MAX])
 {
-  double one_ms = ash_pass_model_copy_ms (engine);
+  double expert_copy_ms = ash_pass_model_copy_ms (engine);
 
   for (uint32_t rank = 0; rank < group->map.rank_count; rank++)
     {
@@ -94,7 +96,7 @@
         for (uint32_t slot = 0; slot < group->map.slot_count; slot++)
           copies += group->next_map.slots[layer][rank][slot] != ASH_NO_EXPERT &&
                     group->next_map.slots[layer][rank][slot] != group->map.slots[layer][rank][slot];
-      copy_ms[rank] = (uint32_t) (copies * one_ms);
+      copy_ms[rank] = (uint32_t) (copies * expert_copy_ms);
     }
 }
 
@@ -155,11 +157,11 @@
                  " age_ms=%lld pass_ms=%.1f ratio=%.2f step=%" PRIu64,
                  group->name, group->sw.epoch, decision.moves, decision.copies, decision.more,
                  decision.skew_before, decision.skew_after, terms.remaining_ms,
-                 manager->policy->reports, (long long) ash_time_diff (manager->decided, now),
+                 manager->policy->reports, (long long) ash_time_diff (manager->last_decided, now),
                  group->sw.pass_ms, group->watch.ratio, group->sw.last_step);
   if (!decision.moves)
     return;
-  expect_copies (group, &service->engine, copy_ms);
+  compute_copy_ms (group, &service->engine, copy_ms);
   group->next_map.version =
       ash_map_switch_new_version (&group->sw, ash_random_next (&router->random));
   ash_map_switch_begin (&group->sw, now, group->next_map.version, copy_ms);
@@ -174,8 +176,8 @@
   manager->counts_since = now;
 }
 
-/* Queries the counts of some ranks only: their requests are representative, and each count costs
- * processing time. */
+/* Queries the token counts of some ranks only: the requests at these ranks are representative of
+ * all, and each query costs processing time. */
 static void
 query_counts (struct ash_map_manager *manager)
 {
@@ -219,8 +221,9 @@
 {
   uint32_t wanted = manager->policy->layer_count * manager->policy->expert_count;
 
-  /* Without any answer the sample is repeated. It must not pass for one that shows no shift: with
-   * the answers of 43 of 72 endpoints lost, a shift was then detected 4.9 s late. */
+  /* Without any answer the sample is repeated. An empty sample must not be taken for one that shows
+   * no shift of the demand: with the answers of 43 of 72 endpoints lost, a shift was then detected
+   * 4.9 s late. */
   if (!manager->counts_used && manager->empty_samples < EMPTY_SAMPLES_MAX)
     {
       manager->empty_samples++;
@@ -231,7 +234,7 @@
   manager->empty_samples = 0;
   set_counts_state (manager, ASH_COUNTS_IDLE, now);
   manager->counts_awaited = 0;
-  manager->decided = now;
+  manager->last_decided = now;
   ash_layer_policy_report (manager->policy, manager->counts);
   /* A shift in fewer than half of the layers may be noise of small counts. */
   if (manager->policy->reports > 1 && manager->policy->shifts * 2 > manager->policy->layer_count)
@@ -324,7 +327,7 @@
 static void
 begin_sample (struct ash_map_manager *manager, struct ash_time now)
 {
-  int64_t since_ms = ash_time_diff (manager->decided, now);
+  int64_t since_ms = ash_time_diff (manager->last_decided, now);
 
   if (!manager->policy->reports)
     {
@@ -430,7 +433,7 @@
   if (needs_lists (group, endpoint, now) &&
       ash_time_diff (endpoint->queried_at[ASH_RANK_LISTS], now) >= ASH_RANK_CALL_TIMEOUT_MS)
     ash_rank_query (endpoint, ASH_RANK_LISTS);
-  /* The lists are of a map that the rank does not use any more. */
+  /* Discard the lists if they are of a map that the rank no longer uses. */
   if (group->has_lists[endpoint->rank] &&
       (group->sw.phase == ASH_MAP_IDLE || ash_map_switch_needs_fence (&group->sw)) &&
       group->sw.ranks[endpoint->rank].report.map != group->map.version &&
--- a/daemon/map_manager.h
+++ b/daemon/map_manager.h
@@ -1,8 +1,9 @@
 /**
  * @file
- * Manages the expert maps of groups of ranks that run in lock-step. Only the leading router
- * does so: it monitors the groups, samples how many tokens each expert processes, and changes
- * the maps. The other routers keep no state of the groups.
+ * Manages the expert maps of groups of ranks that run in lock-step, in the router process
+ * (ashspindle-router). Only the leading router does so: it monitors the groups, samples how many
+ * tokens each expert processes, and changes the maps. The other routers keep no state of the
+ * groups.
  */
 #ifndef ASH_MAP_MANAGER_H
 #define ASH_MAP_MANAGER_H
@@ -50,12 +51,12 @@
   uint32_t empty_samples;    /**< number of consecutive samples without such an answer */
   bool slow_passes;          /**< the present sample was started because passes are slow */
   double *counts;            /**< tokens of each expert in the present sample, ordered by layer */
-  struct ash_time decided;   /**< when the last sample was completed */
+  struct ash_time last_decided;  /**< when the last sample was completed */
   struct ash_shift_times shifts; /**< times of shifts of the demand */
-  bool changes; /**< whether a change is in progress, as last sent to the next leaders */
+  bool reported_changing; /**< whether a change is in progress, as last sent to the next leaders */
   struct ash_time changing_sent_at;
-  uint64_t orders;           /**< number of orders sent */
-  uint64_t reads;            /**< number of counts read */
+  uint64_t orders_sent;
+  uint64_t counts_received;  /**< token counts received from engines */
   uint64_t beyond_bounds;    /**< number of reports of groups that exceed the maximum sizes */
   bool beyond_bounds_logged; /**< logged since this router leads */
 };
--- a/daemon/peer_sync.c
+++ b/daemon/peer_sync.c
@@ -66,17 +66,17 @@
 {
   if (ash_store_is_polled (&router->store, part))
     return part == ASH_STORE_CONFIG ? CONFIG_LAG_MS : LIST_LAG_MS;
-  /* The routers that read the store for this one forward changes, possibly a little later than a
-   * heartbeat from another hall arrives. If the store does not answer, there is nothing to wait
-   * for. */
+  /* The routers that poll the store on behalf of this one forward changes, possibly a little later
+   * than a heartbeat from another hall arrives. If the store does not answer, there is nothing to
+   * wait for. */
   return ash_store_is_followed (&router->store, part) ? FOLLOWED_LAG_MS : 0;
 }
 
-/* Checks whether peers have a newer revision of a part for too long, and requests it from one of
- * them. A watch that returns nothing looks the same whether there is no change or the connection
- * is dead; the peers' revisions show which. Without this check a router that had been isolated
- * remained outdated for 5 s afterwards, with it for 0.6 s at most from when a peer has the
- * change. */
+/* Checks whether peers have had a newer revision of a part of the store for too long, and requests
+ * it from one of them. A watch that returns nothing looks the same whether there is no change or
+ * the connection is dead; the peers' revisions show which. Without this check a router that had
+ * been isolated remained outdated for 5 s afterwards, with it for 0.6 s at most from when a peer
+ * has the change. */
 static void
 check_part (struct ash_peer_sync *peer_sync, enum ash_store_part part, struct ash_time now)
 {
@@ -164,8 +164,8 @@
   struct ash_fleet *fleet = &peer_sync->router->fleet;
   struct Ash__ConfigDelta *delta = NULL;
 
-  /* Without a previous text, the routers that follow request the whole text when a heartbeat
-   * reports its version. */
+  /* Without a previous text there is no difference to send: routers that don't poll the store
+   * request the whole text when a heartbeat reports its version. */
   if (before->length)
     delta = ash_config_delta_make (before, after);
   if (delta)
@@ -179,7 +179,7 @@
 }
 
 /* A difference from another version than the active one is ignored: another router that reads the
- * store may have sent the steps between, and if not, heartbeats will show that something is
+ * store may have sent the changes in between, and if not, heartbeats will show that something is
  * missing. */
 void
 ash_peer_sync_apply_delta (struct ash_peer_sync *peer_sync,
--- a/daemon/peer_sync.h
+++ b/daemon/peer_sync.h
@@ -14,7 +14,7 @@
 struct ash_fleet_peer;
 struct ash_router;
 
-/** Parts of the store that peers exchange: those that are read. */
+/** Number of parts of the store that peers exchange: all that routers read. */
 #define ASH_PEER_SYNC_PARTS 2
 
 /** The newest revisions that peers have reported. */
--- a/daemon/platform_reader.c
+++ b/daemon/platform_reader.c
@@ -8,9 +8,9 @@
 
 /* How long a watch waits at the platform for a new configuration, and the time beyond that after
  * which a read has failed. While there is nothing new, a watch whose connection is dead can't be
- * told from one that waits, so the sum of both, 5 s, bounds how late a dead one is noticed if
- * nothing else shows it. A change has to be active within 7 s. At these values 32 readers send 48
- * reads a second, of the 2,000 that the platform can serve. */
+ * distinguished from one that waits, so the sum of both, 5 s, limits how late a dead watch is
+ * noticed if nothing else reveals it. A change has to be active within 7 s. At these values 32
+ * readers send 48 reads a second, of the 2,000 that the platform can serve. */
 #define WATCH_MS 2000
 #define READ_TIMEOUT_MS 3000
 
@@ -112,7 +112,8 @@
 
   if (read->body_bytes + length > ASH_DOCUMENT_MAX_BYTES)
     {
-      /* Longer than a document may be; handle_answer() rejects the answer for its status. */
+      /* The body is longer than a document may be. handle_answer() rejects an answer with status
+       * 0. */
       read->status = 0;
       return;
     }
@@ -230,7 +231,8 @@
    * end whether the platform answers. */
   int wait_ms = platform->is_reading ? WATCH_MS : 0;
 
-  /* A peer may have sent a newer revision than the last one read here. Don't read that again. */
+  /* A peer may have sent a newer revision than the last one read here; that revision need not be
+   * read again. */
   if (daemon->config->ready && daemon->config->document.revision > after_revision)
     after_revision = daemon->config->document.revision;
   if (read->is_list)
@@ -292,7 +294,7 @@
     }
   if (!read->is_list)
     platform->is_reading = false;
-  /* Failures seen before say nothing about the platform when reading starts again. */
+  /* Failures from before reading was paused don't show whether the platform answers now. */
   read->failures = 0;
   start_later (read, ROLE_CHECK_MS);
 }
--- a/daemon/rank_client.c
+++ b/daemon/rank_client.c
@@ -201,7 +201,8 @@
     return false;
   if (!manager->counts_from_baseline)
     return is_continuous || !manager->policy->reports;
-  return is_continuous && !ash_time_before (endpoint->counts_read, manager->baseline_requested_at);
+  return is_continuous &&
+         !ash_time_before (endpoint->counts_received_at, manager->baseline_requested_at);
 }
 
 /* Adds the difference to the endpoint's previous counts to the sample. */
@@ -228,7 +229,7 @@
     }
   endpoint->has_counts = true;
   endpoint->counts_epoch = counts->epoch;
-  endpoint->counts_read = ash_clock_now ();
+  endpoint->counts_received_at = ash_clock_now ();
 }
 
 static void
@@ -244,7 +245,7 @@
   if (counts.numbers)
     ash_platform_counts_read ((const char *) call->answer.bytes + call->answer.start,
                               call->answer.length, wanted, &counts);
-  manager->reads += counts.count;
+  manager->counts_received += counts.count;
   if (wanted && counts.count == wanted)
     {
       if (endpoint->group && endpoint->group->sw.epoch == counts.epoch)
@@ -280,7 +281,8 @@
   group->has_lists[endpoint->rank] = true;
   /* Unlike reports, lists do not lag. */
   ash_map_switch_set_active (&group->sw, endpoint->rank, lists.epoch, group->map.version);
-  ash_map_switch_set_prepared (&group->sw, endpoint->rank, lists.epoch, lists.prepared, call->sent);
+  ash_map_switch_set_prepared (&group->sw, endpoint->rank, lists.epoch, lists.prepared,
+                               call->sent_at);
 }
 
 static void
@@ -289,7 +291,7 @@
   struct ash_rank_endpoint *endpoint = call->endpoint;
   struct ash_rank_report report;
 
-  switch (call->question)
+  switch (call->query_type)
     {
     case ASH_RANK_REPORT:
       if (ash_platform_report_read ((const char *) call->answer.bytes + call->answer.start,
@@ -378,7 +380,7 @@
     return NULL;
   call->call = (struct ash_http_call){ .handler = &call_handler, .owner = call };
   call->endpoint = endpoint;
-  call->sent = ash_clock_now ();
+  call->sent_at = ash_clock_now ();
   if (!ash_http_call_start (&call->call, &endpoint->pool, request->bytes + request->start,
                             request->length, (struct ash_time){ 0 }))
     {
@@ -390,16 +392,16 @@
 }
 
 void
-ash_rank_query (struct ash_rank_endpoint *endpoint, enum ash_rank_query_type question)
+ash_rank_query (struct ash_rank_endpoint *endpoint, enum ash_rank_query_type query_type)
 {
   struct ash_buffer request = { 0 };
   struct ash_rank_call *call;
 
-  endpoint->queried_at[question] = ash_clock_now ();
-  ash_platform_rank_query (&request, endpoint->address, question);
+  endpoint->queried_at[query_type] = ash_clock_now ();
+  ash_platform_rank_query (&request, endpoint->address, query_type);
   call = start_call (endpoint, &request);
   if (call)
-    call->question = question;
+    call->query_type = query_type;
   ash_buffer_finish (&request);
 }
 
@@ -432,7 +434,7 @@
 
   if (!endpoint)
     return;
-  manager->orders++;
+  manager->orders_sent++;
   ash_platform_rank_order (&request, endpoint->address, order_body (group, order));
   call = start_call (endpoint, &request);
   if (call)
@@ -443,7 +445,8 @@
   ash_buffer_finish (&request);
 }
 
-/* If a change is being reverted, sets its fence: the map in use with a newer version. */
+/* If a change is being reverted, sets its fence: the map in use with a newer version. Ranks that
+ * have prepared it refuse late orders to arm the reverted map. */
 static void
 set_fence (struct ash_rank_group *group, struct ash_map_manager *manager)
 {
@@ -476,7 +479,7 @@
   struct ash_rank_call *next;
 
   DL_FOREACH_SAFE (endpoint->calls, call, next)
-    if (ash_time_diff (call->sent, now) > ASH_RANK_CALL_TIMEOUT_MS)
+    if (ash_time_diff (call->sent_at, now) > ASH_RANK_CALL_TIMEOUT_MS)
       {
         if (call->is_order)
           finish_order (call, 0);
--- a/daemon/rank_client.h
+++ b/daemon/rank_client.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * The leading router's client for the engines of ranks: sends queries and orders, handles the
- * answers, and keeps the state of ranks and groups.
+ * The leading router's client for the engines of ranks, in the router process (ashspindle-router).
+ * Used by map_manager.c: sends queries and orders, handles the answers, and keeps the state of
+ * ranks and groups.
  */
 #ifndef ASH_RANK_CLIENT_H
 #define ASH_RANK_CLIENT_H
@@ -23,11 +24,11 @@
   struct ash_http_call call;
   struct ash_rank_endpoint *endpoint;
   bool is_order;
-  enum ash_rank_query_type question;
+  enum ash_rank_query_type query_type;
   struct ash_rank_order order;
   uint16_t status;
   struct ash_buffer answer;
-  struct ash_time sent;
+  struct ash_time sent_at;
   struct ash_rank_call *prev;
   struct ash_rank_call *next;
 };
@@ -46,7 +47,7 @@
   double pace; /* time per pass compared to normal, as last reported; 0: unknown */
   bool has_counts;
   uint64_t counts_epoch;
-  struct ash_time counts_read; /* when the counts were received */
+  struct ash_time counts_received_at;
   uint64_t *counts; /* last token counts of each expert, ordered by layer; NULL: none yet */
   UT_hash_handle hh;
 };
@@ -60,7 +61,8 @@
   struct ash_layer_map map;            /* in use */
   bool has_lists[ASH_LAYER_RANKS_MAX]; /* the map contains that rank's lists */
   uint64_t listed_epoch;               /* epoch of these lists */
-  struct ash_layer_map next_map;       /* target of the present change, or fence */
+  struct ash_layer_map next_map;       /* target of the present change; if it is being reverted, the
+                                          fence: a copy of the map in use with a newer version */
   struct ash_rank_order encoded_order; /* order whose body is in order_body, for any rank */
   struct ash_buffer order_body;
   struct ash_pass_watch watch;
@@ -84,7 +86,7 @@
 bool ash_rank_group_map_is_known (const struct ash_rank_group *group);
 
 /** Sends a query to a rank. */
-void ash_rank_query (struct ash_rank_endpoint *endpoint, enum ash_rank_query_type question);
+void ash_rank_query (struct ash_rank_endpoint *endpoint, enum ash_rank_query_type query_type);
 
 /** Runs the timers of a group's change and sends the orders that are due. */
 void ash_rank_group_send_orders (struct ash_rank_group *group, struct ash_map_manager *manager);
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -15,7 +15,7 @@
 /* Used if the caller sends no deadline. */
 #define DEADLINE_DEFAULT_MS 30000
 
-/* Requests seldom take longer, including the waits of streams: the longest that users have
+/* Requests seldom take longer, including the waits of streams: the longest stream that users have
  * specified has 57 events, some 80 ms apart. */
 #define USUAL_DURATION_MS 5000
 
@@ -141,9 +141,9 @@
   };
   if (forward->pause_aim_ms)
     forward->prompt = prompt_terms (exchange, service);
-  /* A request that is read just after the process was suspended may have waited for as long. The
-   * suspension is subtracted from its deadline, or an endpoint would work for a caller that has
-   * given up. */
+  /* A request that is read just after the process was suspended may have waited for the whole
+   * suspension. The suspension is subtracted from the request's deadline; otherwise an endpoint
+   * would work for a caller that has given up. */
   forward->deadline =
       ash_time_add (forward->arrived, (int64_t) max_ms - DEADLINE_MARGIN_MS - router->suspended_ms);
 }
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -59,7 +59,8 @@
 struct ash_router_service *
 ash_router_service (struct ash_router *router, const char *name)
 {
-  static struct ash_router_service fallback; /* used when out of memory; its budget is soon spent */
+  static struct ash_router_service fallback; /* used when out of memory; its retry budget is shared
+                                                by all services and soon used up */
   struct ash_router_service *found;
 
   HASH_FIND_STR (router->services, name, found);
@@ -107,15 +108,15 @@
 {
   struct ash_router *router = data;
 
-  ash_map_manager_remove_endpoint (&router->groups, endpoint->hash);
+  ash_map_manager_remove_endpoint (&router->map_manager, endpoint->hash);
   if (endpoint->owner)
     ash_http_pool_finish (endpoint->owner);
   free (endpoint->owner);
   endpoint->owner = NULL;
 }
 
-/* Idle connections and requests to the endpoint's rank belong to its former process, and may be as
- * dead as that process. */
+/* Idle connections and requests to the endpoint's rank belong to the endpoint's former process, and
+ * may be dead like it. */
 static void
 on_endpoint_restarted (void *data, struct ash_direct_endpoint *endpoint)
 {
@@ -124,7 +125,7 @@
   ash_log_event (&router->log, ASH_EV_ENDPOINT_REBORN, "endpoint=%s address=%s born_ms=%lld",
                  endpoint->facts.id, endpoint->facts.address, (long long) endpoint->facts.born_ms);
   ash_suspects_record_restart (&router->suspects, endpoint->hash);
-  ash_map_manager_remove_endpoint (&router->groups, endpoint->hash);
+  ash_map_manager_remove_endpoint (&router->map_manager, endpoint->hash);
   if (endpoint->owner)
     ash_http_pool_set_address (endpoint->owner, endpoint->facts.address);
 }
@@ -224,7 +225,7 @@
   int64_t keep_ms = (int64_t) router->settings.address_keep_ms * ADDRESS_KEEP_FACTOR;
 
   return ash_time_diff (router->stop_started_at, now) > keep_ms &&
-         !ash_map_manager_holds_step (&router->groups) &&
+         !ash_map_manager_holds_step (&router->map_manager) &&
          !ash_http_listener_busy (&router->frontend);
 }
 
@@ -279,7 +280,7 @@
 }
 
 /* The loop's timers don't count the time for which the machine was suspended: everything that waits
- * for a timer is checked now. */
+ * for a timer is checked when the process resumes. */
 static void
 on_resume_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
@@ -300,7 +301,7 @@
 on_process_resumed (struct ash_router *router, struct ash_time now, int64_t gap_ms)
 {
   ash_log_event (&router->log, ASH_EV_WOKE, "gap_ms=%lld", (long long) gap_ms);
-  ash_map_manager_resumed (&router->groups);
+  ash_map_manager_resumed (&router->map_manager);
   ash_fleet_reset_links (&router->fleet);
   ash_store_resume (&router->store);
   ash_router_close_idle_connections (router, now);
@@ -425,7 +426,7 @@
                      settings->peer_listen, strerror (errno));
       return false;
     }
-  ash_map_manager_open (&router->groups, router);
+  ash_map_manager_open (&router->map_manager, router);
   return ash_store_open (&router->store, router);
 }
 
@@ -504,7 +505,7 @@
   ash_http_listener_finish (&router->directory);
   ash_http_listener_finish (&router->metrics_page);
   ash_store_close (&router->store);
-  ash_map_manager_close (&router->groups);
+  ash_map_manager_close (&router->map_manager);
   ash_suspects_close (&router->suspects);
   ash_direct_finish (&router->endpoints);
   ash_fleet_close (&router->fleet);
--- a/daemon/router.h
+++ b/daemon/router.h
@@ -55,7 +55,7 @@
   struct ash_store store;
   struct ash_fleet fleet;
   struct ash_peer_sync peer_sync;
-  struct ash_map_manager groups;
+  struct ash_map_manager map_manager;
   struct ash_suspects suspects;
   struct ash_http_listener frontend;
   struct ash_http_listener readiness;
--- a/daemon/router_pages.c
+++ b/daemon/router_pages.c
@@ -105,10 +105,12 @@
   ash_metrics_set (metrics, "ash_callers_connected", "", router->frontend.conn_count);
   ash_metrics_set (metrics, "ash_requests_waiting", "", router->waiting_count);
   ash_metrics_set (metrics, "ash_log_lines_left_out_total", "", router->log_bound.dropped_total);
-  ash_metrics_set (metrics, "ash_map_orders_total", "", router->groups.orders);
-  ash_metrics_set (metrics, "ash_expert_counts_read_total", "", router->groups.reads);
-  ash_metrics_set (metrics, "ash_groups_beyond_bounds_total", "", router->groups.beyond_bounds);
-  ash_metrics_set (metrics, "ash_leads_maps", "", router->groups.leads);
+  ash_metrics_set (metrics, "ash_map_orders_total", "", router->map_manager.orders_sent);
+  ash_metrics_set (metrics, "ash_expert_counts_read_total", "",
+                   router->map_manager.counts_received);
+  ash_metrics_set (metrics, "ash_groups_beyond_bounds_total", "",
+                   router->map_manager.beyond_bounds);
+  ash_metrics_set (metrics, "ash_leads_maps", "", router->map_manager.leads);
   ash_metrics_set (metrics, "ash_endpoints_ended_total", "", router->suspects.ended);
   ash_metrics_set (metrics, "ash_quarantined_total", "", router->suspects.quarantined);
   ash_metrics_set (metrics, "ash_suspects", "", HASH_COUNT (router->suspects.quarantine.suspects));
--- a/daemon/store.c
+++ b/daemon/store.c
@@ -14,8 +14,9 @@
  * milliseconds, so that a slow store does not get every request twice. */
 #define ANSWER_TIMEOUT_MS 1500
 
-/* Added to the waiting time of a watch, whose answer is one event or none. With the waiting time of
- * routers that poll often (1.5 s), a change whose answer was lost is active 2.3 s later. */
+/* Added to the waiting time of a watch to get its timeout. The answer to a watch is a single event
+ * or none. With the waiting time of routers that poll often (1.5 s), a change whose answer was lost
+ * is active 2.3 s later. */
 #define WATCH_TIMEOUT_MARGIN_MS 700
 
 /* A connection to the store is closed if it is silent for this long, including a keep-alive probe.
@@ -24,7 +25,7 @@
  * store. */
 #define CONNECTION_SILENCE_MS 2000
 
-/* A younger request is not restarted: it may still be on its way. */
+/* A request younger than this is not restarted: it may still be in transit. */
 #define RESTART_MIN_AGE_MS 300
 
 /* A watch without a change is answered when its waiting time ends, a listing immediately. An answer
@@ -43,9 +44,10 @@
 #define RETRY_MAX_MS 400
 #define RETRY_FACTOR 2
 
-/* Maximum delay and its factor for a router that is not among the first of its hall: the first ones
- * detect that the store is back, and forward its changes. If all routers of a large fleet kept
- * retrying, an unreachable store would get thousands of calls. */
+/* Maximum delay between failed requests, and the factor by which the delay grows, for a router that
+ * is not among the first of its hall: the first ones detect that the store is back, and forward its
+ * changes. If all routers of a large fleet kept retrying, an unreachable store would get thousands
+ * of calls. */
 #define HALL_RETRY_MAX_MS 2500
 #define HALL_RETRY_FACTOR 7
 
@@ -124,8 +126,8 @@
   int64_t max_ms = relies ? HALL_RETRY_MAX_MS : RETRY_MAX_MS;
   int64_t wait_ms = RETRY_FIRST_MS;
 
-  /* Only the reader of the list keeps retrying: one request at a time shows whether the store is
-   * back. */
+  /* Only the reader of the list retries before the maximum delay: one request at a time shows
+   * whether the store is back. */
   if (relies && reader != list && list->failures > 1)
     return max_ms;
   for (uint32_t i = 1; i < reader->failures && wait_ms < max_ms; i++)
@@ -405,8 +407,8 @@
   return timeout_ms < ANSWER_TIMEOUT_MS ? timeout_ms : ANSWER_TIMEOUT_MS;
 }
 
-/* Whether this reader may leave polling to other routers: it has read everything once, and lost no
- * forwarded changes in a suspension of the process. */
+/* Whether this reader may leave polling to other routers: these poll the store, and this reader has
+ * read everything once and lost no forwarded changes in a suspension of the process. */
 static bool
 may_follow (const struct ash_store_reader *reader)
 {
@@ -611,7 +613,7 @@
   handle_failure (reader, why);
 }
 
-/* Whether a new watch would end before the current one may. */
+/* Whether a watch that is sent now would end before the waiting time of the current one does. */
 static bool
 would_finish_sooner (const struct ash_store_reader *reader, struct ash_time now)
 {
@@ -621,9 +623,9 @@
          left_ms > reader->router->settings.short_wait_ms && left_ms > watch_wait_ms (reader);
 }
 
-/* The routers that polled the store for this one have disappeared or can't reach it. What they
- * forwarded is complete up to the list's revision. Why they stopped is not known: while the
- * store was unavailable, unnoticed by this router, entries may have expired although their
+/* Starts to poll: the routers that polled the store for this one have disappeared or can't reach
+ * it. What they forwarded is complete up to the list's revision. This router does not know why they
+ * stopped: the store may have been unavailable, and entries may have expired although their
  * endpoints run. */
 static void
 stop_following (struct ash_store_reader *reader)
--- a/daemon/store.h
+++ b/daemon/store.h
@@ -56,8 +56,9 @@
   struct ash_time list_changed_at;
   uint32_t burst;    /**< consecutive answers that changed the list, close together */
   uint32_t failures; /**< consecutive failed requests */
-  uint32_t timeouts; /**< consecutive failed requests whose immediate answer did not come in time */
-  bool just_listed;  /**< everything has just been read; the first watch is yet to start */
+  uint32_t
+      timeouts; /**< consecutive timeouts of requests that the store should answer immediately */
+  bool just_listed;   /**< everything has just been read; the first watch is yet to start */
   bool was_suspended; /**< the process was suspended: changes that peers sent meanwhile are lost */
   bool distrust_idle; /**< the last request timed out: idle connections may be dead too and are not
                          used */
@@ -97,7 +98,7 @@
   struct ash_store_changes changes;
   uint64_t calls;                  /**< number of requests sent to the store */
   struct ash_time uncertain_until; /**< until then entries may be missing only because they expired
-                                      by mistake */
+                                      while the store was unavailable */
 };
 
 /** Starts reading. @return false: the store's address is invalid. */
@@ -118,7 +119,8 @@
 bool ash_store_is_followed (const struct ash_store *store, enum ash_store_part part);
 
 /**
- * Restarts the watch of a part with an immediate answer, after another sign that the watch is dead.
+ * Restarts the watch of a part with an immediate answer, after a sign, other than the watch's own
+ * timeout, that its connection is dead.
  * @param why for the log.
  */
 void ash_store_restart_watch (struct ash_store *store, enum ash_store_part part, const char *why);
--- a/daemon/store_list.c
+++ b/daemon/store_list.c
@@ -138,7 +138,7 @@
 static void
 remove_unusable (struct ash_store *store,
                  const struct ash_store_item *item,
-                 const char *wrong,
+                 const char *error,
                  const char *source)
 {
   struct ash_router *router = store->router;
@@ -147,7 +147,7 @@
 
   ash_log_event (&router->log, ASH_EV_ENTRY_UNUSABLE,
                  "endpoint=%.63s wrong=\"%s\" bytes=%zu used_before=%d source=%s", item->name,
-                 wrong, item->value_bytes, endpoint && ash_direct_usable (endpoint), source);
+                 error, item->value_bytes, endpoint && ash_direct_usable (endpoint), source);
   if (endpoint && ash_direct_remove (&router->endpoints, item->name, true, (struct ash_time){ 0 }))
     store->readers[ASH_STORE_SERVERS].list_changed = true;
   if (entry)
@@ -155,7 +155,8 @@
 }
 
 /* Remembers endpoints that report to be leaving. A store that is restored from an older copy lists
- * these, and those that have left, as ready. Such an endpoint is treated as draining for now. */
+ * these, and endpoints that have been removed, as ready. A ready entry of such an endpoint is
+ * treated as draining for now. */
 static void
 record_departure (struct ash_store *store, struct ash_direct_facts *facts)
 {
@@ -179,14 +180,14 @@
 {
   struct ash_router *router = store->router;
   struct ash_direct_facts facts;
-  const char *wrong;
+  const char *error;
 
   if (is_outdated (find_entry (store, item->name), position))
     return;
-  wrong = ash_platform_server_read (item->name, item->value, item->value_bytes, &facts);
-  if (wrong)
+  error = ash_platform_server_read (item->name, item->value, item->value_bytes, &facts);
+  if (error)
     {
-      remove_unusable (store, item, wrong, source);
+      remove_unusable (store, item, error, source);
       return;
     }
   put_entry (store, item, position, &facts);
@@ -221,7 +222,7 @@
     entry->listing_id = reader->listing_id;
 }
 
-/* ---- changes for the routers that follow ---- */
+/* ---- changes for the routers that don't poll the store ---- */
 
 static void
 record_change (struct ash_store_changes *changes, const char *id)
@@ -231,7 +232,8 @@
       uint32_t capacity = 2 * changes->capacity + 16;
       char (*ids)[ASH_DIRECT_NAME_BYTES] = realloc (changes->ids, capacity * sizeof *ids);
 
-      /* The routers that follow find out by heartbeats that they lack a change. */
+      /* The routers that get changes from this one find out by heartbeats that they lack this
+       * change. */
       if (!ids)
         return;
       changes->ids = ids;
--- a/daemon/store_list.h
+++ b/daemon/store_list.h
@@ -40,7 +40,7 @@
 
 /**
  * Runs the timers: uses endpoints again that were seen leaving, after a restored store has listed
- * them for long.
+ * them for a long time.
  */
 void ash_store_list_tick (struct ash_store *store, struct ash_time now);
 
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -7,8 +7,8 @@
 #include <utlist.h>
 
 /* Timeout of a probe. A machine whose process has ended refuses connections within a round trip: a
- * few milliseconds within a region, some 40 to another region. If a probe gets no reaction at all,
- * it shows nothing. */
+ * few milliseconds within a region, some 40 to another region. A probe that gets no reaction at all
+ * shows nothing about the endpoint. */
 #define PROBE_TIMEOUT_MS 100
 
 #define MS_PER_S 1000.0
@@ -270,8 +270,8 @@
   probe->endpoint = endpoint;
   probe->open = ash_stream_connect (&probe->stream, loop, address, &probe_handler, probe);
   probe->refused = !probe->open && errno == ECONNREFUSED;
-  /* A probe that failed to start ends in the next iteration of the event loop, since its caller is
-   * not ready for the result. */
+  /* A probe that failed to start ends in the next iteration of the event loop, since the function
+   * that starts it is not ready for the result. */
   ev_timer_init (&probe->timer, on_probe_timer, probe->open ? PROBE_TIMEOUT_MS / MS_PER_S : 0, 0);
   probe->timer.data = probe;
   ev_timer_start (loop, &probe->timer);
