--- a/daemon/config_sync.h
+++ b/daemon/config_sync.h
@@ -8,7 +8,8 @@
 
 #include "daemon/daemon.h"
 
-/** Sends the active configuration to a peer that has an older one, unless that was done already. */
+/** Sends the active configuration to a peer that has an older one, unless it has already been sent
+ * to the peer. */
 void ash_config_sync_peer (struct ash_daemon *daemon, const char *name);
 
 /** Sends a configuration that has just become active to all peers that can be sent deltas. */
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -231,8 +231,8 @@
     randombytes_buf (&daemon->incarnation, sizeof daemon->incarnation);
   if (!daemon->loop)
     return false;
-  /* Handlers are installed before anything is reachable: without them a signal would end the
-   * process without a planned stop. */
+  /* Signal handlers are installed before the process listens on any address: without them a signal
+   * would end the process without a planned stop. */
   watch_signal (daemon, &daemon->on_term, SIGTERM);
   watch_signal (daemon, &daemon->on_int, SIGINT);
   return ash_http_client_init (&daemon->http_client, daemon->loop);
--- a/daemon/exchange.h
+++ b/daemon/exchange.h
@@ -163,7 +163,7 @@
 /**
  * Ends the exchange with an answer made by the router, or closes the connection if part of an
  * answer has been sent. Frees the exchange.
- * @param retry_after_ms of the answer's Retry-After field; 0: no such field.
+ * @param retry_after_ms value of the answer's Retry-After field; 0: the answer gets no such field.
  */
 void ash_exchange_end_with_status (struct ash_exchange *exchange,
                                    uint16_t status,
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -153,7 +153,7 @@
       ash_fleet_apply_terms (fleet, peer, event->endpoint_terms);
       break;
     default:
-      break; /* messages for the roles that use agents, ignored by routers */
+      break; /* messages of the entry and endpoint roles of ashspindled, ignored by routers */
     }
 }
 
--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -2,7 +2,7 @@
  * @file
  * The other routers: discovered through the seeds and then through each other, and linked to all
  * others. Routers report to each other the address at which callers reach them, how much work they
- * have at each endpoint, and what they have read from the store, for those that can't read it.
+ * have at each endpoint, and what they have read from the store, for routers that can't read it.
  */
 #ifndef ASH_FLEET_H
 #define ASH_FLEET_H
@@ -54,7 +54,8 @@
 {
   bool loads_changed;
   struct ash_time last_sent;
-  uint32_t delta_count; /**< reports with changes only since the last one with all loads */
+  uint32_t delta_count; /**< number of reports with changes only that were sent since the last full
+                           report */
 };
 
 /** The other routers, and this router's role among them. */
@@ -71,11 +72,12 @@
   bool store_answered; /**< whether the store answers this router, as last reported to the hall */
   bool ready_sent;     /**< whether callers may be sent here, as last reported to all peers */
   bool polls_often;    /**< this router polls the store at short intervals */
-  bool reads_store; /**< this router polls the store; else it follows those of its hall that do */
+  bool reads_store;    /**< this router polls the store; else routers of its hall that do forward
+                          changes to it */
   bool opened;
 };
 
-/** The number of requests at an endpoint has changed: reports it at the next interval. */
+/** Makes the next periodic load report include a changed number of requests at an endpoint. */
 void ash_fleet_loads_changed (struct ash_fleet *fleet);
 
 /** Starts to accept and open links. @return false with errno set. */
--- a/daemon/fleet_loads.h
+++ b/daemon/fleet_loads.h
@@ -33,7 +33,7 @@
                             struct ash_fleet_peer *peer,
                             const struct Ash__EndpointLoads *loads);
 
-/** Subtracts the loads that a peer last reported. */
+/** Subtracts the loads that a peer last reported from those of the endpoints, and discards them. */
 void ash_fleet_clear_loads (struct ash_fleet *fleet, struct ash_fleet_peer *peer);
 
 #endif
--- a/daemon/fleet_roles.c
+++ b/daemon/fleet_roles.c
@@ -120,7 +120,7 @@
   struct ash_poller own = own_candidate (fleet);
   struct ash_time now = ash_clock_now ();
   uint32_t known = known_count (fleet);
-  uint32_t seen = ash_fleet_linked (fleet) + 1;
+  uint32_t reachable = ash_fleet_linked (fleet) + 1;
   bool first_of_all = true;
 
   if (!ash_router_ready (fleet->router))
@@ -133,7 +133,7 @@
         return false;
       first_of_all = first_of_all && !before;
     }
-  return 2 * seen > known || (2 * seen == known && first_of_all);
+  return 2 * reachable > known || (2 * reachable == known && first_of_all);
 }
 
 uint32_t
--- a/daemon/map_manager.h
+++ b/daemon/map_manager.h
@@ -45,12 +45,13 @@
   struct ash_time baseline_requested_at; /**< when the first query of the sample was sent */
   bool counts_from_baseline; /**< the sample starts at that query; else at the previous sample, or
                          at the engines' start */
-  uint32_t sample_offset;    /**< rank, modulo the stride between queried ranks, that is queried */
-  uint32_t counts_awaited;   /**< queries that are not answered yet */
-  uint32_t counts_used;      /**< answers that are part of the present sample */
-  uint32_t empty_samples;    /**< number of consecutive samples without such an answer */
-  bool slow_passes;          /**< the present sample was started because passes are slow */
-  double *counts;            /**< tokens of each expert in the present sample, ordered by layer */
+  uint32_t sample_offset;  /**< selects the queried endpoints: those whose index equals this modulo
+                              the sampling stride */
+  uint32_t counts_awaited; /**< queries that are not answered yet */
+  uint32_t counts_used;    /**< answers that are part of the present sample */
+  uint32_t empty_samples;  /**< consecutive samples that ended without any usable answer */
+  bool slow_passes;        /**< the present sample was started because passes are slow */
+  double *counts;          /**< tokens of each expert in the present sample, ordered by layer */
   struct ash_time last_decided;  /**< when the last sample was completed */
   struct ash_shift_times shifts; /**< times of shifts of the demand */
   bool reported_changing; /**< whether a change is in progress, as last sent to the next leaders */
@@ -58,7 +59,7 @@
   uint64_t orders_sent;
   uint64_t counts_received;  /**< token counts received from engines */
   uint64_t beyond_bounds;    /**< number of reports of groups that exceed the maximum sizes */
-  bool beyond_bounds_logged; /**< logged since this router leads */
+  bool beyond_bounds_logged; /**< such a report was logged since this router began to lead */
 };
 
 /** Starts the manager's timer. */
--- a/daemon/peer_sync.h
+++ b/daemon/peer_sync.h
@@ -33,7 +33,7 @@
                                 struct ash_time now,
                                 const struct ash_fleet_peer *peer);
 
-/** Runs the timers: requests changes from a peer that the store has not delivered in time. */
+/** Runs the timers: requests from a peer the changes that the store has not delivered in time. */
 void ash_peer_sync_tick (struct ash_peer_sync *peer_sync, struct ash_time now);
 
 /** @return whether peers have a newer configuration than this router. */
--- a/daemon/platform_reader.h
+++ b/daemon/platform_reader.h
@@ -28,7 +28,8 @@
   struct ash_platform_reader *platform;
   struct ash_fetch *fetch; /**< the read in progress; NULL: none */
   bool is_list;            /**< reads the list of boxes, not the configuration */
-  bool is_long_poll;       /**< the last read sent was to wait at the platform for something new */
+  bool is_long_poll; /**< the platform may delay its answer to the last read until there is a new
+                        document */
   struct ash_time sent_at; /**< when the last read was sent */
   uint64_t after_revision; /**< the last read requested a revision newer than this */
   uint32_t status;         /**< HTTP status of the answer; 0: none or too long */
--- a/daemon/rank_client.c
+++ b/daemon/rank_client.c
@@ -279,7 +279,7 @@
     invalidate_map (group);
   group->listed_epoch = lists.epoch;
   group->has_lists[endpoint->rank] = true;
-  /* Unlike reports, lists do not lag. */
+  /* Unlike reports, lists do not lag: the rank uses the listed map already. */
   ash_map_switch_set_active (&group->sw, endpoint->rank, lists.epoch, group->map.version);
   ash_map_switch_set_prepared (&group->sw, endpoint->rank, lists.epoch, lists.prepared,
                                call->sent_at);
--- a/daemon/router_pages.c
+++ b/daemon/router_pages.c
@@ -42,7 +42,7 @@
 
 /* Fills in the addresses of ready peers. If there are too many, reservoir sampling gives each the
  * same chance: always taking the first would send nearly all callers to the same routers. @return
- * how many. */
+ * how many addresses were filled in. */
 static uint32_t
 sample_peers (struct ash_router *router, const char **addresses, uint32_t addresses_max)
 {
--- a/daemon/store.c
+++ b/daemon/store.c
@@ -203,8 +203,8 @@
     retry_other_readers (reader);
 }
 
-/* Counts answers that changed the list, and starts again after a pause. @return whether there were
- * several within a short time. */
+/* Counts answers that changed the list, and restarts from 0 after a pause. @return whether there
+ * were several within a short time. */
 static bool
 is_burst (struct ash_store_reader *reader)
 {
@@ -298,7 +298,7 @@
   if (reader->status == 410)
     {
       /* The store no longer has all changes since the position: restarts the listing. Entries that
-       * it lacks were removed in between. */
+       * the new listing lacks were removed in between. */
       restart_listing (reader);
       return;
     }
@@ -427,7 +427,7 @@
   uint32_t wait_ms = watch_wait_ms (reader);
   int64_t timeout_ms = answer_timeout_ms (reader);
 
-  /* A position of an older era is not valid in this one. */
+  /* A position of an older era is not valid in the store's present era. */
   if (ash_store_position_era (reader->position) < router->store.era)
     {
       reader->position = 0;
--- a/daemon/store.h
+++ b/daemon/store.h
@@ -77,7 +77,10 @@
   UT_hash_handle hh;
 };
 
-/** The ids that an answer has changed, for the routers that follow this one. */
+/**
+ * The ids of the entries that the store's last answer changed, to send to routers that don't poll
+ * it.
+ */
 struct ash_store_changes
 {
   char (*ids)[ASH_DIRECT_NAME_BYTES];
@@ -93,7 +96,7 @@
   struct ash_store_reader readers[ASH_STORE_PARTS];
   struct ash_store_entry *entries;
   uint64_t digest; /**< digest of all entries, independent of their order */
-  uint64_t era;    /**< the store's era, which rises when it is restored from an older copy */
+  uint64_t era;    /**< the store's era, increased when it is restored from an older copy */
   struct ash_tombstones tombstones;
   struct ash_store_changes changes;
   uint64_t calls;                  /**< number of requests sent to the store */
@@ -148,7 +151,7 @@
 void ash_store_list_free (struct Ash__EndpointList *list);
 
 /**
- * Applies a peer's list, or its changes, if it is newer than the list here.
+ * Applies a peer's list, or its changes, if it is newer than this router's list.
  * @param source the peer's box, for the log.
  * @return false: changes before these are missing, and the complete list is needed.
  */
--- a/daemon/store_list.c
+++ b/daemon/store_list.c
@@ -95,7 +95,8 @@
   free (entry);
 }
 
-/* @return until when a missing entry may only have expired while the store was unavailable. */
+/* @return the time until which an entry may be missing because it expired while the store was
+ * unavailable, although its endpoint runs. */
 static struct ash_time
 uncertain_until (const struct ash_store *store)
 {
@@ -242,8 +243,8 @@
   snprintf (changes->ids[changes->count++], sizeof changes->ids[0], "%s", id);
 }
 
-/* @return for how many ms more a missing entry may only have expired while the store was
- * unavailable. */
+/* @return for how many ms more an entry may be missing because it expired while the store was
+ * unavailable, although its endpoint runs. */
 static uint32_t
 uncertain_ms (const struct ash_store *store)
 {
@@ -392,8 +393,8 @@
   free (list->values);
 }
 
-/* Applies a peer's report that, for `ms` more, a missing entry may only have expired while the
- * store was unavailable. */
+/* Applies a peer's report that for `ms` more an entry may be missing because it expired while the
+ * store was unavailable, although its endpoint runs. */
 static void
 extend_uncertainty (struct ash_store *store, uint32_t ms)
 {
@@ -404,8 +405,8 @@
     store->uncertain_until = until;
 }
 
-/* Removes the entries that a peer's list lacks, unless the store has reported them here at a later
- * position. */
+/* Removes the entries that a peer's list lacks, unless the store has reported them to this router
+ * at a later position. */
 static void
 remove_older (struct ash_store *store, uint64_t position, const char *source)
 {
--- a/daemon/store_list.h
+++ b/daemon/store_list.h
@@ -10,8 +10,8 @@
 #include "daemon/store.h"
 
 /**
- * For this long after the store has come back, in ms, a missing entry may only have expired while
- * the store was unavailable: running endpoints renew their entries within 2 s.
+ * For this long after the store has come back, in ms, an entry may be missing because it expired
+ * while the store was unavailable: running endpoints renew their entries within 2 s.
  */
 #define ASH_STORE_LAPSE_MS 2300
 
@@ -34,13 +34,14 @@
 /**
  * Sends the changes in the store's last answer to the own hall immediately.
  * @param since the store position before the answer.
- * @param position the store position of the answer. The list here may be newer, through a peer.
+ * @param position the store position of the answer. The router's list may be newer, if a peer has
+ * sent changes.
  */
 void ash_store_list_publish (struct ash_store *store, uint64_t since, uint64_t position);
 
 /**
- * Runs the timers: uses endpoints again that were seen leaving, after a restored store has listed
- * them for a long time.
+ * Runs the timers: uses endpoints again that had reported to be leaving, after a restored store has
+ * listed them for a long time.
  */
 void ash_store_list_tick (struct ash_store *store, struct ash_time now);
 
