--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -18,7 +18,7 @@
 /* ---- sending ---- */
 
 static struct ash_forward_context
-forward_world (struct ash_exchange *exchange)
+forward_context (struct ash_exchange *exchange)
 {
   struct ash_router *router = exchange->router;
   struct ash_router_service *service = ash_router_service (router, exchange->forward.service);
@@ -113,23 +113,23 @@
 void
 ash_exchange_step (struct ash_exchange *exchange)
 {
-  struct ash_forward_context world = forward_world (exchange);
-  struct ash_forward_decision verdict =
-      ash_forward_next (&exchange->forward, &world, ash_clock_now ());
+  struct ash_forward_context context = forward_context (exchange);
+  struct ash_forward_decision decision =
+      ash_forward_next (&exchange->forward, &context, ash_clock_now ());
 
   exchange->awaited_probe = 0;
-  ash_exchange_set_waiting (exchange, verdict.action == ASH_FORWARD_WAIT);
-  switch (verdict.action)
+  ash_exchange_set_waiting (exchange, decision.action == ASH_FORWARD_WAIT);
+  switch (decision.action)
     {
     case ASH_FORWARD_SEND:
-      send_to (exchange, verdict.endpoint);
+      send_to (exchange, decision.endpoint);
       break;
     case ASH_FORWARD_WAIT:
-      set_timer (exchange, verdict.until);
+      set_timer (exchange, decision.until);
       break;
     case ASH_FORWARD_ANSWER:
-      ash_exchange_end_with_status (exchange, verdict.answer.status, verdict.answer.reason,
-                                    verdict.answer.retry_after_ms);
+      ash_exchange_end_with_status (exchange, decision.answer.status, decision.answer.reason,
+                                    decision.answer.retry_after_ms);
       break;
     }
 }
@@ -141,13 +141,13 @@
 static void
 handle_server_error (struct ash_exchange *exchange)
 {
-  struct ash_forward_context world = forward_world (exchange);
-  struct ash_forward_decision verdict = { .action = ASH_FORWARD_ANSWER };
+  struct ash_forward_context context = forward_context (exchange);
+  struct ash_forward_decision decision = { .action = ASH_FORWARD_ANSWER };
 
   if (exchange->forward.repeat == ASH_REPEAT_SAFE && !exchange->forward.answer_started)
-    verdict = ash_forward_next (&exchange->forward, &world, ash_clock_now ());
-  if (verdict.action == ASH_FORWARD_SEND)
-    send_to (exchange, verdict.endpoint);
+    decision = ash_forward_next (&exchange->forward, &context, ash_clock_now ());
+  if (decision.action == ASH_FORWARD_SEND)
+    send_to (exchange, decision.endpoint);
   else
     ash_exchange_end_with_answer (exchange);
 }
--- a/daemon/group_agent.c
+++ b/daemon/group_agent.c
@@ -446,24 +446,24 @@
 }
 
 static const char *
-change_cause (const struct ash_group_agent *group, const struct ash_expert_map *wanted)
+change_cause (const struct ash_group_agent *group, const struct ash_expert_map *new_map)
 {
-  if (!wanted)
+  if (!new_map)
     return "takeover";
   return group->policy.forecast ? "forecast" : "skew";
 }
 
 static void
-start_change (struct ash_group_agent *group, const struct ash_expert_map *wanted)
+start_change (struct ash_group_agent *group, const struct ash_expert_map *new_map)
 {
   group->logged_phase = ASH_EXPERT_IDLE;
-  ash_expert_change_start (&group->change, ash_clock_now (), wanted);
-  add_history (group, wanted ? ASH_EXPERT_NOTE_MOVES : ASH_EXPERT_NOTE_TAKEOVER);
+  ash_expert_change_start (&group->change, ash_clock_now (), new_map);
+  add_history (group, new_map ? ASH_EXPERT_NOTE_MOVES : ASH_EXPERT_NOTE_TAKEOVER);
   ash_log_event (&group->log, ASH_EV_MAP_CHANGE,
                  "group=%s why=%s ballot=%" PRIu64
                  " moves=%u skew=%.3f predicted=%.3f refused_gain=%.3f",
-                 group->name, change_cause (group, wanted), group->change.ballot,
-                 wanted ? group->decision.move_count : 0, group->decision.skew_before,
+                 group->name, change_cause (group, new_map), group->change.ballot,
+                 new_map ? group->decision.move_count : 0, group->decision.skew_before,
                  group->decision.skew_after, group->decision.refused_gain);
 }
 
@@ -501,7 +501,7 @@
 {
   double speeds[ASH_EXPERT_POLICY_RANKS_MAX];
   struct ash_expert_placement changed = group->placement;
-  struct ash_expert_map wanted = { 0 };
+  struct ash_expert_map new_map = { 0 };
 
   call_engine (group, CALL_LOADS, "", NULL);
   if (!group->rank_map || !is_decider (group) || ash_expert_change_running (&group->change))
@@ -516,8 +516,8 @@
       return;
     }
   ash_expert_placement_apply (&changed, group->decision.moves, group->decision.move_count);
-  fill_map (&changed, &wanted);
-  start_change (group, &wanted);
+  fill_map (&changed, &new_map);
+  start_change (group, &new_map);
 }
 
 json_t *
--- a/daemon/map_manager.c
+++ b/daemon/map_manager.c
@@ -219,7 +219,7 @@
 static void
 decide (struct ash_map_manager *manager, struct ash_time now)
 {
-  uint32_t wanted = manager->policy->layer_count * manager->policy->expert_count;
+  uint32_t counts_length = manager->policy->layer_count * manager->policy->expert_count;
 
   /* Without any answer the sample is repeated. An empty sample must not be taken for one that shows
    * no shift of the demand: with the answers of 43 of 72 endpoints lost, a shift was then detected
@@ -239,7 +239,7 @@
   /* A shift in fewer than half of the layers may be noise of small counts. */
   if (manager->policy->reports > 1 && manager->policy->shifts * 2 > manager->policy->layer_count)
     ash_shift_times_record (&manager->shifts, now);
-  memset (manager->counts, 0, wanted * sizeof *manager->counts);
+  memset (manager->counts, 0, counts_length * sizeof *manager->counts);
   for (struct ash_rank_group *group = manager->groups; group; group = group->hh.next)
     {
       group->needs_decision = true;
--- a/daemon/map_manager.h
+++ b/daemon/map_manager.h
@@ -43,8 +43,8 @@
   enum ash_counts_state counts_state;
   struct ash_time counts_since;          /**< when counts_state last changed */
   struct ash_time baseline_requested_at; /**< when the first query of the sample was sent */
-  bool counts_from_baseline; /**< the sample starts at that query; else at the previous sample, or
-                         at the engines' start */
+  bool counts_from_baseline; /**< the sample starts at its first query; else at the previous sample,
+                                or at the engines' start */
   uint32_t sample_offset;  /**< selects the queried endpoints: those whose index equals this modulo
                               the sampling stride */
   uint32_t counts_awaited; /**< queries that are not answered yet */
--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -28,12 +28,12 @@
 }
 
 static bool
-matches (const uint8_t hash[ASH_KEY_HASH_BYTES], const char *wanted_hex)
+matches (const uint8_t hash[ASH_KEY_HASH_BYTES], const char *expected_hex)
 {
-  uint8_t wanted[ASH_KEY_HASH_BYTES];
+  uint8_t expected[ASH_KEY_HASH_BYTES];
 
-  return ash_hex_decode (wanted_hex, wanted, sizeof wanted) &&
-         sodium_memcmp (hash, wanted, sizeof wanted) == 0;
+  return ash_hex_decode (expected_hex, expected, sizeof expected) &&
+         sodium_memcmp (hash, expected, sizeof expected) == 0;
 }
 
 static enum ash_operator
--- a/daemon/rank_client.c
+++ b/daemon/rank_client.c
@@ -205,7 +205,7 @@
          !ash_time_before (endpoint->counts_received_at, manager->baseline_requested_at);
 }
 
-/* Adds the difference to the endpoint's previous counts to the sample. */
+/* Adds the difference between an endpoint's new and previous token counts to the sample. */
 static void
 add_counts (struct ash_rank_endpoint *endpoint, const struct ash_rank_counts *counts)
 {
@@ -237,16 +237,16 @@
 {
   struct ash_map_manager *manager = endpoint->manager;
   struct ash_layer_policy *policy = manager->policy;
-  uint32_t wanted = policy ? policy->layer_count * policy->expert_count : 0;
-  struct ash_rank_counts counts = { .numbers = calloc (wanted + 1, sizeof *counts.numbers) };
+  uint32_t expected = policy ? policy->layer_count * policy->expert_count : 0;
+  struct ash_rank_counts counts = { .numbers = calloc (expected + 1, sizeof *counts.numbers) };
 
   if (manager->counts_awaited)
     manager->counts_awaited--;
   if (counts.numbers)
     ash_platform_counts_read ((const char *) call->answer.bytes + call->answer.start,
-                              call->answer.length, wanted, &counts);
+                              call->answer.length, expected, &counts);
   manager->counts_received += counts.count;
-  if (wanted && counts.count == wanted)
+  if (expected && counts.count == expected)
     {
       if (endpoint->group && endpoint->group->sw.epoch == counts.epoch)
         ash_map_switch_sample_step (&endpoint->group->sw, ash_clock_now (), counts.step);
--- a/daemon/rank_client.h
+++ b/daemon/rank_client.h
@@ -60,7 +60,7 @@
   struct ash_rank_endpoint *endpoints[ASH_LAYER_RANKS_MAX];
   struct ash_layer_map map;            /* in use */
   bool has_lists[ASH_LAYER_RANKS_MAX]; /* whether the map contains the lists of each rank */
-  uint64_t listed_epoch;               /* epoch of these lists */
+  uint64_t listed_epoch;               /* epoch in which the ranks reported the lists in map */
   struct ash_layer_map next_map;       /* target of the present change; if it is being reverted, the
                                           fence: a copy of the map in use with a newer version */
   struct ash_rank_order encoded_order; /* order whose body is in order_body, for any rank */
--- a/daemon/store.h
+++ b/daemon/store.h
@@ -129,9 +129,9 @@
 void ash_store_restart_watch (struct ash_store *store, enum ash_store_part part, const char *why);
 
 /**
- * Peers have had a newer list of endpoints than this router since @p since. Entries that it lacks
- * may have expired while the store was unavailable, which this process did not notice. Their
- * endpoints stay in use for a short time.
+ * Peers have had a newer list of endpoints than this router since @p since. Entries that this
+ * router's list lacks may have expired while the store was unavailable, which this process did not
+ * notice. Their endpoints stay in use for a short time.
  */
 void ash_store_expect_lapses (struct ash_store *store, struct ash_time since);
 
--- a/daemon/suspects.h
+++ b/daemon/suspects.h
@@ -35,8 +35,8 @@
   struct ash_quarantine quarantine;
   struct ash_suspect_probe *probes;
   uint64_t ended; /**< endpoint processes that this router found to have ended during requests */
-  uint64_t quarantined; /**< how often this router quarantined a request, on its own or a peer's
-                           evidence */
+  uint64_t quarantined; /**< number of times that this router quarantined a request, on its own or a
+                           peer's evidence */
 };
 
 void ash_suspects_open (struct ash_suspects *suspects,
