--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -163,8 +163,8 @@
 }
 
 /* Runs before all other watchers each time the event loop wakes up, which the tick makes it do at
- * least every TICK_S. A longer gap means that the process was suspended and that messages still
- * unread are old. */
+ * least every TICK_S. A longer gap means that the process was suspended, and that messages that it
+ * has not read yet may be as old as the gap. */
 static void
 check_for_pause (struct ev_loop *loop, ev_check *check, int events)
 {
@@ -231,8 +231,8 @@
     randombytes_buf (&daemon->incarnation, sizeof daemon->incarnation);
   if (!daemon->loop)
     return false;
-  /* Handlers are installed before anything is reachable: without them a signal would end the
-   * process without a planned stop. */
+  /* Signal handlers are installed before the process listens on any address: without them a signal
+   * would end the process without a planned stop. */
   watch_signal (daemon, &daemon->on_term, SIGTERM);
   watch_signal (daemon, &daemon->on_int, SIGINT);
   return ash_http_client_init (&daemon->http_client, daemon->loop);
--- a/daemon/group_agent.c
+++ b/daemon/group_agent.c
@@ -24,7 +24,7 @@
 #define TAKEOVER_MS 400
 #define TAKEOVER_STAGGER_MS 150
 
-/* The gain of a move is summed over this many intervals. */
+/* The gain of a move is summed over this many intervals between decisions. */
 #define GAIN_HORIZON_INTERVALS 10
 
 enum call_kind
@@ -85,7 +85,8 @@
     ash_daemon_send (group->daemon, &event);
 }
 
-/* The state of the own rank shows whether a change is unfinished and may have been abandoned. */
+/* Updates the agent from the state of its own rank, which shows whether a change is unfinished and
+ * may have been abandoned. */
 static void
 update_from_state (struct ash_group_agent *group, const struct Ash__RankState *state)
 {
@@ -385,7 +386,7 @@
 /* ---- timers ---- */
 
 /* The lowest rank that can be reached decides on moves. No election is needed: if two agents both
- * consider themselves the lowest, their ballots fence each other off. */
+ * consider themselves the lowest, the ranks refuse the orders with the lower ballot. */
 static bool
 is_decider (const struct ash_group_agent *group)
 {
@@ -445,29 +446,29 @@
 }
 
 static const char *
-change_cause (const struct ash_group_agent *group, const struct ash_expert_map *wanted)
+change_cause (const struct ash_group_agent *group, const struct ash_expert_map *new_map)
 {
-  if (!wanted)
+  if (!new_map)
     return "takeover";
   return group->policy.forecast ? "forecast" : "skew";
 }
 
 static void
-start_change (struct ash_group_agent *group, const struct ash_expert_map *wanted)
+start_change (struct ash_group_agent *group, const struct ash_expert_map *new_map)
 {
   group->logged_phase = ASH_EXPERT_IDLE;
-  ash_expert_change_start (&group->change, ash_clock_now (), wanted);
-  add_history (group, wanted ? ASH_EXPERT_NOTE_MOVES : ASH_EXPERT_NOTE_TAKEOVER);
+  ash_expert_change_start (&group->change, ash_clock_now (), new_map);
+  add_history (group, new_map ? ASH_EXPERT_NOTE_MOVES : ASH_EXPERT_NOTE_TAKEOVER);
   ash_log_event (&group->log, ASH_EV_MAP_CHANGE,
                  "group=%s why=%s ballot=%" PRIu64
                  " moves=%u skew=%.3f predicted=%.3f refused_gain=%.3f",
-                 group->name, change_cause (group, wanted), group->change.ballot,
-                 wanted ? group->decision.move_count : 0, group->decision.skew_before,
+                 group->name, change_cause (group, new_map), group->change.ballot,
+                 new_map ? group->decision.move_count : 0, group->decision.skew_before,
                  group->decision.skew_after, group->decision.refused_gain);
 }
 
 /* In the lead time before a declared event, moves are decided for the expert loads that the event's
- * profile forecasts. Once the event has begun, the reported loads count. */
+ * profile forecasts. Once the event has begun, the reported loads are used again. */
 static void
 apply_forecast (struct ash_group_agent *group)
 {
@@ -500,7 +501,7 @@
 {
   double speeds[ASH_EXPERT_POLICY_RANKS_MAX];
   struct ash_expert_placement changed = group->placement;
-  struct ash_expert_map wanted = { 0 };
+  struct ash_expert_map new_map = { 0 };
 
   call_engine (group, CALL_LOADS, "", NULL);
   if (!group->rank_map || !is_decider (group) || ash_expert_change_running (&group->change))
@@ -515,8 +516,8 @@
       return;
     }
   ash_expert_placement_apply (&changed, group->decision.moves, group->decision.move_count);
-  fill_map (&changed, &wanted);
-  start_change (group, &wanted);
+  fill_map (&changed, &new_map);
+  start_change (group, &new_map);
 }
 
 json_t *
--- a/daemon/store_list.c
+++ b/daemon/store_list.c
@@ -95,7 +95,8 @@
   free (entry);
 }
 
-/* @return until when a missing entry may only have expired while the store was unavailable. */
+/* @return the time until which an entry may be missing because it expired while the store was
+ * unavailable, although its endpoint runs. */
 static struct ash_time
 uncertain_until (const struct ash_store *store)
 {
@@ -138,7 +139,7 @@
 static void
 remove_unusable (struct ash_store *store,
                  const struct ash_store_item *item,
-                 const char *wrong,
+                 const char *error,
                  const char *source)
 {
   struct ash_router *router = store->router;
@@ -147,7 +148,7 @@
 
   ash_log_event (&router->log, ASH_EV_ENTRY_UNUSABLE,
                  "endpoint=%.63s wrong=\"%s\" bytes=%zu used_before=%d source=%s", item->name,
-                 wrong, item->value_bytes, endpoint && ash_direct_usable (endpoint), source);
+                 error, item->value_bytes, endpoint && ash_direct_usable (endpoint), source);
   if (endpoint && ash_direct_remove (&router->endpoints, item->name, true, (struct ash_time){ 0 }))
     store->readers[ASH_STORE_SERVERS].list_changed = true;
   if (entry)
@@ -155,7 +156,8 @@
 }
 
 /* Remembers endpoints that report to be leaving. A store that is restored from an older copy lists
- * these, and those that have left, as ready. Such an endpoint is treated as draining for now. */
+ * these, and endpoints that have been removed, as ready. A ready entry of such an endpoint is
+ * treated as draining for now. */
 static void
 record_departure (struct ash_store *store, struct ash_direct_facts *facts)
 {
@@ -179,14 +181,14 @@
 {
   struct ash_router *router = store->router;
   struct ash_direct_facts facts;
-  const char *wrong;
+  const char *error;
 
   if (is_outdated (find_entry (store, item->name), position))
     return;
-  wrong = ash_platform_server_read (item->name, item->value, item->value_bytes, &facts);
-  if (wrong)
+  error = ash_platform_server_read (item->name, item->value, item->value_bytes, &facts);
+  if (error)
     {
-      remove_unusable (store, item, wrong, source);
+      remove_unusable (store, item, error, source);
       return;
     }
   put_entry (store, item, position, &facts);
@@ -221,7 +223,7 @@
     entry->listing_id = reader->listing_id;
 }
 
-/* ---- changes for the routers that follow ---- */
+/* ---- changes for the routers that don't poll the store ---- */
 
 static void
 record_change (struct ash_store_changes *changes, const char *id)
@@ -231,7 +233,8 @@
       uint32_t capacity = 2 * changes->capacity + 16;
       char (*ids)[ASH_DIRECT_NAME_BYTES] = realloc (changes->ids, capacity * sizeof *ids);
 
-      /* The routers that follow find out by heartbeats that they lack a change. */
+      /* The routers that get changes from this one find out by heartbeats that they lack this
+       * change. */
       if (!ids)
         return;
       changes->ids = ids;
@@ -240,8 +243,8 @@
   snprintf (changes->ids[changes->count++], sizeof changes->ids[0], "%s", id);
 }
 
-/* @return for how many ms more a missing entry may only have expired while the store was
- * unavailable. */
+/* @return for how many ms more an entry may be missing because it expired while the store was
+ * unavailable, although its endpoint runs. */
 static uint32_t
 uncertain_ms (const struct ash_store *store)
 {
@@ -390,8 +393,8 @@
   free (list->values);
 }
 
-/* Applies a peer's report that, for `ms` more, a missing entry may only have expired while the
- * store was unavailable. */
+/* Applies a peer's report that for `ms` more an entry may be missing because it expired while the
+ * store was unavailable, although its endpoint runs. */
 static void
 extend_uncertainty (struct ash_store *store, uint32_t ms)
 {
@@ -402,8 +405,8 @@
     store->uncertain_until = until;
 }
 
-/* Removes the entries that a peer's list lacks, unless the store has reported them here at a later
- * position. */
+/* Removes the entries that a peer's list lacks, unless the store has reported them to this router
+ * at a later position. */
 static void
 remove_older (struct ash_store *store, uint64_t position, const char *source)
 {
