--- a/bench/policy.c
+++ b/bench/policy.c
@@ -31,7 +31,7 @@
 
 /* ---- arrivals ---- */
 
-/* Demand over time, relative to CAPACITY_PER_S; changes start at BURST_START_S. */
+/* Demand over time, as a fraction of CAPACITY_PER_S; changes start at BURST_START_S. */
 enum trace
 {
   TRACE_STEADY,  /* half of the capacity */
@@ -39,7 +39,7 @@
   TRACE_OPENING, /* a tenth; rises to 20 times as much within 2 s, for 15 s in all */
   TRACE_FLOOD,   /* half; rises to 20 times the capacity within 2 s, for 5 s in all */
   TRACE_STORM,   /* half; then two large accounts add 3 times the capacity for 20 s */
-  TRACE_LONG,    /* batch: a third of its usual calls, answers 10 times as long; others: 0.3 */
+  TRACE_LONG,    /* class batch: a third, answers 10 times as long; other classes: 0.3 */
   TRACE_HEAVY,   /* half; then one account adds 3 times the capacity for 20 s */
   TRACE_COUNT,
 };
--- a/bench/router_sim.c
+++ b/bench/router_sim.c
@@ -43,7 +43,7 @@
 #define PROMPT_TOKENS_MEAN 800
 #define PROMPT_TOKENS_MAX 2850
 #define URGENT_PERCENT 70
-#define LARGE_SIZE 1300 /* half of the size in tokens above which a call counts as large */
+#define LARGE_SIZE 1300 /* large calls: prompt tokens + 10 * answer tokens > 2 * LARGE_SIZE */
 
 /* Planned stop of a router. */
 #define STOP_ACCEPT_MS 3000 /* accepts new calls for this long; then exits once it has none */
@@ -75,7 +75,7 @@
   uint64_t order; /* order of arrival at routers */
   enum call_state state;
   struct ash_forward forward;
-  int64_t reads_ms; /* the prompt is not read earlier */
+  int64_t reads_ms; /* earliest time at which a pass can read the prompt */
   int64_t event_ms; /* last event received */
   bool late;        /* the first event or a pause missed its target */
   bool overtaken;
@@ -91,7 +91,7 @@
   uint32_t reported[ENDPOINTS]; /* in_flight as last reported to the other routers */
   bool up;
   bool stopping;
-  int64_t since_ms;   /* start of the planned stop, or, if not up, its end */
+  int64_t since_ms;   /* if stopping: start of the planned stop; if not up: time of the exit */
   bool changed;       /* in_flight has changed since the last report */
   bool check_waiting; /* waiting calls may be sent now */
 };
@@ -118,7 +118,7 @@
   uint32_t active_count;
   uint32_t next_call;                /* index of the first call that has not been submitted yet */
   uint32_t endpoint_load[ENDPOINTS]; /* requests at each endpoint, from all routers */
-  int64_t last_retry_ms;             /* RETRY_BY_RATE: the latest time given to a caller */
+  int64_t last_retry_ms;             /* RETRY_BY_RATE: latest retry time of any caller */
   uint32_t released;                 /* slots released in this second */
   uint32_t released_last;            /* slots released in the previous second */
   double pass_sum_ms;
@@ -317,7 +317,7 @@
   call->next_ms = sim->now_ms + 2 * CALLER_LATENCY_MS + wait_ms;
 }
 
-/* Marks the waiting calls that arrived before @p sent and are more urgent. */
+/* Marks the waiting calls that arrived before @p sent and are more urgent as overtaken. */
 static void
 mark_overtaken (struct sim *sim, const struct call *sent)
 {
--- a/bench/router_sim.h
+++ b/bench/router_sim.h
@@ -64,7 +64,7 @@
   uint32_t refused_once; /**< refused at least once, whatever the final result */
   uint32_t refused_twice;
   uint32_t unserved_waits; /**< not served, after waiting more than 1/8 of the first event target */
-  uint32_t interrupted;    /**< answer started, but was not complete in time */
+  uint32_t interrupted;    /**< answer started, but did not complete in time */
   uint32_t overtaken;      /**< waited while a later and less urgent call was sent */
   uint32_t large; /**< the largest tenth of the offered calls, by prompt and answer tokens */
   uint32_t large_served;
--- a/test/fuzz_frame.c
+++ b/test/fuzz_frame.c
@@ -60,7 +60,7 @@
   struct Ash__Event *event;
 
   read_all (bytes, length);
-  /* Also the text form that golden sessions use. */
+  /* Also parse the input as the text form of an event, which golden sessions use. */
   memcpy (text, bytes, length);
   text[length] = '\0';
   event = ash_event_parse (text, &error);
--- a/test/map_schedule.c
+++ b/test/map_schedule.c
@@ -95,8 +95,7 @@
   struct message messages[MESSAGES_MAX];
   uint32_t loss_percent; /* percentage of orders whose answer is lost */
   uint32_t late_percent; /* percentage of orders that are carried out seconds late */
-  uint32_t
-      slow_percent; /* percentage of orders that are delayed so that later ones may overtake them */
+  uint32_t slow_percent; /* percentage of orders that are delayed: later ones may overtake them */
   bool two_leaders;
   bool traced;
   const char *violation;
@@ -278,7 +277,7 @@
 request_report (struct sim *sim, int r, uint32_t rank)
 {
   struct message message = {
-    /* The state of now, delivered with the lag of reports. */
+    /* The report contains the present state and is delivered after the delay of reports. */
     .due_ms = sim->now_ms + LAG_MS + ash_random_below (&sim->random, 6),
     .is_report = true,
     .router = r,
--- a/test/schedule.c
+++ b/test/schedule.c
@@ -45,7 +45,7 @@
   int a;
   bool open;
   unsigned session;       /* number of times that the link was opened */
-  unsigned agent_session; /* the session that the agent uses; 0: none */
+  unsigned agent_session; /* the session that the agent sends on; 0: none */
   unsigned entry_session;
   int64_t closed_ms;
   struct frame *to_agent;
@@ -289,8 +289,8 @@
     drop_frame (queue, *queue);
 }
 
-/* Whether a side sends on the session that is open now; it may not have noticed yet that an earlier
- * one was closed. */
+/* @return whether this side of the link uses the session that is open now; it may not have noticed
+ * yet that an earlier session was closed. */
 static bool
 is_current_link (const struct link *link, bool entry_side)
 {
@@ -592,7 +592,7 @@
   start_process (sim, &sim->agents[a], agent_names[a], false);
 }
 
-/* Starts a planned stop: the process finishes the work that it has, and takes no more. */
+/* Starts a planned stop: the process finishes its work and accepts no more. */
 static void
 begin_stop (struct sim *sim, struct process *process)
 {
@@ -693,7 +693,8 @@
   struct process *process = &sim->entries[call->entry];
   struct Ash__Call message = ASH__CALL__INIT;
   uint8_t hash[ASH_KEY_HASH_BYTES];
-  /* Passed through to the engine: the number of the attempt, stated or not. */
+  /* The body is passed through to the engine. It contains the number of the attempt even if the
+   * call does not state it. */
   uint8_t body = (uint8_t) call->attempt;
   char key[16];
 
--- a/test/unit.c
+++ b/test/unit.c
@@ -518,7 +518,7 @@
   hello.proof.len = sizeof proof;
   CU_ASSERT (ash_handshake_check (fleet_key, &nonces, ASH_SIDE_DIAL, &hello));
   CU_ASSERT_FALSE (ash_handshake_check (other_key, &nonces, ASH_SIDE_DIAL, &hello));
-  /* Replayed on another link, or reflected to its sender. */
+  /* The handshake is replayed on another link, or reflected to its sender. */
   CU_ASSERT_FALSE (ash_handshake_check (fleet_key, &other_link, ASH_SIDE_DIAL, &hello));
   CU_ASSERT_FALSE (ash_handshake_check (fleet_key, &nonces, ASH_SIDE_ACCEPT, &hello));
   hello.incarnation = 6;
--- a/test/unit.h
+++ b/test/unit.h
@@ -22,7 +22,7 @@
 /** Quarantine of requests that repeatedly make endpoints exit. */
 void add_quarantine_tests (CU_pSuite suite);
 
-/** Rates, back-off times and leaving that endpoints announce in their answers. */
+/** Terms that endpoints announce in their answers: rates, back-off times, and leaving. */
 void add_terms_tests (CU_pSuite suite);
 
 /** A store that is restored from an older copy. */
--- a/test/unit_config.c
+++ b/test/unit_config.c
@@ -192,7 +192,8 @@
   ash_findings_finish (&findings);
 }
 
-/* Delivers a heartbeat from each of the four entries that reports whether it reads the platform. */
+/* Delivers one heartbeat from each of the four entries; it reports whether that entry reads the
+ * platform. */
 static void
 deliver_heartbeats (struct ash_membership *membership, const bool reads[4])
 {
@@ -250,8 +251,8 @@
   ash_config_finish (&config);
 }
 
-/* An entry that is connected to few of the others must not remove the others from the addresses
- * that it gives to callers. */
+/* An entry that is connected to only a few of the other entries must not remove the unconnected
+ * ones from the addresses that it gives to callers. */
 static void
 test_isolated (void)
 {
--- a/test/unit_declared.c
+++ b/test/unit_declared.c
@@ -88,8 +88,8 @@
     ash_limits_finish (&limits[i]);
 }
 
-/* Experts are moved for the expected load before reports show it; if the load does not come, later
- * reports correct the placement. */
+/* Experts are moved for the expected load before reports show it; if that load does not occur,
+ * later reports correct the placement. */
 static void
 test_forecast (void)
 {
@@ -113,8 +113,8 @@
   CU_ASSERT_EQUAL (decision.move_count, 2);
   CU_ASSERT (decision.skew_after < 1.01);
   ash_expert_placement_apply (&placement, decision.moves, decision.move_count);
-  /* If the event is called off, the reported loads count again. If it has begun, the expected loads
-   * count until reports replace them. */
+  /* If the event is cancelled, the reported loads are used again. If it has begun, the expected
+   * loads are used until reports replace them. */
   ash_expert_policy_end_forecast (&policy, false);
   CU_ASSERT (policy.fast[0] < 0.26);
   ash_expert_policy_set_forecast (&policy, expected);
--- a/test/unit_experts.c
+++ b/test/unit_experts.c
@@ -266,7 +266,7 @@
   for (int i = 0; i < 6; i++)
     ash_layer_policy_decide (many.policy, &terms, many.map, &decision);
   expect_valid_map (many.map);
-  /* By now other ranks hold the experts that only the slow rank held. */
+  /* Other ranks now hold the experts that only the slow rank held before. */
   CU_ASSERT (held_slots (many.map, slow) < held);
   CU_ASSERT (decision.skew_after < 1.3);
   pace[slow] = 1;
--- a/test/unit_maps.c
+++ b/test/unit_maps.c
@@ -323,8 +323,9 @@
   CU_ASSERT_NOT_EQUAL (sw.holder, 0);
 }
 
-/* A version that is armed only according to a report from before the hold is not the version to
- * disarm: the ranks' lists are newer and show another one prepared. */
+/* The router that takes over a change must not disarm the version that is armed according to a
+ * report from before its hold, if the ranks' lists of maps, which are newer, show another version
+ * prepared. */
 static void
 test_stale_armed_report (void)
 {
@@ -376,8 +377,8 @@
 #define SMALL_RANKS 24
 #define SMALL_LAYERS 12
 
-/* A small group must not touch the memory of the largest: the leading router keeps the state of
- * every group, and there may be hundreds of small ones. */
+/* A small group must not use as much memory as the largest possible group: the leading router keeps
+ * the state of every group, and there may be hundreds of small ones. */
 static void
 test_memory_of_small_group (void)
 {
--- a/test/unit_platform.c
+++ b/test/unit_platform.c
@@ -379,8 +379,8 @@
 #define OPEN_FILES 256
 #define LOOP_TURNS 100
 
-/* With these socket options the kernel closes a connection to an unreachable peer, even when
- * nothing is being sent. */
+/* With TCP keep-alive and a user timeout the kernel closes a connection to an unreachable peer,
+ * even when nothing is being sent. */
 static void
 test_keep_alive (void)
 {
@@ -422,8 +422,8 @@
   (void) result;
 }
 
-/* The same for the libcurl connections with which an entry watches the platform: without
- * keep-alive, an unreachable platform looked like one without changes until the watch timed out. */
+/* The libcurl connections with which an entry watches the platform must have TCP keep-alive too:
+ * without it, an unreachable platform looked like one without changes until the watch timed out. */
 static void
 test_keep_alive_of_fetches (void)
 {
--- a/test/unit_prompts.c
+++ b/test/unit_prompts.c
@@ -1,7 +1,7 @@
 /**
  * @file
  * Unit tests of the prompt gate: its decisions, and a simulation of many routers before a group
- * whose passes are nearly as long as the longest good pause. The simulation shows how long callers
+ * whose passes are nearly as long as the target for pauses. The simulation shows how long callers
  * wait when the demand for experts shifts and when many streams resume at once.
  */
 #include "controllers/prompt_gate.h"
@@ -83,7 +83,7 @@
   add_pause (&gate, 0, 30);
   add_pause (&gate, 60, 60);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 60, 60), 0);
-  /* A pause of a group that was stalled says nothing about its passes. */
+  /* A pause during which the group was stalled does not show how long its passes take. */
   add_pause (&gate, 2000, 1900);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 2000, 2000), 0);
 }
@@ -170,7 +170,7 @@
   struct prompt prompts[PROMPTS_MAX];
   int count;
   double longest_pass_ms;
-  int late_count; /* first events later than AIM_MS, of new streams */
+  int late_count; /* new streams whose first event came later than AIM_MS */
 };
 
 static void
@@ -198,7 +198,7 @@
     }
 }
 
-/* @return the time that the pass that begins now takes, ms. */
+/* @return the duration in ms of the pass that begins now. */
 static double
 begin_pass (struct simulation *simulation, int64_t ms, bool shifts)
 {
@@ -263,7 +263,8 @@
     }
 }
 
-/* Running streams pause for as long as the longest pass. */
+/* When demand shifts, the gate must keep the longest pass, for which running streams pause, within
+ * PAUSE_AIM_MS, without delaying the first event of new streams beyond AIM_MS. */
 static void
 test_shift_simulated (void)
 {
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -303,8 +303,8 @@
   ash_direct_init (&set, 1);
   add_endpoint (&set, "a", false);
   add_endpoint (&set, "b", false);
-  /* An endpoint that goes missing from an untrusted list is used for a while longer; listing it
-   * again makes it a regular endpoint. */
+  /* An endpoint that goes missing from an untrusted list is used for a while longer; if the list
+   * contains it again, it is used without a time limit. */
   CU_ASSERT (ash_direct_remove (&set, "a", false, at (500)));
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "a")));
   ash_direct_tick (&set, at (400));
@@ -378,7 +378,7 @@
   CU_ASSERT_EQUAL (decision.action, ASH_FORWARD_ANSWER);
   CU_ASSERT_EQUAL (decision.answer.status, status);
   CU_ASSERT_EQUAL (decision.answer.reason, reason);
-  /* An answer that says that the request did not run must contain a time to retry after. */
+  /* An answer that states that the request did not run must contain a time to retry after. */
   CU_ASSERT_EQUAL (decision.answer.retry_after_ms != 0, status == 503);
 }
 
@@ -448,8 +448,8 @@
 /* Guards against retry times that are too short. During a burst of some seconds, callers rejected
  * for lack of room retried after 0.3 to 1 s, most within the same burst; they were rejected again
  * and had no more tries (29.6 of 100 requests of days with slow endpoints, bursts and rolling
- * stops). The time is now a part of the time left until the deadline, at most the third that
- * callers accept. */
+ * stops). The retry time is therefore a part of the time left until the deadline, at most a third,
+ * since callers accept no longer one. */
 static void
 test_forward_retry_after (void)
 {
@@ -499,8 +499,8 @@
     ash_resend_window_request (&window, &bound, at (ms));
   for (int i = 0; i < 1000; i++)
     sent += ash_resend_window_spend (&window, &bound, 4, at (9999));
-  /* At most this entry's quarter of the slack plus the ratio times its own requests, but not
-   * nothing. */
+  /* A router may resend the ratio of its own requests plus its share (of four routers: a quarter)
+   * of the slack. The lower bound checks that resends are allowed at all. */
   CU_ASSERT (sent > 80 && sent <= 0.2 * 1000 + 20.0 / 4);
   /* Resends are allowed again only once the window has passed. */
   CU_ASSERT_FALSE (ash_resend_window_spend (&window, &bound, 4, at (15000)));
@@ -780,7 +780,7 @@
    * not behind. */
   ash_peer_version_reported (&version, at (1900), 8, 4);
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, at (1950), 4, 0));
-  /* An equal list of an older revision says nothing about the newest. */
+  /* An equal list of an older revision does not show that this router has the newest one. */
   ash_peer_version_reported (&version, at (2000), 12, 4);
   ash_peer_version_equal (&version, at (2100), 11, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, at (2700), 4, 700));
@@ -832,8 +832,8 @@
                                 others, count, POLLERS_WANTED);
 }
 
-/* @return the routers that consider themselves pollers, as a bit mask of the first 64. @param count
- * receives how many they are. */
+/* @return bit mask of the routers among the first 64 that consider themselves pollers. @param count
+ * receives the number of such routers in the whole fleet. */
 static uint64_t
 pollers_of (const struct fleet *fleet, uint32_t *count)
 {
--- a/test/unit_router_world.c
+++ b/test/unit_router_world.c
@@ -58,7 +58,7 @@
   CU_ASSERT_FALSE (is_same (&first, &other));
 }
 
-/* Every call has exactly one result: in time, late, rejected twice, abandoned while waiting, or
+/* Every call has exactly one result: on target, late, refused twice, abandoned by its caller, or
  * interrupted. */
 static void
 test_ends (void)
@@ -80,15 +80,15 @@
   CU_ASSERT (all.offered > 1800 && all.offered < 2200);
   CU_ASSERT (all.refused_twice > 0);
   CU_ASSERT (all.refused_twice <= all.refused_once);
-  /* Nobody waits, since requests without room are rejected at once. */
+  /* No call waits: if there is no free slot, the call is refused at once. */
   CU_ASSERT_EQUAL (all.unserved_waits, 0);
   CU_ASSERT (all.on_target + all.late + all.refused_twice + all.interrupted <= all.offered);
-  /* The remaining callers left before their first event. */
+  /* The remaining callers disconnected before their first event. */
   CU_ASSERT (all.on_target + all.late + all.refused_twice + all.interrupted > 0.97 * all.offered);
 }
 
-/* With enough capacity the policies make no difference: all calls are served in time, and none is
- * rejected or overtaken. */
+/* With enough capacity the policies make no difference: all calls are on target, and none is
+ * refused or overtaken. */
 static void
 test_spare_capacity (void)
 {
@@ -115,9 +115,10 @@
   CU_ASSERT_DOUBLE_EQUAL (pass_ms (9, 500, 4), 4 * pass_ms (9, 500, 1), 0.01);
 }
 
-/* The cap applies to all routers together and is kept while loads are exchanged in time. When
- * capacity is short, several routers send to the same free slot, since loads are up to 0.1 s old:
- * the cap is exceeded, but not by as much as if each router had a cap of its own. */
+/* The cap limits the requests at an endpoint from all routers together. It is kept while there is
+ * spare capacity. When capacity is short, several routers send to the same free slot, since their
+ * peers' load reports are up to 0.1 s old: the cap is exceeded, but not by as much as if each
+ * router had a cap of its own. */
 static void
 test_cap (void)
 {
@@ -133,8 +134,8 @@
   CU_ASSERT (result.max_at_endpoint < 3 * setup.cap);
 }
 
-/* Callers leave after two seconds without an event, so a long wait is no better than a
- * rejection. */
+/* Callers disconnect after two seconds without an event, so a long wait is no better than a
+ * refusal. */
 static void
 test_waiting_callers (void)
 {
@@ -151,8 +152,8 @@
   CU_ASSERT (all.unserved_wait_s / all.unserved_waits > 1.5);
 }
 
-/* Less urgent requests overtake urgent ones if the queue is ordered by arrival, and rarely if it is
- * ordered by class and deadline. */
+/* Less urgent calls overtake urgent ones if routers serve waiting calls in order of arrival, and
+ * rarely if they serve them by class and deadline. */
 static void
 test_overtaken (void)
 {
@@ -173,10 +174,10 @@
 }
 
 /* The number of streams per rank must follow the engine. On an engine whose streams add 0.36 ms to
- * a step, requests have a mean value of 0.5 (1: all in time) with three streams and of 0.9 with
- * nine. On engines whose streams add 0.12 to 1.1 ms to a step and whose ranks copy an expert in
- * 0.05 to 0.45 s, the computed number gives at most 0.075 less than the best fixed number for each
- * engine. */
+ * a step, calls have a mean score of 0.5 (1: all on target) with three streams per rank and of 0.9
+ * with nine. On engines whose streams add 0.12 to 1.1 ms to a step and whose ranks copy an expert
+ * in 0.05 to 0.45 s, the computed number scores at most 0.075 less than the best of the fixed
+ * numbers for that engine. */
 static void
 test_streams_of_engines (void)
 {
@@ -188,13 +189,13 @@
     for (size_t c = 0; c < 2; c++)
       {
         struct ash_engine_facts engine;
-        double worked_out;
+        double computed_score;
 
         router_sim_engine (&engine, sequence_ms[s], copy_ms[c]);
-        worked_out = router_sim_shift_score (
+        computed_score = router_sim_shift_score (
             &engine, ash_pass_model_streams (&engine, ROUTER_SIM_PAUSE_MAX_MS, engine.slots));
         for (size_t f = 0; f < sizeof fixed / sizeof fixed[0]; f++)
-          CU_ASSERT (worked_out > router_sim_shift_score (&engine, fixed[f]) - 0.075);
+          CU_ASSERT (computed_score > router_sim_shift_score (&engine, fixed[f]) - 0.075);
       }
 }
 
--- a/test/unit_terms.c
+++ b/test/unit_terms.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Unit tests of the terms that endpoints announce in answers: rates, which all routers keep
+ * Unit tests of the terms that endpoints announce in answers: rates, which limit all routers
  * together, back-off times, and leaving.
  */
 #include "common/id.h"
@@ -152,8 +152,8 @@
     for (uint32_t k = 0; k < sizeof rates_milli / sizeof rates_milli[0]; k++)
       {
         simulate_rate (sizes[i], rates_milli[k], true, 1 + k);
-        /* Each router is not connected to one of the others. Two routers without a connection to
-         * each other are left out: each keeps to the rate, but both together do not. */
+        /* Each router is not connected to one of the others. A fleet of only two routers is not
+         * tested: without a connection, each would use the whole rate. */
         if (sizes[i] > 2)
           simulate_rate (sizes[i], rates_milli[k], false, 1 + k);
       }
@@ -345,8 +345,8 @@
 #define REJECTING_ENDPOINTS 5
 #define RUN_MS 1000
 
-/* These endpoints reject nine of ten requests without a back-off time. They have little load, but
- * must not get more than their share of requests. */
+/* Endpoints that reject nine of ten requests without a back-off time have little load, but must not
+ * get more than their share of requests. */
 static void
 test_rejecting_endpoints (void)
 {
@@ -386,7 +386,7 @@
         *run = decision.endpoint;
     }
   CU_ASSERT (at_rejecting <= STEPS * REJECTING_ENDPOINTS / ENDPOINTS);
-  /* They are tried again from time to time, as they may have recovered. */
+  /* Rejecting endpoints still get a request from time to time, as they may have recovered. */
   CU_ASSERT (at_rejecting >= REJECTING_ENDPOINTS * SIMULATION_MS / 10000);
   ash_direct_finish (&set);
 }
@@ -411,7 +411,7 @@
   /* The endpoint goes missing from an untrusted list: it is removed at once. */
   CU_ASSERT (ash_direct_remove (&set, "a", false, at (5000)));
   CU_ASSERT_EQUAL (endpoint->presence, ASH_DIRECT_REMOVED);
-  /* A later incarnation is used again. */
+  /* A later incarnation of the endpoint gets requests again. */
   facts.born_ms = 7;
   strcpy (facts.address, "1.2.3.4:9");
   ash_direct_update (&set, &facts);
--- a/test/workers.c
+++ b/test/workers.c
@@ -62,7 +62,7 @@
       for (int i = 0; i < WORKERS; i++)
         if (pids[i] == pid)
           pids[i] = 0;
-      /* A crashed worker counts as failed; a worker that was killed here does not. */
+      /* A crashed worker counts as failed, but not a worker that this function has killed. */
       if (status == 0 || (ended && WIFSIGNALED (status) && WTERMSIG (status) == SIGKILL))
         continue;
       failures++;
