--- a/spec/map_switch.pml
+++ b/spec/map_switch.pml
@@ -19,7 +19,7 @@
  * A leader orders all ranks to prepare, holds a step at its own rank, arms all ranks for
  * that step, and releases it. To roll back, it disarms all ranks and then fences them:
  * each rank prepares a newer version of the active map, after which it refuses every
- * delayed arm. A leader that observes a hold of another one finishes that change: it
+ * delayed arm. A leader that observes a hold of another leader finishes that change: it
  * reads all ranks, holds the step itself, and rolls back what it has found. If it has
  * found nothing, it fences the ranks too, since reports do not show a version that is
  * still being copied. It does not resume arming: another leader that rolls back may
@@ -42,12 +42,12 @@
  *
  * Broken variants, each with -D and each of which must violate an assertion:
  *   NO_HOLD                   a leader does not hold the step while it arms
- *   FINISHER_WITHOUT_HOLD     a taking_over leader rolls back without its own hold
+ *   FINISHER_WITHOUT_HOLD     a leader that takes over rolls back without its own hold
  *   SHARED_HOLD_RANK          all leaders hold the step at the same rank
  *   NO_FENCE                  a leader does not fence the ranks after disarming
- *   FINISHER_RESUMES_ARMING   a taking_over leader arms the remaining ranks
+ *   FINISHER_RESUMES_ARMING   a leader that takes over arms the remaining ranks
  *   REPEATED_HOLD             a delayed hold is executed after its go
- *   RELEASE_IF_NOTHING_FOUND  a taking_over leader that has found nothing releases the step at once
+ *   RELEASE_IF_NOTHING_FOUND  a leader that takes over and finds nothing releases the step at once
  */
 #ifndef RANKS
 #define RANKS 2
@@ -295,7 +295,7 @@
 {
   bool ok;
   bool any_copied;     /* a rank has copied all experts of the version */
-  bool taking_over;
+  bool taking_over;    /* the leader finishes the change of another leader */
   byte changes;
   byte finishes;
   byte level;          /* level of the last version that this leader allocated */
--- a/spec/request.pml
+++ b/spec/request.pml
@@ -50,7 +50,7 @@
 byte incarnation[2];
 byte record[2];
 byte refused_upto[2];        /* highest submission that the refusal covers */
-bool disowned[2];
+bool disowned[2];            /* an entry with a later home has had the key refused here */
 byte refusal_outcome[2];     /* outcome that is sent with the refusal */
 
 byte state[SUBMISSIONS + 1];
@@ -59,11 +59,12 @@
 byte submit_home[SUBMISSIONS + 1];
 byte submit_incarnation[SUBMISSIONS + 1];
 byte submit_revision[SUBMISSIONS + 1];
+/* sent to the earlier home, which has run the request, although the home is now another endpoint */
 bool submit_moved[SUBMISSIONS + 1];
 byte reply[SUBMISSIONS + 1];
 
 bool ran;
-byte ran_by;
+byte ran_by;                 /* submission with which the request ran */
 bool reported_not_run[SUBMISSIONS + 1];
 
 inline report_not_run (n)
--- a/test/expert_schedule.c
+++ b/test/expert_schedule.c
@@ -280,8 +280,10 @@
   deliver (sim, &frame);
 }
 
+/* @return whether rank @p r may begin its next step: all ranks know the map, and none has begun
+ * fewer steps. */
 static bool
-is_ahead_of_none (const struct sim *sim, int r)
+is_behind (const struct sim *sim, int r)
 {
   for (int q = 0; q < RANKS; q++)
     if (sim->ranks[q].blank || sim->ranks[q].begun < sim->ranks[r].begun)
@@ -296,8 +298,7 @@
   struct ash_expert_rank *rank = &sim->ranks[r];
   uint64_t map;
 
-  if (!ash_expert_rank_may_begin (rank) || !is_ahead_of_none (sim, r) ||
-      rank->begun + 1 >= STEPS_KEPT)
+  if (!ash_expert_rank_may_begin (rank) || !is_behind (sim, r) || rank->begun + 1 >= STEPS_KEPT)
     return;
   map = ash_expert_rank_begin (rank);
   totals[TOTAL_STEPS]++;
--- a/test/unit_experts.c
+++ b/test/unit_experts.c
@@ -385,8 +385,7 @@
   for (int i = 0; i < 15; i++)
     ash_pass_watch_add_pause (&watch, &engine, 4, 80);
   CU_ASSERT (ash_pass_watch_is_slow (&watch, 16, 1.2));
-  /* A skew of 2.5 does not explain a pass of twice that time either: part of each step takes a
-   * fixed time. */
+  /* A skew of 2.5 does not explain a pass of 80 ms either: part of each step takes a fixed time. */
   CU_ASSERT (ash_pass_watch_is_slow (&watch, 16, 2.5));
   /* Twelve streams explain longer passes: 55 ms, 26 ms of it for tokens. */
   ash_pass_watch_reset (&watch);
@@ -397,16 +396,16 @@
     ash_pass_watch_add_pause (&watch, &engine, 12, 95);
   CU_ASSERT (ash_pass_watch_is_slow (&watch, 16, 1.2));
   CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 2.5));
-  /* The more ranks share the cost of reading the counts, the smaller is the excess that justifies
-   * it. */
+  /* With more ranks, which share the cost of reading the expert counts, a smaller excess of the
+   * pass time counts as slow. */
   for (int i = 0; i < 50; i++)
     ash_pass_watch_add_pause (&watch, &engine, 12, 76);
   CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 1.2));
   CU_ASSERT (ash_pass_watch_is_slow (&watch, 64, 1.2));
   for (int i = 0; i < 50; i++)
     ash_pass_watch_add_pause (&watch, &engine, 12, 95);
-  /* The counts showed no shift: the present ratio is accepted, and only longer passes count as slow
-   * again. */
+  /* The expert counts showed no shift of demand: the present pass time is accepted as normal, and
+   * only longer passes count as slow again. */
   ash_pass_watch_accept_ratio (&watch);
   CU_ASSERT_FALSE (ash_pass_watch_is_slow (&watch, 16, 1.2));
   for (int i = 0; i < 50; i++)
--- a/test/unit_prompts.c
+++ b/test/unit_prompts.c
@@ -278,6 +278,8 @@
   CU_ASSERT_EQUAL (gated.late_count, 0);
 }
 
+/* When many streams resume at once, the gate must shorten the longest pass, without delaying the
+ * first event of new streams beyond AIM_MS. */
 static void
 test_return_simulated (void)
 {
--- a/test/unit_terms.c
+++ b/test/unit_terms.c
@@ -23,7 +23,7 @@
 #define ALLOWED_FACTOR 1.5
 #define ALLOWED_SLACK 5
 
-/* The part of a rate that must be used when demand exceeds the rate. */
+/* The fraction of a rate that must be used when demand exceeds the rate. */
 #define MIN_UTILIZATION 0.8
 
 static struct ash_time
