--- a/spec/request.pml
+++ b/spec/request.pml
@@ -50,7 +50,7 @@
 byte incarnation[2];
 byte record[2];
 byte refused_upto[2];        /* highest submission that the refusal covers */
-bool disowned[2];            /* an entry with a later home has had the key refused here */
+bool disowned[2];            /* an entry at a later revision has made this agent refuse the key */
 byte refusal_outcome[2];     /* outcome that is sent with the refusal */
 
 byte state[SUBMISSIONS + 1];
