--- a/test/fault_tests.h
+++ b/test/fault_tests.h
@@ -10,7 +10,7 @@
 
 #include <jansson.h>
 
-/* Settings with short times, so that the tests wait little. NO_GUARD_SETTINGS is for tests that do
+/* Settings with short time-outs, which keep the tests short. NO_GUARD_SETTINGS is for tests that do
  * not cover guard_ms, the age below which a new incarnation rejects callers' idempotency keys. */
 #define LINK_SETTINGS                                                                              \
   "heartbeat_ms = 100\nlink_silence_ms = 800\ndial_retry_ms = 50\naddress_keep_ms = 400\n"         \
@@ -38,7 +38,7 @@
 /** Like run_fault_tests(), with several lists; NULL ends the tables. */
 int run_fault_tables (const char *suite, const struct fault_test *const *tables, const char *part);
 
-/** How many streams a load has. */
+/** Number of concurrent streams in the load that some tests run. */
 #define LOAD_STREAMS 24
 
 /** Waits for the streams of a load and checks that each is complete, with that many tokens. */
--- a/test/faults.c
+++ b/test/faults.c
@@ -26,7 +26,7 @@
   return strcmp (call->answer.outcome, outcome) == 0;
 }
 
-/* Waits longer than an agent that has just started refuses callers' keys. */
+/* Waits until agents that have just started no longer refuse callers' keys. */
 static void
 wait_guard_period (void)
 {
@@ -497,7 +497,7 @@
 #define SHORT_GRACE NO_GUARD_SETTINGS "grace_ms = 1500\n"
 #define LONG_TOKENS 4000
 #define LONG_WORK_MS 20000
-#define ALL_DAY_MS 600000
+#define LONG_DEADLINE_MS 600000
 
 /* Guards against a planned stop of an entry that waits for all requests in flight, which may take
  * 600 s: operators kill the process after a few seconds, so that callers get truncated answers and
@@ -512,7 +512,7 @@
 
   fleet_start (&fleet, SHORT_GRACE);
   fleet_begin_chat (&fleet, &stream, 0, true, LONG_TOKENS);
-  fleet_begin_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, ALL_DAY_MS);
+  fleet_begin_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, LONG_DEADLINE_MS);
   CU_ASSERT (wait_model_run (&fleet));
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
   CU_ASSERT_EQUAL (fleet_end_process (&fleet.entries[0].pid, SIGTERM), 0);
@@ -540,7 +540,7 @@
   fleet_start (&fleet, SHORT_GRACE);
   for (int i = 0; i < LOAD_STREAMS; i++)
     fleet_begin_chat (&fleet, &calls[i], i % FLEET_ENTRIES, false, LONG_TOKENS / 8);
-  fleet_begin_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, ALL_DAY_MS);
+  fleet_begin_order (&fleet, &order, 0, NULL, 0, LONG_WORK_MS, LONG_DEADLINE_MS);
   CU_ASSERT (wait_runs (&fleet, 0, "runs", 1));
   CU_ASSERT (wait_runs (&fleet, FLEET_STOCK, "runs", 1));
   CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[0].pid, SIGTERM), 0);
--- a/test/group_fleet.c
+++ b/test/group_fleet.c
@@ -65,7 +65,7 @@
 }
 
 static pid_t
-start_daemon (const struct group_fleet *group, const char *box, const char *rest)
+start_daemon (const struct group_fleet *group, const char *box, const char *settings)
 {
   FILE *file = open_file (group, box);
   char path[128];
@@ -73,7 +73,7 @@
   fprintf (file,
            "box = \"%s\"\nhall = \"h\"\nfleet_key = \"%064d\"\nheartbeat_ms = 100\n"
            "link_silence_ms = 800\ndial_retry_ms = 50\npause_ms = 500\n%s",
-           box, 7, rest);
+           box, 7, settings);
   fclose (file);
   snprintf (path, sizeof path, "%s/%s.toml", group->folder, box);
   return fleet_spawn (group->folder, box, "ashspindled", path, (char *) NULL);
@@ -82,15 +82,15 @@
 void
 group_fleet_start_agent (struct group_fleet *group, int r)
 {
-  char rest[256];
+  char settings[256];
   char box[8];
 
   snprintf (box, sizeof box, "m%d", r);
-  snprintf (rest, sizeof rest,
+  snprintf (settings, sizeof settings,
             "role = \"endpoint\"\npeer_listen = \"127.0.0.1:%u\"\nengine_url = "
             "\"http://127.0.0.1:%u/rank/%d\"\n",
             group->ports[4 + r], group->ports[1], r);
-  group->agents[r] = start_daemon (group, box, rest);
+  group->agents[r] = start_daemon (group, box, settings);
 }
 
 void
@@ -151,7 +151,7 @@
   char port[8];
   char path[128];
   char ranks[8];
-  char rest[512];
+  char settings[512];
   FILE *file;
 
   *group = (struct group_fleet){ .folder = "/tmp/ash-group-XXXXXX", .unfenced = unfenced };
@@ -171,11 +171,11 @@
                                 RANK_SLOTS, (char *) NULL);
   for (int r = 0; r < GROUP_RANKS; r++)
     group_fleet_start_agent (group, r);
-  snprintf (rest, sizeof rest,
+  snprintf (settings, sizeof settings,
             "role = \"entry\"\npeer_listen = \"127.0.0.1:%u\"\nhttp_listen = \"127.0.0.1:%u\"\n"
             "platform_url = \"http://127.0.0.1:%u\"\nreader_key_hash = \"" READER_HASH "\"\n",
             group->ports[3], group->ports[2], group->ports[0]);
-  group->entry = start_daemon (group, "entry", rest);
+  group->entry = start_daemon (group, "entry", settings);
   /* A stand-in that does not listen yet would miss the control calls below and in the tests. */
   if (!group_fleet_wait (group, "steps", 1))
     fprintf (stderr, "the stand-in of the group has begun no step within 10 s\n");
--- a/test/groups.c
+++ b/test/groups.c
@@ -14,7 +14,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MORE_STEPS 60 /* a group that makes progress begins that many within seconds */
+#define MORE_STEPS 60 /* a group that makes progress begins them within seconds */
 
 /* Checks that the group makes progress and that no step was run with different maps. */
 static void
--- a/test/operators.c
+++ b/test/operators.c
@@ -50,8 +50,8 @@
   fleet_stop (&fleet);
 }
 
-/* An entry that restarts while the platform answers with an older revision never serves with that
- * one, because its peers send it the newer revision. */
+/* An entry that restarts while the platform answers with an older revision never serves with the
+ * older one, because its peers send it the newer revision. */
 static void
 test_replaced_with_older_config (void)
 {
@@ -266,7 +266,8 @@
       long status = 0;
 
       fleet_start (&fleet, OPERATOR_SETTINGS "platform_readers = 1\n");
-      /* Within this time, one entry has stopped reading because the other one reads. */
+      /* Within this time, one entry has stopped reading the platform because the other one reads
+       * it. */
       fleet_sleep_ms (11000);
       plan = post_operator_api (&fleet, 1 - killed, "/v1/plan", OPERATOR_KEY,
                                 "[[hall]]\nname = \"h2\"\n", &status);
--- a/test/raw.c
+++ b/test/raw.c
@@ -13,11 +13,11 @@
 raw_connect (uint16_t port)
 {
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_port = htons (port) };
-  struct timeval patience = { .tv_sec = RECEIVE_TIMEOUT_S };
+  struct timeval timeout = { .tv_sec = RECEIVE_TIMEOUT_S };
   int fd = socket (AF_INET, SOCK_STREAM, 0);
 
   address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
-  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   if (connect (fd, (struct sockaddr *) &address, sizeof address) == 0)
     return fd;
   close (fd);
--- a/test/router.c
+++ b/test/router.c
@@ -168,7 +168,8 @@
   testbed_start (&testbed);
   CU_ASSERT (testbed_wait_ready (&testbed, 0, false));
   testbed_call (&testbed, "n1", "/safe/x", NULL, "", &answer);
-  /* Without a configuration an unknown key (401) can't be told from an unknown route (404). */
+  /* Without a configuration an unknown key (401) can't be distinguished from an unknown route
+   * (404). */
   CU_ASSERT_EQUAL (answer.status, 503);
   CU_ASSERT (answer_has ("Retry-After:"));
   testbed_publish (&testbed);
@@ -580,7 +581,8 @@
   testbed_stop (&testbed);
 }
 
-/* @return how many requests other routers have at the endpoints, by metrics of router @p r. */
+/* @return how many requests other routers have at the endpoints, as the metrics of router @p r
+ * show. */
 static int
 requests_elsewhere (int r)
 {
@@ -600,7 +602,7 @@
   return requests_elsewhere (r) == wanted;
 }
 
-/* Sends a request that is never answered to the first router. @return its connection. */
+/* Sends the first router a request that no server answers. @return the caller's connection. */
 static int
 begin_unanswered (int i)
 {
@@ -613,10 +615,10 @@
   return fd;
 }
 
-/* While the store is slow, a starting router has its links to peers before it has the list of
- * endpoints. Peers reported their loads as the links came up, the new router dropped loads of
- * endpoints that it did not know yet, and sent as many requests again to endpoints that were
- * already loaded, until the loads changed. */
+/* The failure: a router that started while the store was slow sent as many requests again to
+ * endpoints that its peers had already loaded, until the loads changed. The cause: its links to
+ * peers were up before it had the list of endpoints. The peers reported their loads as the links
+ * came up, and the new router dropped the loads of endpoints that it did not know yet. */
 static void
 test_peer_loads_before_list (void)
 {
--- a/test/router_maps.c
+++ b/test/router_maps.c
@@ -128,9 +128,9 @@
 
 /* Starts two routers and a group. The first router leads, and all callers use the second. */
 static void
-start_with_leader (struct caller *callers, void (*start_world) (struct testbed *))
+start_with_leader (struct caller *callers, void (*start_testbed) (struct testbed *))
 {
-  start_world (&testbed);
+  start_testbed (&testbed);
   testbed_start_group (&testbed);
   testbed_publish (&testbed);
   testbed_start_router (&testbed, 1);
--- a/test/router_quarantine.c
+++ b/test/router_quarantine.c
@@ -5,11 +5,12 @@
  * The failure: one caller's request crashed each endpoint that began to run it, eight in a row.
  * Each crash stopped the endpoint's group of ranks for 3 s, and three streams in ten were rejected
  * or failed for 15 s. The router resent the request to another endpoint, and the caller repeated it
- * every few seconds under new ids at any of five routers.
+ * every few seconds, under six ids at five routers.
  *
- * The cause: evidence about a request was kept with one submission of it and freed at its end, so
- * nothing connected the submissions. What they have in common: account, target and body, and that
- * no event had been sent when the connection broke.
+ * The cause: a router kept evidence about a request only until that submission of it ended, so
+ * nothing connected the submissions. What they have in common is account, target and body, and
+ * that no event had been sent when the connection broke; other requests whose connections broke at
+ * the same time had sent events.
  */
 #include "test/router_tests.h"
 
--- a/test/router_stop.c
+++ b/test/router_stop.c
@@ -146,7 +146,7 @@
   return fd;
 }
 
-/* Waits until the first event of a stream has reached the caller, and leaves it to be read. */
+/* Waits until the first event of a stream has reached the caller's socket, without consuming it. */
 static void
 wait_first_event (int fd)
 {
--- a/test/router_store.c
+++ b/test/router_store.c
@@ -66,8 +66,8 @@
   testbed_stop (&testbed);
 }
 
-/* @return the value of a metric without labels, or -1. @p name with the newline before it and the
- * braces. */
+/* @return the value of a metric without labels, or -1. @param name the metric's name with a newline
+ * before it and its braces and a blank after it, so that no longer name matches */
 static long
 metric_value (int r, const char *name)
 {
@@ -234,8 +234,8 @@
   fleet_sleep_ms (200);
 }
 
-/* The first router's polls are lost without an error; the second router repeats its polls after 0.3
- * s at most. */
+/* Restarts the first router, whose polls then stay at the store without an answer or an error.
+ * Starts a second router, which repeats its polls after 0.3 s at most. */
 static void
 start_with_lost_polls (void)
 {
@@ -282,9 +282,9 @@
 /* The failure: one router rejected new keys and routes (401, 404) for 20 s although the store had
  * them; its six peers had each change within 30 ms. The router had been cut off from the store
  * while its polls were pending there. The poll of the configuration may wait for 20 s, so the
- * router abandoned it only 5 s after the connection was restored. Until then the reader counted as
- * up to date, since its previous poll had been answered, and ignored the newer version in its
- * peers' heartbeats. The list's reader had reconnected within 0.3 s, without effect on the
+ * router abandoned it after 21.5 s, 5 s after the connection was restored. Until then the reader
+ * counted as up to date, since its previous poll had been answered, and ignored the newer version
+ * in its peers' heartbeats. The list's reader had reconnected within 0.3 s, without effect on the
  * configuration's. The cause: a pending poll without an answer was taken as proof that there is
  * nothing new. */
 static void
--- a/test/router_suspended.c
+++ b/test/router_suspended.c
@@ -32,14 +32,14 @@
 }
 
 static void
-resume (int64_t away_ms)
+resume (int64_t suspended_ms)
 {
-  testbed_advance_boot_clock (&testbed, away_ms);
+  testbed_advance_boot_clock (&testbed, suspended_ms);
   kill (testbed.routers[0].pid, SIGCONT);
 }
 
-/* Waits until the router has read what arrived while it was stopped, so that the next requests
- * count as new. */
+/* Waits until the router has read what arrived while it was stopped, so that it does not take later
+ * requests for ones that were sent during that time. */
 static void
 wait_resumed (void)
 {
@@ -132,7 +132,7 @@
 }
 
 /* Idle connections to endpoints may have been lost without notice during the suspension: a request
- * that may not be repeated must not be sent on one. */
+ * that may not be repeated must not be sent on such a connection. */
 static void
 test_kept_connections (void)
 {
--- a/test/router_terms.c
+++ b/test/router_terms.c
@@ -119,8 +119,8 @@
   testbed_stop (&testbed);
 }
 
-/* A router was stopped when the others learned that the limit is lifted. It sends the endpoint no
- * request whose answer would show that. */
+/* The limit is lifted while one router is stopped. That router then sends the endpoint no request
+ * whose answer would show it, so it must learn it from its peers. */
 static void
 test_limit_lifted_while_stopped (void)
 {
@@ -140,7 +140,8 @@
   testbed_stop (&testbed);
 }
 
-/* Each router may send one request before it learns that the endpoint wants no more for a while. */
+/* Each router may send the endpoint one request before it learns that the endpoint asked for a
+ * back-off. */
 static void
 test_backoff_kept (void)
 {
--- a/test/router_testbed.c
+++ b/test/router_testbed.c
@@ -263,8 +263,8 @@
                              server->id, (char *) NULL);
 }
 
-/* A process that exits closes its listening sockets before its connections: whoever has seen one of
- * its connections close also finds the port closed. */
+/* A process that exits closes its listening sockets before its connections: a caller that has seen
+ * one of its connections close also finds the port closed. */
 static bool
 listens (uint16_t port)
 {
@@ -356,7 +356,8 @@
 }
 
 /* Sets environment variables that give the next process a clock that the test controls.
- * AddressSanitizer refuses to run behind another preloaded library unless told otherwise. */
+ * AddressSanitizer refuses to run behind another preloaded library unless its check of the link
+ * order is turned off. */
 static void
 set_clock (const struct testbed *testbed)
 {
--- a/test/router_testbed.h
+++ b/test/router_testbed.h
@@ -54,7 +54,7 @@
 {
   TESTBED_SILENT_BOTH = 1,
   TESTBED_SILENT_ANSWERS,  /**< requests still arrive, answers don't */
-  TESTBED_SILENT_REQUESTS, /**< requests don't arrive */
+  TESTBED_SILENT_REQUESTS, /**< requests no longer arrive, answers still do */
 };
 
 /** A proxy that can silence its open connections: test/standin_link.c. */
@@ -79,13 +79,13 @@
   bool suspendable; /**< routers use the clock of test/standin_clock.c */
   int64_t ahead_ms; /**< how far the routers' CLOCK_BOOTTIME is ahead */
   struct testbed_link links[TESTBED_LINKS];
-  uint32_t version;       /**< of the configuration published last */
-  bool has_key;           /**< the published account has the key "key-1" */
-  uint32_t store_wait_ms; /**< setting store_wait_ms of new routers */
-  uint32_t list_wait_ms;  /**< setting list_wait_ms of new routers */
-  uint32_t short_wait_ms; /**< setting short_wait_ms of new routers */
-  uint32_t wait_ms;       /**< setting wait_ms of new routers: the wait for a free slot */
-  const char *grace;      /**< settings line with grace_s, the time for a planned stop */
+  uint32_t version; /**< of the configuration published last */
+  bool has_key;     /**< the published account has the key "key-1" */
+  uint32_t store_wait_ms;
+  uint32_t list_wait_ms;
+  uint32_t short_wait_ms;
+  uint32_t wait_ms;  /**< how long a request may wait for a free slot */
+  const char *grace; /**< settings line with grace_s, the time for a planned stop */
 };
 
 /** What a caller received. */
--- a/test/silence.c
+++ b/test/silence.c
@@ -140,9 +140,10 @@
 /* The failure: when a box's open connections became silent, a third of its repeatable requests and
  * all others failed for seconds although its endpoints were healthy. A repeatable request was
  * resent after 0.9 s on the next idle connection, which was silent too; any other one waited until
- * its deadline. Of 8 requests of each kind, two at a time, with 4 idle connections to each of 2
- * endpoints, 4 repeatable and 8 other requests and 2 streams got 504. The cause: the router
- * detected the silence of each connection separately, at the cost of one request each. */
+ * its deadline and left no evidence, so that the next request met the next silent connection. Of 8
+ * requests of each kind, two at a time, with 4 idle connections to each of 2 endpoints, 4
+ * repeatable and 8 other requests and 2 streams got 504. The cause: the router detected the silence
+ * of each connection separately, at the cost of one request each. */
 static void
 check_silent_endpoints (const char *path, const char *action, bool repeatable, int failed_max)
 {
@@ -549,10 +550,11 @@
 
 /* How often connections are silenced during a map change, which takes 2 to 3 s. */
 #define SILENCES 15
-#define BETWEEN_MS 170
+#define SILENCE_INTERVAL_MS 170
 
-/* Connections to ranks become silent at any moment of a map change, for queries and orders: the
- * group always continues, its ranks never have different maps, and it never stalls for 1.5 s. */
+/* Connections to ranks, for queries and for orders, become silent at any moment of a map change:
+ * the group always continues, its ranks never have different maps, and it never stalls for 1.5 s.
+ */
 static void
 test_ranks (void)
 {
@@ -582,7 +584,7 @@
           for (int rank = 0; rank < TESTBED_RANKS; rank++)
             testbed_silence (&testbed, TESTBED_LINK_RANKS + rank,
                              (enum testbed_silence) (1 + n % 3));
-          fleet_sleep_ms (BETWEEN_MS);
+          fleet_sleep_ms (SILENCE_INTERVAL_MS);
         }
       CU_ASSERT (wait_changes (changes + 1));
       print_elapsed ("ranks, the next change", 1 + n % 3, began_ms);
--- a/test/standin_link.c
+++ b/test/standin_link.c
@@ -54,7 +54,7 @@
 {
   int caller;
   int target;
-  int number; /* counted from 1 */
+  int number; /* of the connection, in order of acceptance, from 1 */
   int silent; /* directions that are silent for good */
 };
 
--- a/test/standin_server.c
+++ b/test/standin_server.c
@@ -4,16 +4,33 @@
  * selects what the server does with the request, as NAME=ACTION pairs separated by blanks; NAME is
  * the server's name, or * for all servers. Actions:
  *
- *     ok fail shed moved reset mute foreign noid unsigned encoded cut unframed extra
- *     stream streamcut streamhang slow slower end streamend limit rest leave
+ *     ok          answers with 200; the default
+ *     fail        answers with 500
+ *     shed        rejects the request with 503, as not executed
+ *     rest        the same, and asks for a back-off of 30 s
+ *     moved       rejects the request with 421
+ *     limit       answers and announces a rate limit of one request per second
+ *     leave       answers and announces that it is shutting down
+ *     slow        answers after 300 ms
+ *     slower      answers after 800 ms
+ *     mute        never answers
+ *     reset       closes the connection without an answer
+ *     end         the process exits once it has begun to run the request
+ *     foreign     first sends an answer to another request
+ *     extra       sends a second answer
+ *     noid        answers without the attempt id
+ *     unsigned    answers without the server's seal
+ *     encoded     answers with a Content-Encoding
+ *     cut         closes the connection before the end of the answer
+ *     unframed    ends the answer by closing the connection
+ *     stream      answers with a stream of six events
+ *     streamcut   closes the connection in the middle of the third event
+ *     streamhang  sends nothing after the second event
+ *     streamend   the process exits after the second event
  *
- * With "end" the process exits once it has begun to run the request, with "streamend" after two
- * events. With "limit" it answers and announces a rate limit of one request per second; with
- * "leave" it answers and announces that it is shutting down; with "rest" it rejects the request and
- * asks for a back-off of 30 s.
- *
- * GET /log returns a line for each request received:
+ * GET /log returns a line for each request received, "-" for a missing field:
  *     ID METHOD TARGET body=BYTES deadline=MS expect=ID tenant=NAME last=ID urgency=N
+ *     authorization=TEXT connection=TEXT (all on one line; connection is the field X-Hop)
  * GET /gone returns how many callers disconnected before their answer.
  */
 #include "net/http_conn.h"
--- a/test/standin_store.c
+++ b/test/standin_store.c
@@ -47,10 +47,10 @@
 
 static struct store store;
 
-/* Marks, in a connection's request member, a request that is never answered. */
+/* A connection's request member points here if its request is never answered. */
 static char never_answered;
 
-/* Marks, in a connection's request member, a request whose answer is delayed. */
+/* A connection's request member points here while its request's answer is delayed. */
 static char delayed_request;
 
 /* ---- items ---- */
