--- a/test/faults.c
+++ b/test/faults.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * Fault tests with real processes on loopback: killed and paused processes, cut
- * links, planned stops. The outcomes that callers got are compared with the runs
- * that the stand-in engines recorded.
+ * Fault tests with real processes on loopback: killed and paused processes, cut links, planned
+ * stops. The outcomes that callers got are compared with the runs that the stand-in engines
+ * recorded.
  */
 #include "test/fault_tests.h"
 #include "test/fleet.h"
--- a/test/router_stop.c
+++ b/test/router_stop.c
@@ -232,7 +232,7 @@
   int partly;
   int idle;
 
-  /* The service of /model/ has no endpoints, so that this request waits. */
+  /* The service of /model/ has no endpoints, so that the request "e-waits" waits for one. */
   start_with_settings (by_signal ? "grace_s = 3" : "grace_s = 1.2", 10000);
   idle = testbed_connect (&testbed, 0);
   waiting = begin_request ("/model/x", "HTTP/1.1", "e-waits", "mute");
@@ -294,8 +294,8 @@
 /* The failure: after a second SIGTERM or at the end of the grace period, the router closed its
  * connections without answers, and often crashed (SIGSEGV in 6 of 6 stops with 4 requests in
  * progress). The cause: callers' connections were freed before the requests on them were ended.
- * Closing the connections to endpoints then ended each request as disconnected, which resent it or
- * answered on the freed connection (a heap-use-after-free). */
+ * Closing the connections to endpoints then ended each request as disconnected, so that the router
+ * resent it or answered it on the freed connection (a heap-use-after-free). */
 static void
 test_second_signal (void)
 {
--- a/test/router_store.c
+++ b/test/router_store.c
@@ -303,8 +303,8 @@
 
 /* The failure: two servers that left at the same moment got requests until the router's lost poll
  * timed out, although its peer had the change; a single one was detected within a second. The
- * cause: a list's digest was an XOR of entries, in which two complemented entries cancel out, so
- * that both routers' digests were equal. */
+ * cause: a list's digest was the XOR of its entries' digests, with those of draining servers
+ * complemented. Two complements cancel out, so that both routers' digests were equal. */
 static void
 test_two_drain (void)
 {
@@ -478,8 +478,8 @@
 
 /* The same failure, when a peer with a shorter time-out detects the silence. When the store answers
  * again, the peer treats the entries as expired and reports a newer list in its heartbeat; this
- * router, whose polls were lost, got that list and polled the store. The cause: it trusted both
- * answers, since none of its own polls had timed out. */
+ * router, whose polls were lost, got that list and polled the store. The cause: it trusted the
+ * peer's list and the store's answer, since none of its own polls had timed out. */
 static void
 test_silence_found_by_peer (void)
 {
