--- a/test/router_maps.c
+++ b/test/router_maps.c
@@ -188,8 +188,8 @@
   check_recovered (callers);
 }
 
-/* The leading router is stopped while the group is held for it. The next leader takes over before
- * the link counts as silent (0.8 s), and does not wait for delayed reports. */
+/* The leading router is stopped while the group is held for it. The next leader takes over within
+ * 1 s: it waits neither until the link counts as silent (0.8 s) nor for delayed reports. */
 static void
 test_leader_stalled (void)
 {
