--- a/filters/forward.h
+++ b/filters/forward.h
@@ -56,10 +56,11 @@
 {
   enum ash_repeat repeat; /**< how often it may run */
   uint32_t servers_max;   /**< endpoints that it may be sent to at most */
-  uint32_t aim_ms;        /**< target for the time to the first event, from the route's settings */
+  uint32_t
+      answer_target_ms; /**< target for the time to the first event, from the route's settings */
   const char *service;
-  uint32_t cap;          /**< limit of requests in flight at an endpoint, this one included */
-  uint32_t pause_aim_ms; /**< target for the longest pause between stream events; 0: none */
+  uint32_t cap;             /**< limit of requests in flight at an endpoint, this one included */
+  uint32_t pause_target_ms; /**< target for the longest pause between stream events; 0: none */
   struct ash_time arrived;
   struct ash_time deadline;   /**< when the final answer is due */
   struct ash_time wait_until; /**< how long a stream that has begun may wait to be resumed */
