--- a/filters/answer.h
+++ b/filters/answer.h
@@ -15,7 +15,8 @@
                          const char *peer,
                          const struct Ash__Refused *refused);
 
-/** The head of an answer arrived: a stream's head is passed on, any other is kept. */
+/** The head of an answer arrived: the head of a stream is passed on to the caller at once,
+ * any other is sent together with the complete body. */
 void ash_answer_head (struct ash_entry *entry, const char *peer, const struct Ash__Head *head);
 
 /** A part of an answer's body arrived. Duplicates are dropped; a gap makes the entry request the
@@ -31,7 +32,7 @@
                      const char *peer,
                      const struct Ash__End *end);
 
-/** An earlier home of the request's key reports whether it has the request. */
+/** An earlier home of the request's key reports whether it has the request in its ledger. */
 void ash_answer_disowned (struct ash_entry *entry,
                           struct ash_time now,
                           const char *peer,
--- a/filters/entry.c
+++ b/filters/entry.c
@@ -135,8 +135,8 @@
 {
   request->keyed = *call->idempotency_key != '\0';
   /* A call that was read just after the process was suspended may have waited in the socket all
-   * that time. The caller may have submitted the request elsewhere meanwhile, so the number of its
-   * submission is not to be relied on. */
+   * that time. The caller may have submitted the request elsewhere meanwhile, so the attempt number
+   * of this call is unreliable. */
   if (request->keyed && !call->may_be_old)
     request->caller_attempt = call->caller_attempt;
 }
--- a/filters/forward.c
+++ b/filters/forward.c
@@ -72,23 +72,23 @@
   struct ash_random *random = &context->endpoints->random;
   struct ash_direct_criteria criteria = endpoint_criteria (forward, context);
   int64_t left_ms = ash_time_diff (now, forward->deadline);
-  int64_t most_ms = left_ms / RETRY_MAX_DIVISOR;
-  int64_t least_ms;
-  int64_t opens_ms;
+  int64_t max_ms = left_ms / RETRY_MAX_DIVISOR;
+  int64_t min_ms;
+  int64_t available_ms;
 
   if (reason == ASH_FORWARD_QUARANTINED)
     return (uint32_t) context->quarantined_ms;
   if (reason != ASH_FORWARD_NO_ROOM && reason != ASH_FORWARD_THROTTLED &&
       reason != ASH_FORWARD_REJECTED)
     return RETRY_AFTER_MIN_MS + ash_random_below (random, RETRY_AFTER_SPREAD_MS);
-  if (most_ms > RETRY_AFTER_MAX_MS)
-    most_ms = RETRY_AFTER_MAX_MS;
-  least_ms = most_ms * RETRY_MAX_DIVISOR / RETRY_MIN_DIVISOR;
-  /* A retry is useless before the time at which an endpoint announced to accept requests again. */
-  opens_ms = ash_direct_wait_ms (context->endpoints, now, &criteria);
-  if (opens_ms > least_ms && most_ms > least_ms)
-    least_ms = opens_ms < most_ms ? opens_ms : most_ms - 1;
-  return (uint32_t) (1 + least_ms) + ash_random_below (random, (uint32_t) (most_ms - least_ms));
+  if (max_ms > RETRY_AFTER_MAX_MS)
+    max_ms = RETRY_AFTER_MAX_MS;
+  min_ms = max_ms * RETRY_MAX_DIVISOR / RETRY_MIN_DIVISOR;
+  /* A retry is useless before the first endpoint accepts requests again, as it announced. */
+  available_ms = ash_direct_wait_ms (context->endpoints, now, &criteria);
+  if (available_ms > min_ms && max_ms > min_ms)
+    min_ms = available_ms < max_ms ? available_ms : max_ms - 1;
+  return (uint32_t) (1 + min_ms) + ash_random_below (random, (uint32_t) (max_ms - min_ms));
 }
 
 static struct ash_forward_decision
--- a/filters/forward.h
+++ b/filters/forward.h
@@ -23,7 +23,8 @@
   ASH_FORWARD_TIMEOUT,     /**< its deadline has passed */
   ASH_FORWARD_NO_BUDGET,   /**< a further attempt would exceed the resend budget */
   ASH_FORWARD_LEAVING,     /**< this process stops before the request could finish */
-  ASH_FORWARD_QUARANTINED, /**< endpoints' processes ended while running it; no other gets it */
+  ASH_FORWARD_QUARANTINED, /**< endpoints' processes ended while running it, so it is sent to
+                              no other endpoint */
 };
 
 /** What to do with a request now. */
@@ -58,7 +59,7 @@
   uint32_t servers_max;   /**< endpoints that it may be sent to at most */
   uint32_t aim_ms;        /**< target for the time to the first event, from the route's settings */
   const char *service;
-  uint32_t cap;          /**< limit of requests in flight at an endpoint, this one included */
+  uint32_t cap;          /**< maximum requests in flight at an endpoint, this one included */
   uint32_t pause_aim_ms; /**< target for the longest pause between stream events; 0: none */
   struct ash_time arrived;
   struct ash_time deadline;   /**< when the final answer is due */
--- a/filters/limit.c
+++ b/filters/limit.c
@@ -1,10 +1,10 @@
 /**
  * @file
  * Filter: the account's rate limit. This entry enforces its share. The limit is divided by the
- * number of entries in the published list, not by the number that seem to be up: otherwise both
- * sides of a network partition would each allow the whole limit. Requests first count against the
- * account's reservation of a declared event, if there is one, and get the event's priority. Above
- * the reservation the account's own limit applies.
+ * number of published entries that share the account, whether they are reachable or not: otherwise
+ * both sides of a network partition would each allow the whole limit. Requests first count against
+ * the account's reservation of a declared event, if there is one, and get the event's priority.
+ * Above the reservation the account's own limit applies.
  */
 #include "controllers/declared.h"
 #include "filters/filter.h"
--- a/filters/links.c
+++ b/filters/links.c
@@ -131,7 +131,7 @@
 
 /* ---- timers ---- */
 
-/* Ends a request whose deadline or whose entry's planned stop is over. */
+/* Ends a request whose deadline has passed, or that is unanswered at the end of a planned stop. */
 static void
 fail_expired (struct ash_entry *entry, struct ash_time now, struct ash_request *request, int reason)
 {
--- a/filters/request.h
+++ b/filters/request.h
@@ -20,12 +20,12 @@
 enum ash_request_state
 {
   ASH_REQUEST_NEW,          /**< in the filter chain */
-  ASH_REQUEST_DISOWNING,    /**< earlier homes of its key have been requested to disown it */
-  ASH_REQUEST_SENT,         /**< sent to an endpoint, whose link is up */
-  ASH_REQUEST_DISCONNECTED, /**< sent to an endpoint, whose link is down */
+  ASH_REQUEST_DISOWNING,    /**< waits for earlier homes of its key to refuse it */
+  ASH_REQUEST_SENT,         /**< sent to an endpoint whose link is up */
+  ASH_REQUEST_DISCONNECTED, /**< sent to an endpoint whose link is down */
 };
 
-/** A request. Owns the pointers. */
+/** A request. It owns all memory that it points to. */
 struct ash_request
 {
   uint64_t call; /**< number of the caller's HTTP request */
@@ -34,12 +34,12 @@
   char account[ASH_NAME_BYTES];
   char class_name[ASH_NAME_BYTES];
   uint32_t priority;
-  bool keyed;              /**< it has an idempotency key, so the caller may submit it again */
-  bool minted;             /**< the key names its home and the home's incarnation */
-  bool no_repeat;          /**< must not run twice */
-  bool stream;             /**< the answer is passed on as it arrives */
-  bool home_only;          /**< keyed and no_repeat: only its home may run it */
-  bool moved;              /**< an earlier home of its key has it, and remains its home */
+  bool keyed;     /**< it has an idempotency key, so the caller may submit it again */
+  bool minted;    /**< the key names its home and the home's incarnation */
+  bool no_repeat; /**< must not run twice */
+  bool stream;    /**< the answer is passed on as it arrives */
+  bool home_only; /**< keyed and no_repeat: only its home may run it */
+  bool moved;     /**< an earlier home of its key has it in its ledger, and remains its home */
   uint32_t caller_attempt; /**< number of the caller's submission, from 1; 0: not stated */
   struct ash_time arrived;
   struct ash_time deadline;
@@ -50,13 +50,14 @@
   uint64_t attempt;         /**< number of the current attempt; 0: none */
   struct ash_time sent;     /**< when the current attempt was sent */
   uint32_t tries;           /**< attempts sent */
-  char tried[ASH_REQUEST_TRIES_MAX][ASH_NAME_BYTES];  /**< their boxes */
-  uint64_t tried_incarnations[ASH_REQUEST_TRIES_MAX]; /**< a restarted box may be tried again */
+  char tried[ASH_REQUEST_TRIES_MAX][ASH_NAME_BYTES];  /**< the box of each attempt */
+  uint64_t tried_incarnations[ASH_REQUEST_TRIES_MAX]; /**< the incarnation of each box in `tried`: a
+                                                         restarted box may be tried again */
   bool may_have_run;                                  /**< an earlier attempt ran or may have run */
   bool ran; /**< an earlier attempt certainly ran, at least partly */
   struct ash_time disconnected_since;
   char pending_homes[ASH_CONFIG_HISTORY_MAX]
-                    [ASH_NAME_BYTES]; /**< earlier homes of its key to disown it */
+                    [ASH_NAME_BYTES]; /**< earlier homes of its key that have not refused it yet */
   uint32_t pending_home_count;
 
   uint64_t received; /**< body bytes received of the current attempt's answer */
@@ -69,8 +70,8 @@
 
   int reason;                /**< enum Ash__Reason: why it was refused or failed */
   uint32_t retry_ms;         /**< delay before the caller may retry */
-  UT_hash_handle hh;         /**< by call */
-  UT_hash_handle hh_attempt; /**< by attempt */
+  UT_hash_handle hh;         /**< in the table with key `call` */
+  UT_hash_handle hh_attempt; /**< in the table with key `attempt` */
 };
 
 #endif
--- a/filters/request_history.c
+++ b/filters/request_history.c
@@ -4,22 +4,22 @@
 #include <string.h>
 
 bool
-ash_request_history_init (struct ash_request_history *past)
+ash_request_history_init (struct ash_request_history *ring)
 {
-  past->next = 0;
-  past->requests = calloc (ASH_REQUEST_HISTORY_MAX, sizeof *past->requests);
-  return past->requests != NULL;
+  ring->next = 0;
+  ring->requests = calloc (ASH_REQUEST_HISTORY_MAX, sizeof *ring->requests);
+  return ring->requests != NULL;
 }
 
 void
-ash_request_history_finish (struct ash_request_history *past)
+ash_request_history_finish (struct ash_request_history *ring)
 {
-  free (past->requests);
-  past->requests = NULL;
+  free (ring->requests);
+  ring->requests = NULL;
 }
 
 void
-ash_request_history_add (struct ash_request_history *past,
+ash_request_history_add (struct ash_request_history *ring,
                          struct ash_time now,
                          const struct ash_request *request,
                          int outcome,
@@ -27,9 +27,9 @@
 {
   struct ash_ended_request *record;
 
-  if (!past->requests)
+  if (!ring->requests)
     return;
-  record = &past->requests[past->next++ % ASH_REQUEST_HISTORY_MAX];
+  record = &ring->requests[ring->next++ % ASH_REQUEST_HISTORY_MAX];
   *record = (struct ash_ended_request){
     .id = request->id,
     .ended = now,
@@ -48,12 +48,12 @@
 }
 
 const struct ash_ended_request *
-ash_request_history_find (const struct ash_request_history *past, struct ash_id id)
+ash_request_history_find (const struct ash_request_history *ring, struct ash_id id)
 {
-  for (uint32_t i = 1; past->requests && i <= ASH_REQUEST_HISTORY_MAX; i++)
+  for (uint32_t i = 1; ring->requests && i <= ASH_REQUEST_HISTORY_MAX; i++)
     {
       const struct ash_ended_request *record =
-          &past->requests[(past->next + ASH_REQUEST_HISTORY_MAX - i) % ASH_REQUEST_HISTORY_MAX];
+          &ring->requests[(ring->next + ASH_REQUEST_HISTORY_MAX - i) % ASH_REQUEST_HISTORY_MAX];
 
       if (record->ended.ms && ash_id_equal (record->id, id))
         return record;
--- a/filters/request_history.h
+++ b/filters/request_history.h
@@ -37,19 +37,19 @@
 };
 
 /** @return false if out of memory; the history stays empty then. */
-bool ash_request_history_init (struct ash_request_history *past);
-void ash_request_history_finish (struct ash_request_history *past);
+bool ash_request_history_init (struct ash_request_history *ring);
+void ash_request_history_finish (struct ash_request_history *ring);
 
 /** Adds a request that has just ended, in place of the oldest one.
  * @param took_ms from its arrival at the entry to its end. */
-void ash_request_history_add (struct ash_request_history *past,
+void ash_request_history_add (struct ash_request_history *ring,
                               struct ash_time now,
                               const struct ash_request *request,
                               int outcome,
                               int64_t took_ms);
 
 /** @return the newest request with this id, or NULL. */
-const struct ash_ended_request *ash_request_history_find (const struct ash_request_history *past,
+const struct ash_ended_request *ash_request_history_find (const struct ash_request_history *ring,
                                                           struct ash_id id);
 
 #endif
--- a/net/http_call.c
+++ b/net/http_call.c
@@ -7,9 +7,11 @@
 #include <unistd.h>
 #include <utlist.h>
 
-/* How long an idle connection is kept if the server sends no Keep-Alive timeout, and how long
- * before the timeout it is closed here, so that no request is sent while the server closes it. */
+/* How long an idle connection is kept if the server sends no Keep-Alive timeout. */
 #define IDLE_TIMEOUT_DEFAULT_MS 4000
+
+/* An idle connection is closed here this long before the Keep-Alive timeout of the server, so that
+ * no request is sent while the server closes the connection. */
 #define IDLE_MARGIN_MS 700
 
 /* Idle connections kept per address: enough for a second of low load. */
--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -17,9 +17,9 @@
 
 #define SWEEP_S 0.1
 
-/* Keep-alive timeout of callers: then the caller counts as disconnected, and its request is
- * cancelled. As long as the retransmission of a lost packet takes, like USER_TIMEOUT_MS of
- * net/stream.c. */
+/* Keep-alive timeout of callers' connections. After it the caller counts as disconnected, and its
+ * request is cancelled. As long as the retransmission of a lost packet takes, like USER_TIMEOUT_MS
+ * of net/stream.c. */
 #define CALLER_SILENCE_MS 3000
 
 /* Bytes that a caller may send while its request is served, before reading is stopped. */
@@ -49,7 +49,8 @@
   ash_buffer_finish (&conn->body);
 }
 
-/* Closes the stream; the sweep frees the connection, as callers on the stack may still use it. */
+/* Closes the stream. The sweep frees the connection, as functions on the call stack may still use
+ * it. */
 static void
 close_caller (struct ash_http_conn *conn)
 {
--- a/net/peer.c
+++ b/net/peer.c
@@ -233,7 +233,8 @@
   struct Ash__LinkUp up = ASH__LINK_UP__INIT;
   struct ash_link *existing = find_link_up (peers, hello->box);
 
-  /* One link per box: the newer one replaces the other, as the peer uses it. */
+  /* There is one link per box. The new link replaces the existing one, as the peer uses the new
+   * one. */
   if (existing)
     close_link (existing, "replaced");
   snprintf (link->box, sizeof link->box, "%s", hello->box);
--- a/options/router_settings.h
+++ b/options/router_settings.h
@@ -8,7 +8,7 @@
 
 #include "options/option.h"
 
-/** Most addresses of other routers that a new process can contact first. */
+/** Maximum number of seeds: addresses of other routers that a new process contacts first. */
 #define ASH_ROUTER_SEEDS_MAX 16
 
 /** Settings of a router. Each member has the name of its key; `_ms` members of keys in seconds
--- a/options/settings.h
+++ b/options/settings.h
@@ -9,7 +9,7 @@
 #include "options/option.h"
 #include "options/settings_file.h"
 
-/** Most addresses of other boxes that a new process can contact first. */
+/** Maximum number of `peers`: addresses of other boxes that a new process contacts first. */
 #define ASH_SETTINGS_PEERS_MAX 16
 
 enum ash_settings_role
@@ -18,7 +18,8 @@
   ASH_SETTINGS_ENDPOINT,
 };
 
-/** How an entry chooses an endpoint. All but ASH_ROUTE_TWO_CHOICES are for comparison. */
+/** How an entry chooses an endpoint. ASH_ROUTE_TWO_CHOICES is the default; the other policies are
+ * only for comparison with it. */
 enum ash_settings_route
 {
   ASH_ROUTE_TWO_CHOICES,
--- a/proto/ash.pb-c.h
+++ b/proto/ash.pb-c.h
@@ -69,23 +69,23 @@
    */
   ASH__RANK_ORDER__KIND__PREPARE = 1,
   /*
-   * hold `step` until the map is decided
+   * hold `step` until the change of the map is decided
    */
   ASH__RANK_ORDER__KIND__ARM = 2,
   /*
-   * what is armed with this ballot, for this step
+   * use the map that was armed with this ballot for this step
    */
   ASH__RANK_ORDER__KIND__COMMIT = 3,
   /*
-   * what another rank has committed already
+   * use a map that another rank has already committed
    */
   ASH__RANK_ORDER__KIND__FINISH = 4,
   /*
-   * take an arm back
+   * withdraw an ARM
    */
   ASH__RANK_ORDER__KIND__DISARM = 5,
   /*
-   * a replaced rank gets the others' state
+   * a replaced rank takes over the state of the other ranks
    */
   ASH__RANK_ORDER__KIND__ADOPT = 6
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(ASH__RANK_ORDER__KIND)
@@ -93,17 +93,17 @@
 typedef enum _Ash__Query__Kind {
   ASH__QUERY__KIND__NONE = 0,
   /*
-   * what was decided on a group's expert map
+   * decisions on a group's expert map
    */
   ASH__QUERY__KIND__GROUP = 1,
   /*
-   * what became of a request
+   * state or outcome of a request
    */
   ASH__QUERY__KIND__REQUEST = 2
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(ASH__QUERY__KIND)
 } Ash__Query__Kind;
 /*
- * What is known about a request's run, as told to the caller.
+ * Whether a request ran, as reported to the caller.
  */
 typedef enum _Ash__Outcome {
   ASH__OUTCOME__OUTCOME_NONE = 0,
@@ -113,7 +113,7 @@
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(ASH__OUTCOME)
 } Ash__Outcome;
 /*
- * Why a request was refused or a stream broken.
+ * Why a request was refused or its answer was broken off.
  */
 typedef enum _Ash__Reason {
   ASH__REASON__REASON_NONE = 0,
@@ -122,7 +122,7 @@
    */
   ASH__REASON__BAD_REQUEST = 1,
   /*
-   * no such account
+   * no account has this bearer key
    */
   ASH__REASON__BAD_KEY = 2,
   /*
@@ -130,15 +130,15 @@
    */
   ASH__REASON__NO_SERVICE = 3,
   /*
-   * over the account's limit
+   * over the account's rate limit
    */
   ASH__REASON__LIMIT = 4,
   /*
-   * could not be served before its deadline
+   * can't be served before its deadline
    */
   ASH__REASON__OVERLOAD = 5,
   /*
-   * no endpoint that may take it is reachable
+   * no endpoint that may run it is reachable
    */
   ASH__REASON__NO_ENDPOINT = 6,
   /*
@@ -146,15 +146,15 @@
    */
   ASH__REASON__LEAVING = 7,
   /*
-   * addressed to an earlier life
+   * addressed to an earlier incarnation
    */
   ASH__REASON__STALE_INCARNATION = 8,
   /*
-   * this life can't know of earlier attempts
+   * this incarnation can't know about earlier attempts
    */
   ASH__REASON__NEW_LIFE = 9,
   /*
-   * the ledger holds a refusal for this attempt
+   * the ledger records that this attempt was refused
    */
   ASH__REASON__REFUSED_BEFORE = 10,
   /*
@@ -162,56 +162,56 @@
    */
   ASH__REASON__DEADLINE = 11,
   /*
-   * the caller went away
+   * the caller disconnected
    */
   ASH__REASON__CANCELLED = 12,
   /*
-   * the endpoint died or was cut off
+   * the endpoint crashed or can't be reached
    */
   ASH__REASON__ENDPOINT_LOST = 13,
   /*
-   * the endpoint broke off its answer
+   * the endpoint ended its answer early
    */
   ASH__REASON__ENDPOINT_FAILED = 14,
   /*
-   * it ran, its answer is no longer kept
+   * it ran, but its answer is no longer stored
    */
   ASH__REASON__ANSWER_GONE = 15,
   /*
-   * the receiver has an older configuration
+   * the receiver's configuration is too old
    */
   ASH__REASON__STALE_CONFIG = 16,
   /*
-   * another endpoint has the request in its ledger
+   * the request is in the ledger of another endpoint
    */
   ASH__REASON__NOT_HOME = 17,
   /*
-   * no configuration accepted yet
+   * no configuration has been accepted yet
    */
   ASH__REASON__NOT_READY = 18,
   ASH__REASON__ANSWER_TOO_LARGE = 19,
   /*
-   * a retry was possible but not affordable
+   * a retry was possible, but over the retry budget
    */
   ASH__REASON__RETRY_BUDGET = 20,
   /*
-   * the account belongs to other entries
+   * other entries serve the account
    */
   ASH__REASON__MISDIRECTED = 21,
   /*
-   * a minted key after its time
+   * a minted key has expired
    */
   ASH__REASON__KEY_EXPIRED = 22,
   /*
-   * asked to resume what never arrived
+   * a Resume for a request that was never received
    */
   ASH__REASON__NOT_RECEIVED = 23,
   /*
-   * the endpoint's engine stands still
+   * the endpoint's engine is stalled
    */
   ASH__REASON__STALLED = 24,
   /*
-   * a planned stop was over before the answer was
+   * a planned stop ended before the answer was complete
    */
   ASH__REASON__STOPPED = 25
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(ASH__REASON)
@@ -227,7 +227,7 @@
 /* --- messages --- */
 
 /*
- * First frame from the accepting side.
+ * The first frame on a link, sent by the side that accepted the connection.
  */
 struct  Ash__Challenge
 {
@@ -240,7 +240,8 @@
 
 
 /*
- * Who speaks: sent by both sides, proved with the fleet key over both nonces.
+ * Identifies the sender, sent by both sides. The proof is computed from both
+ * nonces with the fleet key.
  */
 struct  Ash__Hello
 {
@@ -258,7 +259,7 @@
 
 
 /*
- * Sent on every link at a fixed period; silence means a dead or cut link.
+ * Sent on each link at a fixed period. A link without frames is considered dead.
  */
 struct  Ash__Heartbeat
 {
@@ -272,60 +273,60 @@
    */
   uint32_t step_us;
   /*
-   * boxes the sender knows to be leaving
+   * boxes that the sender knows to be leaving
    */
   size_t n_leaving_boxes;
   char **leaving_boxes;
   size_t n_leaving_incarnations;
   uint64_t *leaving_incarnations;
   /*
-   * its last read of the platform went well
+   * its last read of the platform succeeded
    */
   protobuf_c_boolean reads_platform;
   /*
-   * its engine works on requests and gives nothing
+   * its engine has requests and makes no progress
    */
   protobuf_c_boolean stalled;
   /*
-   * of an entry that reaches endpoints directly:
+   * only from a router, an entry that reaches endpoints directly:
    */
   /*
-   * where callers connect
+   * address for callers
    */
   char *frontend;
   /*
-   * where its links are accepted
+   * address for peer links
    */
   char *peer_address;
   char *hall;
   /*
-   * of the list of endpoints that it goes by
+   * revision of the list of endpoints that it uses
    */
   uint64_t endpoints_revision;
   /*
-   * other entries that it has a link to
+   * other routers that it has a link to
    */
   size_t n_known_boxes;
   char **known_boxes;
   /*
-   * where theirs are accepted
+   * their addresses for peer links
    */
   size_t n_known_addresses;
   char **known_addresses;
   /*
-   * of what that list says: the same for the same contents
+   * digest of that list: equal for equal contents
    */
   uint64_t endpoints_digest;
   /*
-   * the next heartbeat on this link follows within that time
+   * the next heartbeat on this link follows within this time
    */
   uint32_t period_ms;
   /*
-   * what its box can send; 0: it does not say
+   * send rate of its box; 0: unknown
    */
   uint32_t link_mbps;
   /*
-   * it changes a group's map: silent now, it may leave that standing
+   * it is changing a group's map; if it fails now, the change may stay incomplete
    */
   protobuf_c_boolean changes_map;
 };
@@ -335,30 +336,30 @@
 
 
 /*
- * How much of its own work an entry has at each endpoint; told often.
+ * The load that an entry itself has at each endpoint; sent often.
  */
 struct  Ash__EndpointLoads
 {
   ProtobufCMessage base;
   /*
-   * hashes of their ids
+   * hashes of the endpoints' ids
    */
   size_t n_endpoints;
   uint64_t *endpoints;
   size_t n_in_flight;
   uint64_t *in_flight;
   /*
-   * from the one that watches them: endpoints that are slow,
+   * from the router that observes the ranks: hashes of slow endpoints
    */
   size_t n_slow;
   uint64_t *slow;
   /*
-   * and how many times as long they take, in thousandths
+   * their time per pass relative to the others, in thousandths
    */
   size_t n_slow_milli;
   uint32_t *slow_milli;
   /*
-   * only what has changed since the last message of the link
+   * only changes since the last message on this link
    */
   protobuf_c_boolean changes;
 };
@@ -368,7 +369,8 @@
 
 
 /*
- * What an endpoint said of how it wants to be used, to all peers; see controllers/endpoint_terms.
+ * Conditions that an endpoint announced for its use, sent to all peers; see
+ * controllers/endpoint_terms.
  */
 struct  Ash__EndpointTerms
 {
@@ -378,19 +380,19 @@
    */
   uint64_t endpoint;
   /*
-   * requests a second from all routers, in thousandths; 0: none any more
+   * rate limit for all routers together, in thousandths of a request per second; 0: no limit
    */
   uint32_t limit_milli;
   /*
-   * since it named the rate, or no longer did
+   * time since it announced or withdrew the limit
    */
   uint32_t age_ms;
   /*
-   * it is leaving, whatever the list says
+   * it is leaving, even if the list of endpoints does not show it
    */
   protobuf_c_boolean leaving;
   /*
-   * of the life that said so; 0: not known
+   * start time of the incarnation that announced it; 0: unknown
    */
   int64_t born_ms;
 };
@@ -411,13 +413,14 @@
 
 
 /*
- * Requests under which endpoints ended, to all peers; see controllers/quarantine.
+ * A request whose endpoint's process ended while running it, sent to all peers; see
+ * controllers/quarantine.
  */
 struct  Ash__SuspectRun
 {
   ProtobufCMessage base;
   /*
-   * digest of what was asked
+   * digest of the request's contents
    */
   uint64_t request_hi;
   uint64_t request_lo;
@@ -426,19 +429,19 @@
    */
   uint64_t endpoint;
   /*
-   * from its sending to the end
+   * from the sending of the request to the end of the process
    */
   uint32_t lasted_ms;
   /*
-   * since the end
+   * time since the end of the process
    */
   uint32_t age_ms;
   /*
-   * a part of its answer had come
+   * a part of the answer had been received
    */
   protobuf_c_boolean spoke;
   /*
-   * none of this: the request got its whole answer
+   * the request got a complete answer and is not suspected any more
    */
   protobuf_c_boolean cleared;
 };
@@ -459,7 +462,7 @@
 
 
 /*
- * The list of endpoints, or its changes, to an entry that does not read it itself.
+ * The list of endpoints, or changes of it, sent to a router that does not read the store itself.
  */
 struct  Ash__EndpointList
 {
@@ -468,21 +471,21 @@
   size_t n_ids;
   char **ids;
   /*
-   * as the platform's list holds them
+   * in the form of the platform's list
    */
   size_t n_values;
   ProtobufCBinaryData *values;
   /*
-   * these are the changes from that revision on; 0: the whole list
+   * base revision if these are changes; 0: the whole list
    */
   uint64_t since;
   /*
-   * of changes: endpoints that are missing from now on
+   * if these are changes: endpoints that are no longer listed
    */
   size_t n_removed;
   char **removed;
   /*
-   * what is missing may just have lapsed, for that long
+   * for this time, a missing endpoint's entry may only have expired in the store
    */
   uint32_t doubtful_ms;
 };
@@ -492,7 +495,7 @@
 
 
 /*
- * "Send the list of endpoints."
+ * Requests the whole list of endpoints.
  */
 struct  Ash__EndpointListWant
 {
@@ -518,7 +521,7 @@
 
 
 /*
- * What to copy of the old document, and the new text that follows it.
+ * One piece of a delta: a range to copy from the old document, then new text.
  */
 struct  Ash__ConfigPiece
 {
@@ -533,7 +536,7 @@
 
 
 /*
- * How one document follows from another, to a peer that has that one.
+ * A new document as a delta to an older one, sent to a peer that has the older one.
  */
 struct  Ash__ConfigDelta
 {
@@ -551,7 +554,7 @@
 
 
 /*
- * "Send the whole document": a delta did not fit.
+ * Requests the whole document, after a delta that could not be applied.
  */
 struct  Ash__ConfigWant
 {
@@ -568,23 +571,23 @@
   uint64_t id_hi;
   uint64_t id_lo;
   /*
-   * the receiver's life this is meant for
+   * incarnation of the receiver that the message is meant for
    */
   uint64_t incarnation;
   /*
-   * the entry's own count, names the answer's frames
+   * counter of the entry; the frames of the answer carry it too
    */
   uint64_t attempt;
   /*
-   * as stated by the caller; 0: not stated
+   * attempt number given by the caller; 0: not given
    */
   uint32_t caller_attempt;
   /*
-   * the caller may submit it again elsewhere
+   * it has an idempotency key: the caller may submit it again at another entry
    */
   protobuf_c_boolean keyed;
   /*
-   * its key was minted for this life
+   * its key was minted for this incarnation
    */
   protobuf_c_boolean minted;
   protobuf_c_boolean no_repeat;
@@ -604,7 +607,7 @@
   char *content_type;
   ProtobufCBinaryData body;
   /*
-   * the receiver is an earlier home that has the id
+   * the receiver is a former home of the id and has it in its ledger
    */
   protobuf_c_boolean moved;
 };
@@ -614,8 +617,8 @@
 
 
 /*
- * Asks for the answer again, from an offset, after a cut. A receiver that does
- * not know the id writes a refusal, so that a late Submit can't run any more.
+ * Requests the answer again from an offset, after the link was lost. A receiver that does not know
+ * the id records a refusal in its ledger, so that a delayed Submit can't run any more.
  */
 struct  Ash__Resume
 {
@@ -630,7 +633,7 @@
   protobuf_c_boolean minted;
   protobuf_c_boolean no_repeat;
   /*
-   * since the Submit was sent: is it in the ledger's memory?
+   * time since the Submit was sent; shows whether the ledger would still contain it
    */
   uint32_t age_ms;
 };
@@ -661,7 +664,7 @@
   uint64_t attempt;
   Ash__Reason reason;
   /*
-   * NOT_RUN, or UNKNOWN from a life that can't know
+   * NOT_RUN, or UNKNOWN from an incarnation that can't know
    */
   Ash__Outcome outcome;
   uint32_t retry_ms;
@@ -722,7 +725,7 @@
 
 
 /*
- * "Refuse this id from now on, if you have not started it."
+ * Asks the former home to refuse the id from now on, unless it has started the request.
  */
 struct  Ash__Disown
 {
@@ -745,19 +748,19 @@
   uint64_t incarnation;
   uint64_t attempt;
   /*
-   * it was taken there: that box stays its home
+   * it was accepted there: that box stays its home
    */
   protobuf_c_boolean has_it;
   /*
-   * this life is too young to know of all but a first attempt
+   * this incarnation started too recently to know about attempts other than the first
    */
   protobuf_c_boolean unsure;
   /*
-   * it is too young to know of any
+   * it started too recently to know about any attempt
    */
   protobuf_c_boolean guarded;
   /*
-   * attempts that were refused there, and told so
+   * attempts up to this number were refused there, and the refusal was sent
    */
   uint32_t refused_upto;
 };
@@ -767,8 +770,8 @@
 
 
 /*
- * What a coordinator orders of a rank. Maps are named by a digest; their weights
- * are staged before.
+ * An order from the coordinator of a change to a rank. Maps are identified by a digest; the weights
+ * that a map needs are staged before the order.
  */
 struct  Ash__RankOrder
 {
@@ -777,30 +780,30 @@
   char *group;
   uint32_t rank;
   /*
-   * of the rank; 0 with PREPARE: whichever
+   * incarnation of the rank; 0 (only with PREPARE): any
    */
   uint64_t life;
   uint64_t ballot;
   /*
-   * named by the answer
+   * repeated in the answer
    */
   uint64_t sequence;
   uint64_t version;
   uint64_t map;
   /*
-   * from which the map is used
+   * first step that uses the map
    */
   uint64_t step;
   /*
-   * map that is used until then
+   * map that is used before that step
    */
   uint64_t before;
   /*
-   * with ADOPT: the step to go on from
+   * with ADOPT: the step to continue from
    */
   uint64_t begun;
   /*
-   * of the map, two bytes a slot; with ARM, FINISH, ADOPT
+   * of the map, two bytes per slot; with ARM, FINISH, ADOPT
    */
   ProtobufCBinaryData placement;
 };
@@ -810,7 +813,7 @@
 
 
 /*
- * A rank's answer to any order: its whole state.
+ * A rank's answer to any order: its complete state.
  */
 struct  Ash__RankState
 {
@@ -819,34 +822,34 @@
   uint32_t rank;
   uint64_t life;
   /*
-   * of the order that is answered
+   * ballot of the answered order
    */
   uint64_t ballot;
   uint64_t sequence;
   protobuf_c_boolean accepted;
   /*
-   * replaced, and not adopted yet
+   * the rank was replaced and has not received an ADOPT yet
    */
   protobuf_c_boolean blank;
   uint64_t promised;
   /*
-   * the last step that it has begun
+   * last step that the rank has begun
    */
   uint64_t begun;
   /*
-   * of the committed map
+   * version of the committed map
    */
   uint64_t version;
   uint64_t map;
   uint64_t from;
   uint64_t before;
   /*
-   * ballot; 0: nothing is armed
+   * ballot of the armed map; 0: none
    */
   uint64_t armed;
   uint64_t armed_step;
   /*
-   * of the committed map
+   * placement of the committed map
    */
   ProtobufCBinaryData placement;
 };
@@ -860,15 +863,15 @@
   ProtobufCMessage base;
   Ash__Query__Kind kind;
   /*
-   * named by the answer
+   * repeated in the answer
    */
   uint64_t number;
   /*
-   * of the group
+   * name of the group
    */
   char *name;
   /*
-   * of the request
+   * id of the request
    */
   uint64_t id_hi;
   uint64_t id_lo;
@@ -883,7 +886,7 @@
   ProtobufCMessage base;
   uint64_t number;
   /*
-   * a JSON object; empty: nothing is known here
+   * a JSON object; empty: the sender knows nothing about it
    */
   char *text;
 };
@@ -893,7 +896,7 @@
 
 
 /*
- * "Take no new work from now on." It holds for that life of the box.
+ * Orders a box to accept no new work until its process restarts.
  */
 struct  Ash__Drain
 {
@@ -909,7 +912,7 @@
 {
   ProtobufCMessage base;
   /*
-   * names the caller's connection
+   * identifies the caller's connection
    */
   uint64_t call;
   char *service;
@@ -918,7 +921,7 @@
   char *content_type;
   ProtobufCBinaryData body;
   /*
-   * of the bearer key
+   * hash of the bearer key
    */
   ProtobufCBinaryData key_hash;
   char *idempotency_key;
@@ -930,11 +933,11 @@
    */
   uint32_t deadline_ms;
   /*
-   * read just after this process had been paused
+   * read shortly after a pause of this process, so it may have waited in the socket
    */
   protobuf_c_boolean may_be_old;
   /*
-   * wall clock, for the expiry of minted keys
+   * wall clock when it was read, for the expiry of minted keys
    */
   int64_t unix_s;
 };
@@ -954,7 +957,7 @@
 
 
 /*
- * First message of an answer to a caller. A refusal carries all of it.
+ * First message of an answer to a caller. A refusal consists of this message only.
  */
 struct  Ash__Reply
 {
@@ -968,7 +971,7 @@
   uint32_t retry_ms;
   char *content_type;
   /*
-   * the endpoint that answers
+   * the answering endpoint
    */
   char *box;
   uint32_t wait_ms;
@@ -977,7 +980,7 @@
    */
   protobuf_c_boolean final;
   /*
-   * of a whole answer that was not streamed
+   * complete body of an answer that is not streamed
    */
   ProtobufCBinaryData body;
 };
@@ -1016,7 +1019,7 @@
   Ash__Role role;
   uint64_t incarnation;
   /*
-   * that the peer has in force
+   * revision of the peer's active configuration
    */
   uint64_t revision;
 };
@@ -1039,7 +1042,7 @@
 {
   ProtobufCMessage base;
   /*
-   * the process had been paused before this tick
+   * the process was paused before this tick
    */
   protobuf_c_boolean woke;
 };
@@ -1114,7 +1117,7 @@
   uint64_t run;
   protobuf_c_boolean whole;
   /*
-   * the connection was refused: certainly not run
+   * the connection was refused, so the request certainly did not run
    */
   protobuf_c_boolean not_started;
 };
@@ -1169,17 +1172,17 @@
 } Ash__Event__KindCase;
 
 /*
- * Anything that goes into or comes out of a core.
+ * Any input or output of a core.
  */
 struct  Ash__Event
 {
   ProtobufCMessage base;
   /*
-   * the box it comes from or goes to; empty: local
+   * the sending or receiving box; empty for local messages
    */
   char *peer;
   /*
-   * on a link: the sender's clock, to tell how late it is
+   * sender's clock when it was sent on a link; shows how long a frame was delayed
    */
   uint32_t sent_ms;
   Ash__Event__KindCase kind_case;
@@ -1208,13 +1211,13 @@
     Ash__EndpointList *endpoint_list;
     Ash__EndpointListWant *endpoint_list_want;
     /*
-     * since another one: whoever does not know them leaves them
+     * changes since another revision; ignored by receivers that do not know this field
      */
     Ash__EndpointList *endpoint_changes;
     Ash__SuspectRuns *suspect_runs;
     Ash__EndpointTermsList *endpoint_terms;
     /*
-     * 30 and above never cross a link
+     * 30 and above are never sent on a link
      */
     Ash__Call *call;
     Ash__CallerGone *caller_gone;
