--- a/cli/ashctl.c
+++ b/cli/ashctl.c
@@ -551,7 +551,7 @@
 {
   const char *name;
   unsigned positional_min; /* number of arguments, including the command */
-  bool variadic;           /* further arguments are allowed */
+  bool variadic;           /* arguments beyond positional_min are allowed */
   enum exit_code (*run) (const struct arguments *arguments);
 };
 
--- a/cli/fetch.h
+++ b/cli/fetch.h
@@ -27,7 +27,7 @@
 struct ash_cli_answer
 {
   long status; /**< HTTP status; 0: no answer */
-  bool whole;  /**< received to its end */
+  bool whole;  /**< the answer was received to its end */
   bool connected;
   char outcome[16];
   char endpoint[64];
--- a/cli/send.h
+++ b/cli/send.h
@@ -8,13 +8,13 @@
 
 #include "cli/fetch.h"
 
-/** Most submissions of one request. */
+/** Maximum number of submissions of one request. */
 #define ASH_CLI_ATTEMPTS_MAX 4
 
 /** A request, and the entry to query for addresses. */
 struct ash_cli_send
 {
-  const char *entry; /**< URL of any entry */
+  const char *entry; /**< URL of the entry to query for addresses */
   const char *account;
   const char *service;
   const char *path;
--- a/cli/trace.h
+++ b/cli/trace.h
@@ -26,7 +26,7 @@
   struct ash_trace_line *lines;
   uint32_t count;
   uint32_t capacity;
-  uint64_t read; /**< number of lines read, of all requests */
+  uint64_t read; /**< number of lines read, also those about other requests */
   uint64_t
       dropped_lines; /**< dropped when the logs were written, according to log_left_out events */
 };
--- a/common/finding.h
+++ b/common/finding.h
@@ -12,11 +12,11 @@
 /** Findings beyond this number are counted but not stored. */
 #define ASH_FINDINGS_MAX 100
 
-/** One error. */
+/** An error in a settings file or document. */
 struct ash_finding
 {
-  uint32_t line;      /**< from 1; 0 if unknown */
-  char key_path[128]; /**< for example `endpoint[3].slots` */
+  uint32_t line;      /**< line in the file, from 1; 0: unknown */
+  char key_path[128]; /**< where in the file, for example `endpoint[3].slots` */
   char text[256];
 };
 
@@ -24,7 +24,7 @@
 struct ash_findings
 {
   const char *file; /**< name for output; owned by the caller */
-  uint32_t count;   /**< including those that are not stored */
+  uint32_t count;   /**< number of findings, including those that are not stored */
   struct ash_finding *items;
 };
 
--- a/common/log.h
+++ b/common/log.h
@@ -24,10 +24,10 @@
 /** Rate limit of a log. Warnings and errors are exempt. */
 struct ash_log_bound
 {
-  uint32_t lines_per_s; /**< 0: no limit */
+  uint32_t lines_per_s; /**< maximum lines per second; 0: no limit */
   int64_t second;       /**< current second of CLOCK_MONOTONIC */
-  uint32_t lines;       /**< in the current second, also those above the limit */
-  uint64_t dropped;     /**< since the last log_left_out event */
+  uint32_t lines;       /**< lines of the current second, including those above the limit */
+  uint64_t dropped;     /**< lines dropped since the last log_left_out event */
   uint64_t dropped_total;
 };
 
--- a/filters/entry.h
+++ b/filters/entry.h
@@ -22,7 +22,7 @@
   const struct ash_settings *settings;
   struct ash_sink sink;
   struct ash_log log;
-  struct ash_metrics *metrics; /**< may be NULL */
+  struct ash_metrics *metrics; /**< NULL: no metrics are recorded */
   struct ash_random random;
   uint8_t fleet_key[32];
   struct ash_config config;
@@ -34,7 +34,7 @@
   struct ash_request *by_call;
   struct ash_request *by_attempt;
   uint64_t last_attempt;
-  uint32_t round_robin_counter; /**< picks made by round robin */
+  uint32_t round_robin_counter; /**< incremented at each pick of the round-robin policy */
   bool leaving;
   struct ash_planned_stop stop;
 };
--- a/filters/filter.h
+++ b/filters/filter.h
@@ -25,7 +25,7 @@
   const struct ash_planned_stop *stop;
   struct ash_random *random;
   const uint8_t *fleet_key;
-  uint32_t *round_robin_counter; /**< picks made by round robin */
+  uint32_t *round_robin_counter; /**< incremented at each pick of the round-robin policy */
 };
 
 /** Result of a filter. */
@@ -59,7 +59,7 @@
 extern const struct ash_filter_info ash_filter_key;
 extern const struct ash_filter_info ash_filter_route;
 
-/** Filters in a chain. */
+/** Number of filters in a chain. */
 #define ASH_CHAIN_FILTERS 6
 
 /** The states of the filters, in the order in which the filters run. */
--- a/filters/forward.h
+++ b/filters/forward.h
@@ -55,19 +55,19 @@
 /** State of a request that is being forwarded. */
 struct ash_forward
 {
-  enum ash_repeat repeat; /**< how often it may run */
-  uint32_t servers_max;   /**< endpoints that it may be sent to at most */
+  enum ash_repeat repeat; /**< whether the request may run more than once */
+  uint32_t servers_max;   /**< maximum number of endpoints that the request may be sent to */
   uint32_t aim_ms;        /**< target for the time to the first event, from the route's settings */
   const char *service;
   uint32_t cap;          /**< maximum requests in flight at an endpoint, this one included */
   uint32_t pause_aim_ms; /**< target for the longest pause between stream events; 0: none */
   struct ash_time arrived;
-  struct ash_time deadline;   /**< when the final answer is due */
+  struct ash_time deadline;   /**< by when the caller must get the final answer */
   struct ash_time wait_until; /**< how long a stream that has begun may wait to be resumed */
   struct ash_prompt_terms prompt;
   bool answer_started;                  /**< part of the answer has been passed to the caller */
   uint32_t unconfirmed;                 /**< attempts not confirmed as not run: they may have run */
-  uint32_t sent;                        /**< attempts so far */
+  uint32_t sent;                        /**< number of attempts sent so far */
   uint64_t tried[ASH_DIRECT_TRIED_MAX]; /**< hashes of the ids of endpoints it was sent to */
   uint32_t tried_count;
 };
@@ -76,11 +76,11 @@
 struct ash_forward_context
 {
   struct ash_direct_set *endpoints;
-  struct ash_resend_window *window; /**< recent requests and resends */
-  struct ash_resend_bound bound;    /**< the resend budget */
+  struct ash_resend_window *window; /**< counts of recent requests and resends */
+  struct ash_resend_bound bound;    /**< limit on resends relative to recent requests */
   uint32_t entries;                 /**< number of processes that share the resend budget */
-  const char *hall;                 /**< hall of this process */
-  uint64_t own;                     /**< a number that identifies this process among its peers */
+  const char *hall;
+  uint64_t own;          /**< a number that identifies this process among its peers */
   uint32_t remote_parts; /**< of endpoints in other halls, this process uses 1/remote_parts */
   uint32_t wait_ms;      /**< how long a request may wait for capacity */
   struct ash_prompt_gate *gate; /**< prompt gate of the service; NULL: prompts are not held */
--- a/filters/minted_key.h
+++ b/filters/minted_key.h
@@ -20,7 +20,7 @@
 {
   char home[ASH_NAME_BYTES];
   uint64_t incarnation;
-  int64_t expires_s; /**< Unix time */
+  int64_t expires_s; /**< Unix time at which the key expires */
   uint64_t nonce;    /**< random; makes the key unique */
 };
 
--- a/filters/request.h
+++ b/filters/request.h
@@ -19,7 +19,7 @@
 /** State of a request. */
 enum ash_request_state
 {
-  ASH_REQUEST_NEW,          /**< in the filter chain */
+  ASH_REQUEST_NEW,          /**< the filters are deciding on the request */
   ASH_REQUEST_DISOWNING,    /**< waits for earlier homes of its key to refuse it */
   ASH_REQUEST_SENT,         /**< sent to an endpoint whose link is up */
   ASH_REQUEST_DISCONNECTED, /**< sent to an endpoint whose link is down */
@@ -36,8 +36,8 @@
   uint32_t priority;
   bool keyed;     /**< it has an idempotency key, so the caller may submit it again */
   bool minted;    /**< the key names its home and the home's incarnation */
-  bool no_repeat; /**< must not run twice */
-  bool stream;    /**< the answer is passed on as it arrives */
+  bool no_repeat; /**< the request must not run twice */
+  bool stream;    /**< the answer is passed to the caller as it arrives */
   bool home_only; /**< keyed and no_repeat: only its home may run it */
   bool moved;     /**< an earlier home of its key has it in its ledger, and remains its home */
   uint32_t caller_attempt; /**< number of the caller's submission, from 1; 0: not stated */
@@ -49,7 +49,7 @@
   uint64_t incarnation;     /**< incarnation of box that the attempt is for */
   uint64_t attempt;         /**< number of the current attempt; 0: none */
   struct ash_time sent;     /**< when the current attempt was sent */
-  uint32_t tries;           /**< attempts sent */
+  uint32_t tries;           /**< number of attempts sent */
   char tried[ASH_REQUEST_TRIES_MAX][ASH_NAME_BYTES];  /**< the box of each attempt */
   uint64_t tried_incarnations[ASH_REQUEST_TRIES_MAX]; /**< the incarnation of each box in `tried`: a
                                                          restarted box may be tried again */
@@ -63,7 +63,7 @@
   uint64_t received; /**< body bytes received of the current attempt's answer */
   bool head_sent;    /**< the answer's head has been passed to the caller */
   uint32_t status;   /**< HTTP status of the endpoint's answer; 0: no head yet */
-  uint32_t wait_ms;  /**< how long it was queued at the endpoint */
+  uint32_t wait_ms;  /**< how long the request was queued at the endpoint */
   char *content_type;
   uint8_t *body; /**< answer body, if it is not streamed */
   size_t body_capacity;
--- a/filters/request_fields.h
+++ b/filters/request_fields.h
@@ -27,8 +27,8 @@
 /** Fields of an endpoint's answer. Strings belong to the message head. */
 struct ash_answer_fields
 {
-  const char *attempt_id; /**< attempt that it answers; NULL: not stated */
-  bool is_signed;         /**< it has the endpoint's signature field */
+  const char *attempt_id; /**< id of the attempt that the endpoint answers; NULL: not stated */
+  bool is_signed;         /**< the answer has the endpoint's signature field */
   bool not_run;           /**< the endpoint states that it did not run the request */
   bool encoded;           /**< the body has a content encoding */
   struct ash_endpoint_terms terms;
@@ -37,9 +37,10 @@
 /** Fields sent to an endpoint with a request. Strings belong to the caller. */
 struct ash_endpoint_request_fields
 {
-  uint32_t deadline_ms;      /**< remaining time */
-  const char *endpoint_id;   /**< incarnation it is for; any other rejects the request */
-  const char *account;       /**< NULL: none */
+  uint32_t deadline_ms;    /**< time left until the caller's deadline */
+  const char *endpoint_id; /**< id of the endpoint's incarnation; any other incarnation rejects the
+                              request */
+  const char *account;     /**< account of the request; NULL: none */
   const char *last_event_id; /**< stream resumes after this event; NULL: from the start */
   int urgency;               /**< 0 (most urgent) to 9; negative: not stated */
 };
--- a/filters/request_history.h
+++ b/filters/request_history.h
@@ -8,7 +8,7 @@
 
 #include "filters/request.h"
 
-/** Requests kept; about half a megabyte. */
+/** Number of requests kept; they take about half a megabyte. */
 #define ASH_REQUEST_HISTORY_MAX 2048
 
 /** A request that has ended. */
@@ -19,16 +19,16 @@
   char account[ASH_NAME_BYTES];
   char class_name[ASH_NAME_BYTES];
   char service[ASH_NAME_BYTES];
-  char box[ASH_NAME_BYTES]; /**< the last endpoint; empty if none */
-  uint32_t tries;           /**< attempts sent */
+  char box[ASH_NAME_BYTES]; /**< the last endpoint that it was sent to; empty if none */
+  uint32_t tries;           /**< number of attempts sent */
   int outcome;              /**< enum Ash__Outcome */
   int reason;               /**< enum Ash__Reason */
   uint32_t retry_ms;        /**< retry delay sent to the caller; 0: none */
-  uint32_t wait_ms;         /**< how long it was queued at the endpoint */
-  int64_t took_ms;          /**< from its arrival at the entry to its end */
+  uint32_t wait_ms;         /**< how long the request was queued at the endpoint */
+  int64_t took_ms;          /**< time from the arrival of the request at the entry to its end */
 };
 
-/** The ring buffer. */
+/** A ring buffer of ended requests. */
 struct ash_request_history
 {
   struct ash_ended_request *requests;
--- a/net/frame.h
+++ b/net/frame.h
@@ -20,7 +20,7 @@
 /** MAC state of one direction of a link. */
 struct ash_frame_key
 {
-  bool on; /**< false during the handshake: no MAC */
+  bool on; /**< whether frames have a MAC; false during the handshake */
   uint8_t key[ASH_FRAME_KEY_BYTES];
   uint64_t number; /**< sequence number of the next frame; part of the MAC */
 };
--- a/net/http_call.c
+++ b/net/http_call.c
@@ -20,13 +20,13 @@
 struct ash_pool_conn
 {
   struct ash_http_pool *pool;
-  struct ash_http_call *call; /* NULL: idle */
+  struct ash_http_call *call; /* NULL: the connection is idle */
   struct ash_stream stream;
   struct ash_http_reader reader;
   struct ash_time idle_until;
   struct ash_time last_read; /* when bytes were last received; zero if never */
   bool discarding;           /* the current response belongs to another request */
-  bool closing;              /* not to be reused */
+  bool closing;              /* the connection is not reused after the current response */
   bool reader_running;       /* the reader is on the call stack: the connection must not be freed */
   struct ash_pool_conn *prev;
   struct ash_pool_conn *next;
--- a/net/http_call.h
+++ b/net/http_call.h
@@ -43,7 +43,7 @@
   const struct ash_call_handler *handler;
   void *owner;
   bool no_body;               /**< a HEAD request: its response has a length but no body */
-  struct ash_pool_conn *conn; /**< NULL: not started, or ended */
+  struct ash_pool_conn *conn; /**< NULL: the call has not started, or has ended */
 };
 
 /** A pool of connections to one address. */
@@ -51,7 +51,7 @@
 {
   struct ev_loop *loop;
   struct sockaddr_in address;
-  struct ash_pool_conn *conns; /**< idle and in use, most recently used first */
+  struct ash_pool_conn *conns; /**< all connections, most recently used first */
   uint32_t open_count;
   uint32_t idle_max;
   uint32_t silence_ms; /**< keep-alive timeout, see ash_stream_keep_alive(); 0: no probes */
--- a/net/http_client.h
+++ b/net/http_client.h
@@ -43,7 +43,7 @@
   const char *extra_header; /**< `Name: value`; may be NULL */
   const uint8_t *body;
   size_t body_bytes;
-  uint32_t timeout_ms;   /**< for the whole request; 0: none */
+  uint32_t timeout_ms;   /**< time limit of the whole request; 0: none */
   uint32_t silence_ms;   /**< keep-alive timeout of a new connection, see ash_keep_alive(); 0: no
                               probes. As connections are reused, all fetches to an address must
                               pass the same value */
--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -9,7 +9,7 @@
 #include <unistd.h>
 #include <utlist.h>
 
-/* Limits until a configuration sets others. */
+/* Default limits, used until the configuration sets others. */
 #define HEAD_MAX_BYTES 16384
 #define BODY_MAX_BYTES (4 * 1024 * 1024)
 #define HEAD_TIMEOUT_MS 3000
--- a/net/http_conn.h
+++ b/net/http_conn.h
@@ -22,7 +22,7 @@
   uint32_t head_max_bytes;
   uint64_t body_max_bytes;
   uint32_t head_timeout_ms; /**< from the first byte of a request to its last, body included */
-  uint32_t idle_timeout_ms; /**< between requests */
+  uint32_t idle_timeout_ms; /**< a connection without a request for this time is closed */
 };
 
 /** States of a connection. */
@@ -42,7 +42,7 @@
   struct ash_http_reader reader;
   enum ash_conn_state state;
   struct ash_time since;       /**< start of the current state */
-  struct ash_buffer body;      /**< of the current request */
+  struct ash_buffer body;      /**< body of the current request */
   struct ash_buffer pipelined; /**< bytes received while a request is served */
   bool continue_sent;          /**< `100 Continue` was sent for this request */
   bool is_closed;              /**< the stream is closed; the sweep timer frees the struct */
@@ -59,7 +59,7 @@
 struct ash_conn_handler
 {
   void (*request) (struct ash_http_conn *conn);
-  void (*disconnected) (struct ash_http_conn *conn); /**< while its request was served */
+  void (*disconnected) (struct ash_http_conn *conn); /**< while the request was served */
   void (*drained) (struct ash_http_conn *conn);      /**< the send queue is empty; may be NULL */
 };
 
@@ -71,13 +71,13 @@
   void *owner;
   struct ash_http_bounds bounds;
   bool closing; /**< responses carry `Connection: close` */
-  int fd;       /**< -1: accepts no new connections */
+  int fd;       /**< -1: the listener accepts no new connections */
   ev_io io;
   ev_timer sweep;
   struct ash_http_conn *conns;
   uint32_t conn_count;
   uint32_t conn_max;
-  uint64_t body_bytes; /**< memory held by all request bodies */
+  uint64_t body_bytes; /**< total length of the request bodies held in memory */
 };
 
 /** Starts listening at an `IP:PORT` address. @return false with errno set on failure. */
--- a/net/http_message.h
+++ b/net/http_message.h
@@ -30,12 +30,12 @@
 /** The head of a message. Its strings are owned by the reader and valid until the next message. */
 struct ash_http_head
 {
-  const char *method; /**< of a request */
-  const char *target; /**< of a request, byte for byte */
-  uint16_t status;    /**< of a response */
+  const char *method; /**< method of a request */
+  const char *target; /**< target of a request, byte for byte as received */
+  uint16_t status;    /**< status code of a response */
   bool http_1_0;
   bool keep_alive;
-  uint64_t length; /**< Content-Length; UINT64_MAX: none */
+  uint64_t length; /**< value of Content-Length; UINT64_MAX: none */
   bool framed; /**< the body is delimited by its length or chunks, not by the connection's close */
   uint32_t field_count;
   struct ash_http_field fields[ASH_HTTP_FIELDS_MAX];
@@ -77,7 +77,7 @@
   uint32_t target_offset;
   bool in_value;
   bool in_head;
-  uint8_t last_byte;  /* of the head */
+  uint8_t last_byte;  /* last byte of the head parsed so far */
   uint32_t line_ends; /* consecutive line ends so far; two end the head */
   uint32_t head_bytes;
   uint64_t body_bytes;
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -67,7 +67,7 @@
   struct ash_http_exchange *exchanges;
   struct ash_http_server_conn *conns;
   uint64_t last_number;
-  bool run_needed;          /**< MHD_run() must be called before the loop blocks */
+  bool run_needed;          /**< MHD_run() has to be called before the loop blocks */
   bool keep_alive_disabled; /**< responses carry `Connection: close` */
   int listen_fd;
 };
--- a/net/peer.c
+++ b/net/peer.c
@@ -38,23 +38,23 @@
 struct ash_link
 {
   struct ash_peers *peers;
-  struct ash_dial *dial; /* NULL if accepted */
+  struct ash_dial *dial; /* NULL: the peer dialled this link */
   enum link_state state;
   char box[ASH_NAME_BYTES];
-  uint64_t incarnation; /* of the peer */
+  uint64_t incarnation; /* incarnation of the peer */
   struct ash_nonces nonces;
   int fd;
   ev_io read_io;
   ev_io write_io;
-  struct ash_time last_frame;     /* when a frame was last received, or the link was opened */
-  struct ash_time last_heartbeat; /* when a heartbeat was last sent */
-  uint32_t period_ms;             /* heartbeat period announced by the peer; 0: not announced yet */
+  struct ash_time last_frame; /* when a frame was last received, or the link was opened */
+  struct ash_time last_heartbeat;
+  uint32_t period_ms; /* heartbeat period announced by the peer; 0: not announced yet */
   struct ash_buffer in;
   struct ash_buffer out;
   struct ash_frame_key in_key;
   struct ash_frame_key out_key;
-  struct ash_frame_delay frame_delay; /* of received frames */
-  bool close_pending;                 /* to be closed in the next loop iteration */
+  struct ash_frame_delay frame_delay; /* delay of received frames */
+  bool close_pending;                 /* the link is closed in the next loop iteration */
   struct ash_link *prev;
   struct ash_link *next;
 };
@@ -65,7 +65,7 @@
   char box[ASH_NAME_BYTES];
   bool name_learned; /* `box` was not configured, but taken from the last hello from this address */
   char address[ASH_NAME_BYTES];
-  struct ash_link *link; /* NULL: not connected or connecting */
+  struct ash_link *link; /* NULL: neither connected nor connecting */
   struct ash_time next_try;
   struct ash_dial *prev;
   struct ash_dial *next;
--- a/net/stream.h
+++ b/net/stream.h
@@ -38,10 +38,10 @@
   struct ev_loop *loop;
   const struct ash_stream_handler *handler;
   void *owner;
-  int fd; /**< -1: closed by ash_stream_finish() */
+  int fd; /**< -1 after ash_stream_finish() */
   bool connecting;
   bool refused;      /**< connecting failed with ECONNREFUSED */
-  bool write_failed; /**< reported by the next on_writable() */
+  bool write_failed; /**< a write failed; on_writable() reports it in the next loop iteration */
   bool paused;       /**< reading is stopped by ash_stream_pause() */
   ev_io read_io;
   ev_io write_io;
--- a/options/document.h
+++ b/options/document.h
@@ -48,7 +48,7 @@
   char name[ASH_NAME_BYTES];
   uint32_t line;
   int kind;
-  bool no_repeat;          /**< its requests run at most once */
+  bool no_repeat;          /**< requests of the service run at most once */
   uint32_t homes_since_s;  /**< Unix time at which its set of endpoints changed; 0: not given */
   uint32_t endpoint_first; /**< index of its first element in ash_document.by_service */
   uint32_t endpoint_count;
@@ -64,8 +64,9 @@
   char peer[ASH_NAME_BYTES];
   uint32_t slots;
   char group[ASH_NAME_BYTES]; /**< group of engines that it runs in lock-step with; may be empty */
-  uint32_t rank;              /**< its rank in that group */
-  bool checks_orders;         /**< its engine itself rejects outdated orders */
+  uint32_t rank;              /**< rank of the endpoint in `group` */
+  bool checks_orders; /**< the engine itself rejects orders for another incarnation or with an
+                         outdated ballot */
 };
 
 /** A group of engines that run in lock-step with a common expert map. */
@@ -73,7 +74,7 @@
 {
   char name[ASH_NAME_BYTES];
   uint32_t line;
-  uint32_t experts;    /**< number of experts in a layer */
+  uint32_t experts;    /**< number of experts in a layer of the model */
   uint32_t rank_slots; /**< experts that a rank holds in a layer */
   uint32_t moves;      /**< most experts moved in an interval, limited by the weight store's rate */
   uint32_t interval_ms;
@@ -87,7 +88,7 @@
 {
   char name[ASH_NAME_BYTES];
   uint32_t line;
-  uint32_t priority; /**< 0 is the highest */
+  uint32_t priority; /**< priority of the requests; 0 is the highest */
 };
 
 /** An account (customer, tenant). */
@@ -100,7 +101,7 @@
   uint32_t class_index;
   uint32_t rate_per_s;
   uint32_t burst;
-  uint32_t entries; /**< number of entries that share its requests */
+  uint32_t entries; /**< number of entries that share the account's requests */
 };
 
 /** A period of high demand that an operator has declared in advance. */
@@ -108,7 +109,7 @@
 {
   char name[ASH_NAME_BYTES];
   uint32_t line;
-  uint32_t start_s; /**< Unix time */
+  uint32_t start_s; /**< Unix time at which the demand arrives */
   uint32_t length_s;
   uint32_t lead_s; /**< how long before its start the event already counts as started */
 };
@@ -148,7 +149,7 @@
 struct ash_document
 {
   uint64_t revision;
-  uint64_t digest; /**< XXH3 hash of the text */
+  uint64_t digest; /**< XXH3 hash of the document's text */
   struct ash_hall *halls;
   uint32_t hall_count;
   struct ash_entry_box *entries;
--- a/options/node.h
+++ b/options/node.h
@@ -26,7 +26,7 @@
 struct ash_node
 {
   enum ash_node_kind kind;
-  uint32_t line; /**< 0 if unknown, as in JSON */
+  uint32_t line; /**< line in the file, from 1; 0: unknown, as in JSON */
   char *key;
   struct ash_node *children;
   struct ash_node *last_child;
--- a/options/option.h
+++ b/options/option.h
@@ -21,12 +21,12 @@
 /** Type of an option, and of the struct member that it is stored in. */
 enum ash_option_type
 {
-  ASH_OPTION_TEXT,    /**< char[max] */
-  ASH_OPTION_HEX,     /**< uint8_t[max], given as hex digits */
-  ASH_OPTION_UINT,    /**< uint32_t in [min, max] */
-  ASH_OPTION_BOOL,    /**< bool */
-  ASH_OPTION_CHOICE,  /**< int: index into choices */
-  ASH_OPTION_NUMBER,  /**< double in [min, max] */
+  ASH_OPTION_TEXT, /**< a string, stored as char[max] */
+  ASH_OPTION_HEX,  /**< hex digits, stored as uint8_t[max] */
+  ASH_OPTION_UINT, /**< an integer in [min, max], stored as uint32_t */
+  ASH_OPTION_BOOL,
+  ASH_OPTION_CHOICE,  /**< one of `choices`, stored as its index (int) */
+  ASH_OPTION_NUMBER,  /**< a number in [min, max], stored as double */
   ASH_OPTION_SECONDS, /**< uint32_t in milliseconds; the file, min and max have seconds with
                          decimals */
 };
@@ -35,8 +35,8 @@
 {
   const char *key; /**< NULL in the last row of a table */
   enum ash_option_type type;
-  size_t offset;             /**< of the member in the target struct */
-  const char *default_value; /**< as text; NULL: the key is required */
+  size_t offset;             /**< offset of the member in the target struct */
+  const char *default_value; /**< default value as text; NULL: the key is required */
   double min;
   double max;
   const char *const *choices; /**< terminated by NULL */
