--- a/filters/forward.h
+++ b/filters/forward.h
@@ -63,7 +63,7 @@
   uint32_t pause_aim_ms; /**< target for the longest pause between stream events; 0: none */
   struct ash_time arrived;
   struct ash_time deadline;   /**< by when the caller must get the final answer */
-  struct ash_time wait_until; /**< how long a stream that has begun may wait to be resumed */
+  struct ash_time wait_until; /**< until when a stream that has begun may wait to be resumed */
   struct ash_prompt_terms prompt;
   bool answer_started;                  /**< part of the answer has been passed to the caller */
   uint32_t unconfirmed;                 /**< attempts not confirmed as not run: they may have run */
--- a/filters/minted_key.h
+++ b/filters/minted_key.h
@@ -9,7 +9,6 @@
 
 #include "options/option.h"
 
-/** Bytes of the fleet key. */
 #define ASH_FLEET_KEY_BYTES 32
 
 /** Size of a minted key's text, the terminating zero included. */
--- a/net/handshake.h
+++ b/net/handshake.h
@@ -30,7 +30,8 @@
   uint8_t dial[ASH_NONCE_BYTES];
 };
 
-/** Computes the proof that the sender of @p hello, the @p side end of the link, knows the key. */
+/** Computes the proof that the sender of @p hello knows the fleet key. @p side is the end of the
+ * link that sends it. */
 void ash_handshake_prove (const uint8_t fleet_key[ASH_FRAME_KEY_BYTES],
                           const struct ash_nonces *nonces,
                           enum ash_link_side side,
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -28,7 +28,7 @@
   const char *uri;  /**< as received: path and query, percent-encoded */
   const uint8_t *body;
   size_t body_bytes;
-  struct MHD_Connection *connection; /**< for ash_http_header() and ash_http_query() */
+  struct MHD_Connection *connection; /**< used by ash_http_header() and ash_http_query() */
 };
 
 /** Headers of a response. Names are not copied: they must stay valid until it is started. */
--- a/options/document.h
+++ b/options/document.h
@@ -48,9 +48,10 @@
   char name[ASH_NAME_BYTES];
   uint32_t line;
   int kind;
-  bool no_repeat;          /**< requests of the service run at most once */
-  uint32_t homes_since_s;  /**< Unix time at which its set of endpoints changed; 0: not given */
-  uint32_t endpoint_first; /**< index of its first element in ash_document.by_service */
+  bool no_repeat; /**< requests of the service run at most once */
+  uint32_t
+      homes_since_s; /**< Unix time at which the set of its endpoints last changed; 0: not given */
+  uint32_t endpoint_first; /**< index of the service's first endpoint in ash_document.by_service */
   uint32_t endpoint_count;
 };
 
@@ -76,7 +77,8 @@
   uint32_t line;
   uint32_t experts;    /**< number of experts in a layer of the model */
   uint32_t rank_slots; /**< experts that a rank holds in a layer */
-  uint32_t moves;      /**< most experts moved in an interval, limited by the weight store's rate */
+  uint32_t moves; /**< maximum number of experts moved per interval, which the rate of the weight
+                     store limits */
   uint32_t interval_ms;
   double skew_weight;
   double cost_weight;
@@ -127,7 +129,7 @@
   uint32_t priority;
 };
 
-/** Most experts of a group; the same as in controllers/expert_policy. */
+/** Maximum number of experts in a layer of a group; the same as in controllers/expert_policy. */
 #define ASH_PROFILE_EXPERTS_MAX 256
 #define ASH_PROFILE_BYTES 2048
 
@@ -165,7 +167,8 @@
   uint32_t class_count;
   struct ash_account *accounts;
   uint32_t account_count;
-  uint32_t *account_slots; /**< hash table over key_hash, open addressing: index + 1; 0: empty */
+  uint32_t *account_slots; /**< hash table from key_hash to the index of an account plus 1; 0: empty
+                              slot */
   uint32_t account_slot_count;
   struct ash_declared_event *events;
   uint32_t event_count;
