--- a/filters/request_fields.h
+++ b/filters/request_fields.h
@@ -15,11 +15,10 @@
 /** Fields of a caller's request. Strings belong to the message head that they were read from. */
 struct ash_request_fields
 {
-  const char *attempt_id; /**< the caller's id for this submission; NULL: none */
-  const char *key;        /**< bearer key of an account; NULL: none */
-  const char
-      *last_event_id;   /**< id of the event after which the stream resumes; NULL: from the start */
-  uint32_t deadline_ms; /**< how long the caller waits; 0: not stated */
+  const char *attempt_id;    /**< the caller's id for this submission; NULL: none */
+  const char *key;           /**< bearer key of an account; NULL: none */
+  const char *last_event_id; /**< id of the last event that the caller has received; NULL: none */
+  uint32_t deadline_ms;      /**< how long the caller waits; 0: not stated */
   uint32_t prompt_tokens;
   uint32_t answer_tokens_max;
   uint32_t answer_tokens_guess; /**< the caller's estimate of the answer's tokens; often far off */
@@ -42,9 +41,8 @@
   const char *endpoint_id; /**< id of the endpoint's incarnation; any other incarnation rejects the
                               request */
   const char *account;     /**< account of the request; NULL: none */
-  const char
-      *last_event_id; /**< id of the event after which the stream resumes; NULL: from the start */
-  int urgency;        /**< 0 (most urgent) to 9; negative: not stated */
+  const char *last_event_id; /**< id of the last event that the caller has received; NULL: none */
+  int urgency;               /**< 0 (most urgent) to 9; negative: not stated */
 };
 
 #endif
--- a/options/document.h
+++ b/options/document.h
@@ -48,9 +48,8 @@
   char name[ASH_NAME_BYTES];
   uint32_t line;
   int kind;
-  bool no_repeat; /**< requests of the service run at most once */
-  uint32_t
-      homes_since_s; /**< Unix time at which the set of its endpoints last changed; 0: not given */
+  bool no_repeat;          /**< requests of the service run at most once */
+  uint32_t homes_since_s;  /**< Unix time of the last change of its endpoints; 0: not given */
   uint32_t endpoint_first; /**< index of the service's first endpoint in ash_document.by_service */
   uint32_t endpoint_count;
 };
@@ -77,8 +76,7 @@
   uint32_t line;
   uint32_t experts;    /**< number of experts in a layer of the model */
   uint32_t rank_slots; /**< experts that a rank holds in a layer */
-  uint32_t moves; /**< maximum number of experts moved per interval, which the rate of the weight
-                     store limits */
+  uint32_t moves; /**< experts moved per interval at most, as the weight store has a limited rate */
   uint32_t interval_ms;
   double skew_weight;
   double cost_weight;
@@ -167,8 +165,8 @@
   uint32_t class_count;
   struct ash_account *accounts;
   uint32_t account_count;
-  uint32_t *account_slots; /**< hash table from key_hash to the index of an account plus 1; 0: empty
-                              slot */
+  uint32_t
+      *account_slots; /**< hash table, open addressing: key_hash to account index + 1, 0: empty */
   uint32_t account_slot_count;
   struct ash_declared_event *events;
   uint32_t event_count;
