--- a/bench/router_sim.c
+++ b/bench/router_sim.c
@@ -591,11 +591,11 @@
   call->forward = (struct ash_forward){
     .repeat = ASH_REPEAT_SAFE,
     .servers_max = 2,
-    .aim_ms = FIRST_EVENT_TARGET_MS,
+    .answer_target_ms = FIRST_EVENT_TARGET_MS,
     .service = "model",
     .cap = (uint32_t) ((int32_t) sim->setup->cap +
                        (is_retry (call) ? sim->setup->retry_cap_extra : 0)),
-    .pause_aim_ms = sim->setup->fixed_cap ? 0 : ROUTER_SIM_PAUSE_MAX_MS,
+    .pause_target_ms = sim->setup->fixed_cap ? 0 : ROUTER_SIM_PAUSE_MAX_MS,
     .arrived = sim_time (sim),
     .deadline = { call->first_ms + DEADLINE_MS },
   };
--- a/controllers/direct.c
+++ b/controllers/direct.c
@@ -387,13 +387,13 @@
   double pace = ash_direct_pace (endpoint, now);
   double cap = criteria->cap;
 
-  if (!criteria->pause_aim_ms)
+  if (!criteria->pause_target_ms)
     return criteria->cap;
   if (pace > 1)
     return cap > pace ? (uint32_t) (cap / pace) : 1;
   if (!knows_pause (endpoint, now))
     return criteria->cap;
-  cap *= PAUSE_PART * criteria->pause_aim_ms / endpoint->pause_ms;
+  cap *= PAUSE_PART * criteria->pause_target_ms / endpoint->pause_ms;
   if (cap < CAP_MIN_PART * criteria->cap)
     cap = CAP_MIN_PART * criteria->cap;
   return cap > criteria->cap ? criteria->cap : (uint32_t) (cap + 0.5);
@@ -475,10 +475,10 @@
 
   if (is_remote (endpoint, criteria))
     rank.work += OTHER_HALL_WORK;
-  if (criteria->pause_aim_ms)
+  if (criteria->pause_target_ms)
     rank.work *=
         ash_direct_pace (endpoint, now) *
-        (knows_pause (endpoint, now) ? endpoint->pause_ms : PAUSE_PART * criteria->pause_aim_ms);
+        (knows_pause (endpoint, now) ? endpoint->pause_ms : PAUSE_PART * criteria->pause_target_ms);
   return rank;
 }
 
--- a/controllers/direct.h
+++ b/controllers/direct.h
@@ -168,8 +168,8 @@
   uint32_t remote_parts; /**< this router uses one in so many of the endpoints of other halls; 0 or
                             1: all of them */
   uint32_t cap;          /**< maximum concurrent requests of one endpoint, over all routers */
-  uint32_t pause_aim_ms; /**< target time between stream events; 0: the cap is fixed */
-  const uint64_t *tried; /**< hashes of endpoints not to choose */
+  uint32_t pause_target_ms; /**< target time between stream events; 0: the cap is fixed */
+  const uint64_t *tried;    /**< hashes of endpoints not to choose */
   uint32_t tried_count;
 };
 
--- a/controllers/pass_model.c
+++ b/controllers/pass_model.c
@@ -60,7 +60,7 @@
 /* Useful output of a rank with so many streams: streams, less the value lost to late ones, per
  * millisecond of a pass. */
 static double
-useful_rate (const struct ash_engine_facts *engine, uint32_t pause_aim_ms, uint32_t streams)
+useful_rate (const struct ash_engine_facts *engine, uint32_t pause_target_ms, uint32_t streams)
 {
   double usual_ms = ash_pass_model_ms (engine, streams, USUAL_SKEW) + prompt_ms (engine);
   double shifted_ms =
@@ -68,16 +68,16 @@
       prompt_ms (engine);
   double late_fraction = 0;
 
-  if (usual_ms > pause_aim_ms)
+  if (usual_ms > pause_target_ms)
     late_fraction = 1;
-  else if (shifted_ms > pause_aim_ms)
+  else if (shifted_ms > pause_target_ms)
     late_fraction = SHIFTED_STREAM_FRACTION;
   return streams * (1 - late_fraction * LATE_STREAM_LOSS) / usual_ms;
 }
 
 uint32_t
 ash_pass_model_streams (const struct ash_engine_facts *engine,
-                        uint32_t pause_aim_ms,
+                        uint32_t pause_target_ms,
                         uint32_t bound)
 {
   uint32_t best = bound;
@@ -85,10 +85,10 @@
 
   if (ash_pass_model_ms (engine, 1, USUAL_SKEW) <= 0)
     return bound;
-  best_value = useful_rate (engine, pause_aim_ms, bound);
+  best_value = useful_rate (engine, pause_target_ms, bound);
   for (uint32_t streams = bound; streams-- > 1;)
     {
-      double value = useful_rate (engine, pause_aim_ms, streams);
+      double value = useful_rate (engine, pause_target_ms, streams);
 
       if (value <= best_value)
         continue;
--- a/controllers/pass_model.h
+++ b/controllers/pass_model.h
@@ -28,12 +28,12 @@
  * experts has just shifted, ranks copy experts and a prompt is read, or else all running streams
  * are late. The result is usually the highest number of streams that meets the target; on an engine
  * too slow to meet it, more.
- * @param pause_aim_ms target for the longest pause between two events of a stream.
+ * @param pause_target_ms target for the longest pause between two events of a stream.
  * @param bound maximum number of streams.
  * @return 1 to @p bound.
  */
 uint32_t ash_pass_model_streams (const struct ash_engine_facts *engine,
-                                 uint32_t pause_aim_ms,
+                                 uint32_t pause_target_ms,
                                  uint32_t bound);
 
 #endif
--- a/controllers/prompt_gate.c
+++ b/controllers/prompt_gate.c
@@ -46,7 +46,7 @@
 
 double
 ash_prompt_gate_per_pass (const struct ash_engine_facts *engine,
-                          uint32_t pause_aim_ms,
+                          uint32_t pause_target_ms,
                           uint32_t ranks,
                           uint32_t routers)
 {
@@ -56,26 +56,27 @@
 
   if (prompt_ms <= 0 || !routers)
     return 0;
-  return READING_FRACTION * pause_aim_ms / prompt_ms * ranks / routers;
+  return READING_FRACTION * pause_target_ms / prompt_ms * ranks / routers;
 }
 
 bool
-ash_prompt_gate_maps_adapt_in_time (const struct ash_engine_facts *engine, uint32_t aim_ms)
+ash_prompt_gate_maps_adapt_in_time (const struct ash_engine_facts *engine,
+                                    uint32_t answer_target_ms)
 {
   double copy_ms = ash_pass_model_copy_ms (engine);
 
-  return copy_ms > 0 && copy_ms <= COPY_FRACTION * HOLD_FRACTION * aim_ms;
+  return copy_ms > 0 && copy_ms <= COPY_FRACTION * HOLD_FRACTION * answer_target_ms;
 }
 
 bool
 ash_prompt_gate_add_pause (struct ash_prompt_gate *gate,
                            struct ash_time now,
                            int64_t pause_ms,
-                           uint32_t pause_aim_ms)
+                           uint32_t pause_target_ms)
 {
   double pause = (double) pause_ms;
 
-  if (pause_ms > PAUSE_MAX_MS || !pause_aim_ms)
+  if (pause_ms > PAUSE_MAX_MS || !pause_target_ms)
     return false;
   if (gate->usual_ms <= 0)
     gate->usual_ms = pause;
@@ -88,7 +89,7 @@
       gate->closed = false;
       return true;
     }
-  if (pause > CLOSE_RATIO * gate->usual_ms && pause > LONG_PASS_FRACTION * pause_aim_ms)
+  if (pause > CLOSE_RATIO * gate->usual_ms && pause > LONG_PASS_FRACTION * pause_target_ms)
     {
       gate->closed = true;
       gate->closed_at = now;
@@ -123,11 +124,11 @@
                            struct ash_time now)
 {
   double hold_fraction = terms->resumed ? HOLD_RESUMED_FRACTION : HOLD_FRACTION;
-  struct ash_time most = ash_time_add (came, (int64_t) (hold_fraction * terms->aim_ms));
+  struct ash_time most = ash_time_add (came, (int64_t) (hold_fraction * terms->answer_target_ms));
   double needed = terms->resumed ? 2 : 1; /* leaves one for new requests */
   struct ash_time until;
 
-  if (!terms->pause_aim_ms || !ash_time_before (now, most))
+  if (!terms->pause_target_ms || !ash_time_before (now, most))
     return now;
   if (terms->maps_adapt_in_time && is_closed (gate, now))
     return most;
--- a/controllers/prompt_gate.h
+++ b/controllers/prompt_gate.h
@@ -31,39 +31,41 @@
 {
   double per_pass;         /**< prompts per pass; 0: unlimited */
   bool maps_adapt_in_time; /**< see ash_prompt_gate_maps_adapt_in_time() */
-  uint32_t pause_aim_ms;   /**< target for the longest pause of a stream; 0: prompts are not held */
-  uint32_t aim_ms;         /**< target for the time to the first event */
-  bool resumed;            /**< the stream broke before: it has already missed its target */
+  uint32_t
+      pause_target_ms; /**< target for the longest pause of a stream; 0: prompts are not held */
+  uint32_t answer_target_ms; /**< target for the time to the first event */
+  bool resumed;              /**< the stream broke before: it has already missed its target */
 };
 
 /**
- * @param pause_aim_ms target for the longest pause of a stream.
+ * @param pause_target_ms target for the longest pause of a stream.
  * @param ranks number of ranks that read prompts.
  * @param routers number of routers that send prompts.
  * @return prompts that each router may send per pass so that passes stay within the target; 0: the
  * engine's figures are unknown.
  */
 double ash_prompt_gate_per_pass (const struct ash_engine_facts *engine,
-                                 uint32_t pause_aim_ms,
+                                 uint32_t pause_target_ms,
                                  uint32_t ranks,
                                  uint32_t routers);
 
 /**
- * @param aim_ms target for the time to the first event.
+ * @param answer_target_ms target for the time to the first event.
  * @return whether ranks copy experts fast enough that the map is adapted to a shift before a held
  * prompt misses its target; otherwise prompts are not held after a shift.
  */
-bool ash_prompt_gate_maps_adapt_in_time (const struct ash_engine_facts *engine, uint32_t aim_ms);
+bool ash_prompt_gate_maps_adapt_in_time (const struct ash_engine_facts *engine,
+                                         uint32_t answer_target_ms);
 
 /**
  * Adds the pause between two events of a stream, and closes or opens the gate.
- * @param pause_aim_ms target for the longest pause of a stream.
+ * @param pause_target_ms target for the longest pause of a stream.
  * @return whether the gate has just closed or opened.
  */
 bool ash_prompt_gate_add_pause (struct ash_prompt_gate *gate,
                                 struct ash_time now,
                                 int64_t pause_ms,
-                                uint32_t pause_aim_ms);
+                                uint32_t pause_target_ms);
 
 /**
  * @param came when the request arrived.
--- a/controllers/route_table.c
+++ b/controllers/route_table.c
@@ -84,7 +84,7 @@
 ash_route_table_add_route (struct ash_route_table *table)
 {
   struct ash_route *routes =
-      reserve_item (table->routes, table->route_count, &table->route_room, sizeof *routes);
+      reserve_item (table->routes, table->route_count, &table->route_capacity, sizeof *routes);
   struct ash_route *route;
 
   if (!routes)
@@ -99,7 +99,7 @@
 ash_route_table_add_part (struct ash_route_table *table, struct ash_route_split part)
 {
   struct ash_route_split *parts =
-      reserve_item (table->parts, table->part_count, &table->part_room, sizeof *parts);
+      reserve_item (table->parts, table->part_count, &table->part_capacity, sizeof *parts);
 
   if (!parts)
     return false;
--- a/controllers/route_table.h
+++ b/controllers/route_table.h
@@ -71,11 +71,11 @@
   bool resumable; /**< a broken stream may be continued on another server */
   bool anonymous; /**< no account key required */
   uint32_t timeout_ms;
-  uint32_t aim_ms;       /**< target time until the answer, or the first event of a stream */
-  uint32_t pause_aim_ms; /**< target time between events of a stream */
-  uint32_t priority;     /**< 0 is the highest */
-  uint32_t servers_max;  /**< maximum number of servers tried per request */
-  uint32_t part_first;   /**< index of its first share in parts */
+  uint32_t answer_target_ms; /**< target time until the answer, or the first event of a stream */
+  uint32_t pause_target_ms;  /**< target time between events of a stream */
+  uint32_t priority;         /**< 0 is the highest */
+  uint32_t servers_max;      /**< maximum number of servers tried per request */
+  uint32_t part_first;       /**< index of its first share in parts */
   uint32_t part_count;
 };
 
@@ -109,10 +109,10 @@
   uint64_t version;
   struct ash_route *routes;
   uint32_t route_count;
-  uint32_t route_room; /**< allocated size of routes, in items */
+  uint32_t route_capacity; /**< allocated size of routes, in items */
   struct ash_route_split *parts;
   uint32_t part_count;
-  uint32_t part_room; /**< allocated size of parts, in items */
+  uint32_t part_capacity; /**< allocated size of parts, in items */
   struct ash_route_service *services;
   uint32_t service_count;
   struct ash_route_account *accounts;
--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -31,7 +31,7 @@
     .own = router->incarnation,
     .remote_parts = ash_fleet_far_parts (&router->fleet),
     .wait_ms = router->settings.wait_ms,
-    .gate = exchange->forward.pause_aim_ms ? &service->gate : NULL,
+    .gate = exchange->forward.pause_target_ms ? &service->gate : NULL,
     .quarantined_ms = ash_exchange_quarantined_ms (exchange, ash_clock_now ()),
   };
 }
@@ -92,7 +92,7 @@
                                  request.bytes + request.start, request.length,
                                  exchange->idle_valid_since);
   ash_buffer_finish (&request);
-  if (exchange->forward.pause_aim_ms)
+  if (exchange->forward.pause_target_ms)
     ash_prompt_gate_record_sent (&ash_router_service (router, exchange->forward.service)->gate);
   ash_forward_sent (&exchange->forward, endpoint);
   exchange->sent_at = ash_clock_now ();
--- a/daemon/exchange_answer.c
+++ b/daemon/exchange_answer.c
@@ -74,7 +74,7 @@
   struct ash_prompt_gate *gate = &ash_router_service (router, exchange->forward.service)->gate;
 
   if (!ash_prompt_gate_add_pause (gate, exchange->last_received, pause_ms,
-                                  exchange->forward.pause_aim_ms))
+                                  exchange->forward.pause_target_ms))
     return;
   router->capacity_freed = router->capacity_freed || !gate->closed;
   ash_log_event (&router->log, ASH_EV_PROMPTS_KEPT,
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -49,7 +49,7 @@
 static int64_t
 silence_limit_ms (const struct ash_exchange *exchange)
 {
-  int64_t ms = (int64_t) exchange->forward.aim_ms * SILENCE_AIM_FACTOR;
+  int64_t ms = (int64_t) exchange->forward.answer_target_ms * SILENCE_AIM_FACTOR;
 
   if (exchange->forward.answer_started)
     return EVENT_PAUSE_MAX_MS;
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -89,8 +89,8 @@
                            ? router->settings.rank_streams
                            : service->engine.slots;
 
-      return route->pause_aim_ms
-                 ? ash_pass_model_streams (&service->engine, route->pause_aim_ms, bound)
+      return route->pause_target_ms
+                 ? ash_pass_model_streams (&service->engine, route->pause_target_ms, bound)
                  : bound;
     }
   for (endpoint = router->endpoints.endpoints; endpoint; endpoint = endpoint->hh.next)
@@ -108,11 +108,12 @@
   uint32_t ranks = ash_direct_count (&router->endpoints, service->name);
 
   return (struct ash_prompt_terms){
-    .per_pass = ash_prompt_gate_per_pass (&service->engine, route->pause_aim_ms, ranks,
+    .per_pass = ash_prompt_gate_per_pass (&service->engine, route->pause_target_ms, ranks,
                                           ash_fleet_size (&router->fleet)),
-    .maps_adapt_in_time = ash_prompt_gate_maps_adapt_in_time (&service->engine, route->aim_ms),
-    .pause_aim_ms = route->pause_aim_ms,
-    .aim_ms = route->aim_ms,
+    .maps_adapt_in_time =
+        ash_prompt_gate_maps_adapt_in_time (&service->engine, route->answer_target_ms),
+    .pause_target_ms = route->pause_target_ms,
+    .answer_target_ms = route->answer_target_ms,
     .resumed = exchange->facts.last_event_id != NULL,
   };
 }
@@ -133,13 +134,13 @@
   *forward = (struct ash_forward){
     .repeat = route->repeat,
     .servers_max = route->servers_max,
-    .aim_ms = route->aim_ms,
+    .answer_target_ms = route->answer_target_ms,
     .service = service->name,
     .cap = concurrency_limit (router, route, service),
-    .pause_aim_ms = service->has_engine ? route->pause_aim_ms : 0,
+    .pause_target_ms = service->has_engine ? route->pause_target_ms : 0,
     .arrived = ash_clock_now (),
   };
-  if (forward->pause_aim_ms)
+  if (forward->pause_target_ms)
     forward->prompt = prompt_terms (exchange, service);
   /* A request that is read just after the process was suspended may have waited for as long. The
    * suspension is subtracted from its deadline, or an endpoint would work for a caller that has
--- a/filters/forward.c
+++ b/filters/forward.c
@@ -57,7 +57,7 @@
     .own = context->own,
     .remote_parts = context->remote_parts,
     .cap = forward->cap,
-    .pause_aim_ms = forward->pause_aim_ms,
+    .pause_target_ms = forward->pause_target_ms,
     .tried = forward->tried,
     .tried_count = forward->tried_count,
   };
--- a/filters/forward.h
+++ b/filters/forward.h
@@ -57,10 +57,11 @@
 {
   enum ash_repeat repeat; /**< whether the request may run more than once */
   uint32_t servers_max;   /**< maximum number of endpoints that the request may be sent to */
-  uint32_t aim_ms;        /**< target for the time to the first event, from the route's settings */
+  uint32_t
+      answer_target_ms; /**< target for the time to the first event, from the route's settings */
   const char *service;
-  uint32_t cap;          /**< maximum requests in flight at an endpoint, this one included */
-  uint32_t pause_aim_ms; /**< target for the longest pause between stream events; 0: none */
+  uint32_t cap;             /**< maximum requests in flight at an endpoint, this one included */
+  uint32_t pause_target_ms; /**< target for the longest pause between stream events; 0: none */
   struct ash_time arrived;
   struct ash_time deadline;   /**< by when the caller must get the final answer */
   struct ash_time wait_until; /**< until when a stream that has begun may wait to be resumed */
--- a/test/unit_prompts.c
+++ b/test/unit_prompts.c
@@ -15,8 +15,8 @@
 static const struct ash_prompt_terms usual_terms = {
   .per_pass = 2,
   .maps_adapt_in_time = true,
-  .pause_aim_ms = PAUSE_AIM_MS,
-  .aim_ms = AIM_MS,
+  .pause_target_ms = PAUSE_AIM_MS,
+  .answer_target_ms = AIM_MS,
 };
 
 static struct ash_time
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -119,11 +119,11 @@
 }
 
 static const char *
-choose (struct ash_direct_set *set, struct ash_time now, uint32_t cap, uint32_t pause_aim_ms)
+choose (struct ash_direct_set *set, struct ash_time now, uint32_t cap, uint32_t pause_target_ms)
 {
   struct ash_direct_criteria criteria = { .service = "s",
                                           .cap = cap,
-                                          .pause_aim_ms = pause_aim_ms };
+                                          .pause_target_ms = pause_target_ms };
   struct ash_direct_endpoint *chosen;
 
   return ash_direct_choose (set, now, &criteria, &chosen) == ASH_DIRECT_CHOSEN ? chosen->facts.id
@@ -200,7 +200,7 @@
 test_own_hall (void)
 {
   struct ash_direct_criteria criteria = {
-    .service = "s", .hall = "x", .cap = 9, .pause_aim_ms = 120
+    .service = "s", .hall = "x", .cap = 9, .pause_target_ms = 120
   };
   struct ash_direct_endpoint *chosen;
   struct ash_direct_endpoint *near;
--- a/test/unit_terms.c
+++ b/test/unit_terms.c
@@ -207,7 +207,7 @@
   return (struct ash_forward){
     .repeat = ASH_REPEAT_SAFE,
     .servers_max = 2,
-    .aim_ms = 300,
+    .answer_target_ms = 300,
     .service = "s",
     .cap = 8,
     .arrived = at (now_ms),
