--- a/net/http_server.h
+++ b/net/http_server.h
@@ -28,7 +28,7 @@
   const char *uri;  /**< as received: path and query, percent-encoded */
   const uint8_t *body;
   size_t body_bytes;
-  struct MHD_Connection *connection; /**< for ash_http_header() and ash_http_query() */
+  struct MHD_Connection *connection; /**< used by ash_http_header() and ash_http_query() */
 };
 
 /** Headers of a response. Names are not copied: they must stay valid until it is started. */
@@ -67,7 +67,7 @@
   struct ash_http_exchange *exchanges;
   struct ash_http_server_conn *conns;
   uint64_t last_number;
-  bool run_needed;          /**< MHD_run() must be called before the loop blocks */
+  bool run_needed;          /**< MHD_run() has to be called before the loop blocks */
   bool keep_alive_disabled; /**< responses carry `Connection: close` */
   int listen_fd;
 };
