--- a/cli/fetch.h
+++ b/cli/fetch.h
@@ -20,7 +20,7 @@
   unsigned attempt;            /**< number of the submission, from 1; 0: no Ash-Attempt header */
   unsigned deadline_ms;        /**< 0: no Ash-Deadline-Ms header */
   bool no_repeat;
-  FILE *echo; /**< the body is also written there while it is received; may be NULL */
+  FILE *echo; /**< file to which the body is also written while it is received; may be NULL */
 };
 
 /** The answer to a request, to be freed with ash_cli_answer_finish(). */
--- a/cli/send.h
+++ b/cli/send.h
@@ -19,7 +19,7 @@
   const char *service;
   const char *path;
   struct ash_cli_request
-      request; /**< its url, and attempt if it has a key, are set by ash_cli_send() */
+      request; /**< ash_cli_send() sets the url and, if there is a key, the attempt */
 };
 
 /** Sends a request, with retries. @param answer answer to the last submission.
--- a/cli/trace.h
+++ b/cli/trace.h
@@ -15,7 +15,7 @@
 struct ash_trace_line
 {
   char *text;
-  char time[40]; /**< as in the line; strings in this format sort by time */
+  char time[40]; /**< time in the line's text format, in which strings sort by time */
   int event;     /**< number of the log event */
 };
 
--- a/common/metrics.h
+++ b/common/metrics.h
@@ -3,8 +3,8 @@
  * Counters, gauges and histograms of this process, printed in the Prometheus text format.
  *
  * A series is identified by its name and labels. At most ASH_METRICS_SERIES_MAX series are kept;
- * values for further ones are dropped, so that callers who send ever new names (which become
- * labels) can't make the process grow.
+ * values for further ones are dropped, so that the memory of the process stays bounded however many
+ * names callers send, since names become labels.
  */
 #ifndef ASH_METRICS_H
 #define ASH_METRICS_H
--- a/controllers/agent.c
+++ b/controllers/agent.c
@@ -242,8 +242,9 @@
 
   if (submit->incarnation != agent->incarnation)
     {
-      /* Every copy of this message has the earlier incarnation, so none can run here and nothing
-       * needs to be recorded. But the earlier incarnation may have run it. */
+      /* All copies of this message name the earlier incarnation, so the request can't run here
+       * because of any of them, and nothing needs to be recorded. The earlier incarnation may have
+       * run the request. */
       ash_agent_send_refused (agent, &requester, ASH__REASON__STALE_INCARNATION,
                               ASH__OUTCOME__UNKNOWN);
       return;
@@ -271,7 +272,7 @@
 }
 
 /* Whether the ledger would still have a record of the request if it had arrived. An entry that was
- * suspended for long may ask to resume a request that has finished and expired. */
+ * suspended for long may try to resume a request that has finished and expired. */
 static bool
 is_within_lifetime (const struct ash_agent *agent, const struct Ash__Resume *resume)
 {
--- a/controllers/agent_run.h
+++ b/controllers/agent_run.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * Runs of an agent's engine: start, end, cancellation and refusal. Part of the agent's core.
+ * Execution of requests by an agent's engine: start, end, cancellation and refusal. Part of the
+ * agent's core.
  */
 #ifndef ASH_AGENT_RUN_H
 #define ASH_AGENT_RUN_H
--- a/controllers/change_plan.c
+++ b/controllers/change_plan.c
@@ -51,8 +51,8 @@
          CHANGE_STALL_MS;
 }
 
-/* Time lost if the first change makes @p copies copies per rank and a second change, if @p rest is
- * not 0, makes @p rest more. */
+/* Time lost if each rank copies @p copies experts in the first change and, if @p rest is not 0,
+ * @p rest more in a second change. */
 static double
 expected_loss (const struct ash_change_terms *terms,
                double skew,
--- a/controllers/direct.c
+++ b/controllers/direct.c
@@ -130,7 +130,8 @@
       endpoint->presence = ASH_DIRECT_REMOVED;
 }
 
-/* Whether the list entry is that of another incarnation. */
+/* Whether the endpoint has restarted: the list's entry is of another incarnation than the known
+ * one. */
 static bool
 is_restarted (const struct ash_direct_endpoint *endpoint, const struct ash_direct_facts *facts)
 {
@@ -482,7 +483,8 @@
   return key;
 }
 
-/* Chooses among the matching endpoints, without those of other halls outside this router's part. */
+/* Chooses among the matching endpoints. Of the endpoints of other halls, only the part assigned to
+ * this router is considered. */
 static enum ash_direct_choice
 search (struct ash_direct_set *set,
         struct ash_time now,
--- a/controllers/direct.h
+++ b/controllers/direct.h
@@ -64,9 +64,10 @@
   struct ash_time pace_seen; /**< when the pace was last reported */
   bool announced_leaving;    /**< an answer announced its shutdown; reset when it restarts */
   struct ash_rate_limit limit;
-  struct ash_time backoff_until; /**< it asked this router to send no requests until then */
-  void *owner;                   /**< user data of the code that holds its connections */
-  UT_hash_handle hh;             /**< by id */
+  struct ash_time
+      backoff_until; /**< the endpoint requested that this router send it nothing until then */
+  void *owner;       /**< user data of the code that holds its connections */
+  UT_hash_handle hh; /**< by id */
   UT_hash_handle by_hash;
 };
 
@@ -76,7 +77,7 @@
   struct ash_direct_endpoint *endpoints; /**< by id */
   struct ash_direct_endpoint *by_hash;   /**< the same endpoints, by hash */
   struct ash_random random;
-  uint64_t revision; /**< of the endpoint list */
+  uint64_t revision; /**< revision of the endpoint list */
   /** Called before an endpoint is freed, so that its connections can be closed. May be NULL. */
   void (*before_free) (void *data, struct ash_direct_endpoint *endpoint);
   /** Called when an endpoint has restarted, maybe at another address. May be NULL. */
--- a/controllers/endpoint_terms.h
+++ b/controllers/endpoint_terms.h
@@ -8,7 +8,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** The terms sent with one answer. */
+/** The usage terms that an endpoint sends with one answer. */
 struct ash_endpoint_terms
 {
   /** Rate limit over all routers, in thousandths of a request per second; 0: none given. */
--- a/controllers/expert_change.h
+++ b/controllers/expert_change.h
@@ -51,7 +51,8 @@
   ASH_EXPERT_ARM,
   ASH_EXPERT_COMMIT,
   ASH_EXPERT_DONE,
-  ASH_EXPERT_FAILED, /**< a rank refused an order or did not answer, or no rank has the state */
+  ASH_EXPERT_FAILED, /**< a rank refused an order or did not answer, or all ranks have lost the
+                        state */
 };
 
 /** State of a rank, as in its answers; see struct ash_expert_rank for the fields. */
--- a/controllers/expert_guard.h
+++ b/controllers/expert_guard.h
@@ -24,7 +24,7 @@
 /** How to handle an order. */
 enum ash_expert_verdict
 {
-  ASH_EXPERT_FORWARD, /**< send it to the engine and forward the engine's answer */
+  ASH_EXPERT_FORWARD, /**< send the order to the engine and forward the engine's answer */
   ASH_EXPERT_REFUSE,  /**< answer with ash_expert_guard_refusal() */
   ASH_EXPERT_WAIT,    /**< do not answer: the coordinator sends the order again */
 };
@@ -32,7 +32,7 @@
 struct ash_expert_guard
 {
   uint64_t incarnation;        /**< incarnation of the agent */
-  uint64_t engine_incarnation; /**< from the engine's last answer; 0: not known */
+  uint64_t engine_incarnation; /**< incarnation in the engine's last answer; 0: not known */
   bool checks;                 /**< the engine checks ballots itself */
   bool busy;                   /**< an order was sent to the engine and is not answered yet */
   bool unsettled;              /**< an order whose answer was lost may still reach the engine */
--- a/controllers/expert_history.h
+++ b/controllers/expert_history.h
@@ -26,7 +26,7 @@
 struct ash_expert_note
 {
   enum ash_expert_note_kind kind;
-  struct ash_time at;  /**< when it was made; the last time if it was made several times */
+  struct ash_time at;  /**< when the decision was made; the last time if it was repeated */
   uint32_t times;      /**< number of equal decisions in a row */
   bool forecast;       /**< based on the loads forecast for a declared event */
   uint64_t ballot;     /**< ballot of the change; 0: no change was begun */
--- a/controllers/expert_policy.c
+++ b/controllers/expert_policy.c
@@ -19,7 +19,8 @@
 /* Loads of the ranks under a placement. */
 struct loads
 {
-  double tokens[ASH_EXPERTS_MAX]; /* share of each expert; the sum is 1 */
+  double
+      tokens[ASH_EXPERTS_MAX]; /* fraction of all tokens that each expert processes; the sum is 1 */
   uint16_t replicas[ASH_EXPERTS_MAX];
   double ranks[ASH_EXPERT_POLICY_RANKS_MAX];
 };
--- a/controllers/expert_rank.h
+++ b/controllers/expert_rank.h
@@ -16,7 +16,8 @@
 struct ash_expert_fence
 {
   uint64_t promised; /**< highest ballot so far; orders with lower ballots are refused */
-  uint64_t sequence; /**< highest sequence number of that ballot; lower ones are refused */
+  uint64_t sequence; /**< highest sequence number received with the ballot `promised`; lower ones
+                        are refused */
 };
 
 /**
@@ -40,7 +41,7 @@
   uint64_t version; /**< version of the committed map, counted from 0 */
   uint64_t map;     /**< digest of the committed map */
   uint64_t from;    /**< first step that is run with the committed map */
-  uint64_t before;  /**< digest of the map for steps before that */
+  uint64_t before;  /**< digest of the map that is used for steps before `from` */
   uint64_t armed;   /**< ballot of the armed map; 0: none is armed */
   uint64_t armed_map;
   uint64_t armed_step;  /**< the rank waits with this step for a commit or disarm order */
--- a/controllers/layer_policy.c
+++ b/controllers/layer_policy.c
@@ -51,7 +51,7 @@
   uint32_t rank;
   uint32_t slot;
   uint16_t expert; /* ASH_NO_EXPERT: the slot becomes empty, or there is no useful move */
-  double gain;     /* by which the layer's norm falls */
+  double gain;     /* decrease of the layer's norm */
 };
 
 /* A change being computed: all layers of the map, and the moves made so far, in order. */
@@ -225,9 +225,9 @@
   const struct rank_set *gains;  /* ranks that hold the added expert */
   const struct rank_set *losses; /* ranks that hold the replaced expert; NULL: the slot is empty */
   double share;                  /* load of each replica of the added expert, after the move */
-  double gain;                   /* change, negative, of the load of its former replicas */
-  double dropped;                /* load of the replaced replica */
-  double loss;                   /* change of the load of the replaced expert's other replicas */
+  double gain;    /* change of the load of the expert's existing replicas; negative */
+  double dropped; /* load of the replaced replica */
+  double loss;    /* change of the load of the replaced expert's other replicas */
 };
 
 static struct swap
--- a/controllers/ledger.h
+++ b/controllers/ledger.h
@@ -48,21 +48,22 @@
 {
   struct ash_id id;
   enum ash_record_state state;
-  bool keyed;            /**< has a key: the caller may submit it again through another entry */
+  bool keyed; /**< the request has a key: the caller may submit it again through another entry */
   bool no_repeat;        /**< must not run more than once */
   bool whole;            /**< if finished: the answer is complete */
-  int reason;            /**< enum Ash__Reason: why it was refused or is incomplete */
+  int reason;            /**< enum Ash__Reason: why the request was refused or is incomplete */
   int outcome;           /**< enum Ash__Outcome to send with a refusal */
   uint32_t refused_upto; /**< highest of the caller's attempts that the refusal covers */
-  bool disowned;         /**< another endpoint is its home now: it must never run here */
-  uint64_t run;          /**< number of the run, identifies it in messages with the engine */
+  bool disowned; /**< another endpoint is the key's home now: the request must never run here */
+  uint64_t run;  /**< number of the run, identifies it in messages with the engine */
   uint32_t priority;
   uint32_t wait_ms; /**< time spent in the queue */
   struct ash_time arrived;
   struct ash_time started;
   struct ash_time deadline;
-  struct ash_time orphan_since; /**< since when it has no watcher; ASH_TIME_NEVER if it has one */
-  struct ash_time expires;      /**< if finished or refused: when the record is deleted */
+  struct ash_time
+      orphan_since; /**< since when the record has no watcher; ASH_TIME_NEVER if it has one */
+  struct ash_time expires; /**< if finished or refused: when the record is deleted */
   struct ash_watcher *watchers;
   struct Ash__Submit *submit; /**< owned, while queued; freed when the run starts */
   struct ash_answer answer;
--- a/controllers/limits.h
+++ b/controllers/limits.h
@@ -16,7 +16,7 @@
 struct ash_limit
 {
   char name[ASH_NAME_BYTES];
-  int64_t tokens_micro;     /**< available, in millionths of a request */
+  int64_t tokens_micro;     /**< available requests, in millionths */
   struct ash_time refilled; /**< when tokens_micro was last computed */
   UT_hash_handle hh;
 };
--- a/controllers/map_switch.h
+++ b/controllers/map_switch.h
@@ -41,13 +41,13 @@
   ASH_MAP_IDLE,
   ASH_MAP_PREPARE, /**< ranks copy the experts that are new to them */
   ASH_MAP_HOLD,    /**< one rank is ordered to hold a step */
-  ASH_MAP_ARM,     /**< all ranks are ordered to switch to the map at that step */
+  ASH_MAP_ARM,     /**< all ranks are ordered to switch to the map at the held step */
   ASH_MAP_DISARM,  /**< reverting: all ranks are ordered to disarm the map */
   ASH_MAP_FENCE,   /**< all ranks prepare a newer version, so that they refuse late arm orders */
   ASH_MAP_GO,      /**< the held step is released */
 };
 
-/** Result of the last change. */
+/** Result of the last change of a group's expert map. */
 enum ash_map_result
 {
   ASH_MAP_NONE,
@@ -57,20 +57,22 @@
   ASH_MAP_GROUP_REFORMED, /**< the group formed again, which ended the change */
 };
 
-/** State of a rank. */
+/** What the coordinator of a change knows about a rank. */
 struct ash_map_rank
 {
   struct ash_rank_report report;
   struct ash_time reported; /**< when the last report arrived */
   bool known;               /**< the rank has reported */
-  uint64_t prepared; /**< version that is prepared, by its lists of experts, which do not lag */
-  struct ash_time lists_requested; /**< when the request for those lists was sent */
+  uint64_t prepared; /**< version that the rank has prepared, from its lists of experts, which do
+                        not lag */
+  struct ash_time lists_requested; /**< when the rank's lists of experts were last requested */
   bool answered;                   /**< the rank has executed the present phase's order */
   bool copying;                    /**< the rank has begun to copy experts */
-  bool disarm_first; /**< it has refused the fence and must be disarmed before the next attempt */
+  bool disarm_first; /**< the rank has refused the fence and must be disarmed before the next
+                        attempt */
   struct ash_time copying_since;
   struct ash_time sent;   /**< when the present phase's order was last sent; 0: not yet */
-  uint64_t released_step; /**< last step for which it was sent a go order */
+  uint64_t released_step; /**< last step for which the rank was sent a go order */
   uint32_t refusals;      /**< number of refusals of the present phase's order */
   uint32_t copy_ms;       /**< expected copying time for the present change, in milliseconds */
 };
@@ -97,9 +99,9 @@
   double pass_ms;        /**< duration of a pass, from streams of this router; 0: unknown */
   double step_ms;        /**< duration of a pass, from the steps that ranks report; 0: unknown */
   uint64_t sampled_step; /**< last step from a source without lag */
-  struct ash_time sampled_at;   /**< when it was received */
+  struct ash_time sampled_at;   /**< when the report of sampled_step was received */
   uint64_t last_step;           /**< highest step reported */
-  struct ash_time last_step_at; /**< when it was reported, minus the lag */
+  struct ash_time last_step_at; /**< when last_step was reported, minus the lag */
   uint64_t released;            /**< last step that this router released */
   struct ash_time released_at;
   uint64_t foreign_held;         /**< step that another router holds; 0: none */
--- a/controllers/membership.h
+++ b/controllers/membership.h
@@ -1,8 +1,8 @@
 /**
  * @file
  * State of the other boxes as known to this process: whether the link is up, to which incarnation,
- * and whether the box is leaving. That a box is leaving is learned from itself, from peers, or from
- * the platform's list, which lags; each source is sufficient.
+ * and whether the box is leaving. A box counts as leaving if it reports so itself, or a peer or the
+ * platform's list, which lags, does.
  */
 #ifndef ASH_MEMBERSHIP_H
 #define ASH_MEMBERSHIP_H
@@ -19,22 +19,23 @@
 {
   char name[ASH_NAME_BYTES];
   int role;                     /**< enum Ash__Role */
-  bool linked;                  /**< the link to it is up */
+  bool linked;                  /**< the link to the box is up */
   uint64_t incarnation;         /**< last known incarnation; 0: none yet */
   struct ash_time learned;      /**< when this incarnation was learned */
   struct ash_time heartbeat_at; /**< when the last heartbeat was received, or the link came up */
   struct ash_time
-      ejected_until; /**< it had stalled: other boxes are preferred until then; 0: not ejected */
+      ejected_until; /**< the box had stalled: others are preferred until then; 0: not ejected */
   bool suspect;      /**< silent for too long: other boxes are preferred */
-  uint64_t leaving_incarnation; /**< the incarnation that is leaving; 0: none */
+  uint64_t
+      leaving_incarnation; /**< incarnation of the box's process that is shutting down; 0: none */
   bool listed_leaving; /**< leaving by the platform's list, which does not show the incarnation */
   uint64_t listed_incarnation; /**< incarnation that was known when listed_leaving was set */
-  uint64_t revision;           /**< of its active configuration */
-  uint64_t offered;            /**< last configuration revision sent to it by this process */
-  uint32_t reported;           /**< requests in flight and queued there, by its last heartbeat */
-  bool reads_platform;         /**< an entry whose last read of the platform succeeded */
-  uint32_t step_us;            /**< mean duration of a run, by its last heartbeat */
-  uint32_t in_flight;          /**< requests of this process at that box */
+  uint64_t revision;           /**< revision of the box's active configuration */
+  uint64_t offered;            /**< last configuration revision that this process sent to the box */
+  uint32_t reported;   /**< requests in flight and queued at the box, from its last heartbeat */
+  bool reads_platform; /**< an entry whose last read of the platform succeeded */
+  uint32_t step_us;    /**< mean duration of a run at the box, from its last heartbeat */
+  uint32_t in_flight;  /**< requests of this process at that box */
   UT_hash_handle hh;
 };
 
--- a/controllers/pass_model.c
+++ b/controllers/pass_model.c
@@ -7,8 +7,9 @@
 /* Skew of a map that is adapted to the demand; 1.2 to 1.4 on the same engines. */
 #define USUAL_SKEW 1.3
 
-/* Fraction of the streams that are running during a shift: the demand shifts every 3 to 4 s, the
- * map is adapted after 0.5 to 1 s, and a stream lasts 1 to 2 s. */
+/* Fraction of all streams that run at some time while the map is not adapted to the demand yet: the
+ * demand shifts every 3 to 4 s, the map is adapted 0.5 to 1 s later, and a stream lasts 1 to 2 s.
+ */
 #define SHIFTED_STREAM_FRACTION 0.6
 
 /* Fraction of a stream's value that is lost if one of its pauses is too long. */
--- a/controllers/peer_version.h
+++ b/controllers/peer_version.h
@@ -15,7 +15,7 @@
 /** State for one versioned object. Zeroed memory is a valid start. */
 struct ash_peer_version
 {
-  uint64_t newest;       /**< newest reported version that may have content missing here */
+  uint64_t newest;       /**< newest reported version with content that this process may lack */
   uint64_t same;         /**< newest version known to have the same content as the own one */
   uint64_t own;          /**< version of this process at the last call */
   struct ash_time since; /**< since when the version of this process has not advanced */
@@ -27,8 +27,8 @@
                                 uint64_t reported,
                                 uint64_t own);
 
-/** Handles a peer's report that its version has the same content as the own one, so nothing up to
- * that version is missing here. */
+/** Handles a peer's report that its version has the same content as the version of this process.
+ * This process then lacks no content up to the peer's version. */
 void ash_peer_version_equal (struct ash_peer_version *tracker,
                              struct ash_time now,
                              uint64_t reported,
--- a/controllers/planned_stop.h
+++ b/controllers/planned_stop.h
@@ -28,7 +28,7 @@
                              const struct ash_settings *settings,
                              struct ash_time now);
 
-/** @return the earlier of @p deadline and the time of the final answers. */
+/** @return the earlier of @p deadline and the shutdown's answer_deadline. */
 struct ash_time ash_planned_stop_cap (const struct ash_planned_stop *stop,
                                       struct ash_time deadline);
 
--- a/controllers/pollers.c
+++ b/controllers/pollers.c
@@ -10,8 +10,8 @@
   return strcmp (a.box, b.box) < 0;
 }
 
-/* @return how many of the other routers of its hall are ordered before the poller. If it is in @p
- * others itself, that does not count. */
+/* @return how many of the other routers of its hall are ordered before the poller. If the
+ * poller is in @p others, it is not counted. */
 static uint32_t
 rank_in_hall (struct ash_poller poller, const struct ash_poller *others, size_t count)
 {
--- a/controllers/pollers.h
+++ b/controllers/pollers.h
@@ -3,7 +3,7 @@
  * Selects the routers that poll the store. A few in each hall poll it and forward changes to the
  * others of their hall. A few of all routers, spread over the halls because a network partition
  * affects all routers of a hall, poll at a short period. There is no election: each router decides
- * from the routers that it sees, and routers that see the same set decide alike.
+ * from the set of routers known to it, and routers that know the same set decide alike.
  */
 #ifndef ASH_POLLERS_H
 #define ASH_POLLERS_H
--- a/controllers/prompt_gate.c
+++ b/controllers/prompt_gate.c
@@ -128,7 +128,8 @@
   double hold_fraction = terms->resumed ? HOLD_RESUMED_FRACTION : HOLD_FRACTION;
   struct ash_time hold_until =
       ash_time_add (arrived, (int64_t) (hold_fraction * terms->answer_target_ms));
-  double needed = terms->resumed ? 2 : 1; /* a resumed stream leaves one prompt to new requests */
+  /* A resumed stream waits until two prompts are allowed, so that one is left to new requests. */
+  double needed = terms->resumed ? 2 : 1;
   struct ash_time until;
 
   if (!terms->pause_target_ms || !ash_time_before (now, hold_until))
--- a/controllers/quarantine.h
+++ b/controllers/quarantine.h
@@ -16,7 +16,8 @@
 
 #include <uthash.h>
 
-/** Runs kept per request. That many exits confirm a request in any case. */
+/** Runs kept per request. After this many process exits during runs of a request, the request
+ * always counts as their confirmed cause. */
 #define ASH_QUARANTINE_RUNS 3
 
 /** Runs whose connection broke that are kept until it is known whether the endpoint's process
--- a/controllers/rank_state.h
+++ b/controllers/rank_state.h
@@ -96,7 +96,8 @@
 {
   enum ash_rank_order_kind kind;
   uint32_t rank;
-  uint64_t epoch; /**< the rank refuses the order in any other epoch */
+  uint64_t epoch; /**< epoch of the group that the order is for; the rank refuses it in any other
+                     epoch */
   uint64_t version;
   uint64_t step;
 };
--- a/controllers/rate_limit.h
+++ b/controllers/rate_limit.h
@@ -2,7 +2,7 @@
  * @file
  * Rate limits set by endpoints: the requests per second that an endpoint accepts from all routers
  * together. A few routers each get a share of the rate; the others send the endpoint nothing. All
- * routers select those that share it by the same function of the set of routers that they see, so a
+ * routers select those that share it by the same function of the set of routers known to them, so a
  * fleet of any size keeps to the rate without coordination, and the shares are large enough to be
  * useful.
  */
@@ -21,7 +21,8 @@
 {
   uint32_t milli_per_s;     /**< limit in thousandths of a request per second; 0: none */
   struct ash_time updated;  /**< time of the newest answer that was evaluated */
-  uint64_t routers_digest;  /**< routers that the share was computed for; 0: not computed yet */
+  uint64_t routers_digest;  /**< digest of the set of routers that the share was computed for;
+                               0: not computed */
   double share_per_s;       /**< this router's share, in requests per second */
   double burst;             /**< bucket size in requests */
   double tokens;            /**< requests in the bucket at the time of refilled */
--- a/controllers/route_table.h
+++ b/controllers/route_table.h
@@ -62,7 +62,7 @@
 /** A route: requests with one host and path prefix. */
 struct ash_route
 {
-  uint64_t digest; /**< of the source text, to recognize an unchanged route; 0: not known */
+  uint64_t digest; /**< digest of the source text, to recognize an unchanged route; 0: not known */
   char *name;
   char *host;
   char *prefix;
--- a/controllers/tombstones.h
+++ b/controllers/tombstones.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * Tombstones: a record of endpoints that have left the list, or announced their shutdown. A store
- * that is restored from an older copy may list such an endpoint as ready. The endpoint then gets no
- * requests until there is newer evidence that it is running.
+ * Tombstones: a record of endpoints that were removed from the list, or announced their shutdown. A
+ * store that is restored from an older copy may list such an endpoint as ready. The endpoint then
+ * gets no requests until there is newer evidence that it is running.
  */
 #ifndef ASH_TOMBSTONES_H
 #define ASH_TOMBSTONES_H
@@ -16,14 +16,15 @@
  * which a rolling release replaces some dozens of endpoints. */
 #define ASH_TOMBSTONES_MAX 256
 
-/** An endpoint that left the list, or announced that it would. */
+/** An endpoint that was removed from the list, or announced its shutdown. */
 struct ash_tombstone
 {
   uint64_t endpoint; /**< hash of the endpoint's id; 0: unused */
-  int64_t born_ms; /**< start time of the incarnation that left, by its wall clock; 0: not known */
-  uint64_t era;    /**< era of the store that reported it */
-  struct ash_time relisted; /**< since when a later era lists it again; 0: not listed again */
-  bool draining;            /**< shutdown announced by the endpoint; final for its incarnation */
+  int64_t born_ms;   /**< start time of the removed incarnation, by its wall clock; 0: not known */
+  uint64_t era;      /**< era of the store that reported the removal */
+  struct ash_time
+      relisted; /**< since when the store lists the endpoint again in a later era; 0: it does not */
+  bool draining; /**< shutdown announced by the endpoint; final for its incarnation */
 };
 
 /** All tombstones. Zeroed memory is an empty set. */
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -28,7 +28,7 @@
   bool serving;
   bool
       logged_isolated; /* whether the last log line about isolation reported this box as isolated */
-  bool failed;         /* it could not listen for callers */
+  bool failed;         /* the entry could not listen for callers */
 };
 
 /* ---- links ---- */
@@ -260,8 +260,9 @@
                                   settings->platform_readers);
 }
 
-/* Whether the platform answers. An entry that reads the platform relies on its own reads. An entry
- * that doesn't, or has only just begun to, relies on what the entries that read it report. */
+/* Whether the platform answers. An entry that reads the platform knows this from its own reads. An
+ * entry that does not read it, or has just begun to, relies on the reports of the entries that do.
+ */
 static bool
 platform_answers (void *data)
 {
--- a/daemon/exchange.h
+++ b/daemon/exchange.h
@@ -108,7 +108,7 @@
  */
 bool ash_exchange_check_silence (struct ash_exchange *exchange, struct ash_time now);
 
-/** After a long silence of the endpoint: closes idle connections to it, which may be dead too. */
+/** After a long silence of the endpoint: closes idle connections to it, which may be broken too. */
 void ash_exchange_close_idle_connections (struct ash_exchange *exchange, struct ash_time now);
 
 /** Records evidence about an endpoint that has not answered before the request's deadline. */
--- a/daemon/exchange_cut.c
+++ b/daemon/exchange_cut.c
@@ -61,9 +61,9 @@
   log_disconnect (exchange, &run);
   ash_suspects_record_disconnect (
       suspects, &ash_router_pool (exchange->router, exchange->endpoint)->address, &run);
-  /* A request during which an endpoint process ended before may have ended this one too: it is not
-   * resent until a probe has shown whether this endpoint still runs. Other requests are resent at
-   * once. */
+  /* If an endpoint process exited during an earlier run of this request, the request may have
+   * terminated this endpoint too. It is not resent until a probe has shown whether this endpoint
+   * still runs. Other requests are resent at once. */
   if (ash_quarantine_exits (&suspects->quarantine, run.request))
     exchange->awaited_probe = run.endpoint;
 }
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -94,8 +94,8 @@
   return ash_time_add (exchange->last_received, ash_time_diff (exchange->last_received, now) / 2);
 }
 
-/* After a long silence the endpoint's idle connections may be dead too, and a request that may not
- * be repeated would fail on each of them. */
+/* After a long silence the endpoint's idle connections may be broken too, and a request that may
+ * not be repeated would fail on each of them. */
 void
 ash_exchange_close_idle_connections (struct ash_exchange *exchange, struct ash_time now)
 {
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -61,7 +61,7 @@
   snprintf (peer->hall, sizeof peer->hall, "%s", heartbeat->hall);
   peer->leaving = heartbeat->leaving;
   peer->version = heartbeat->revision;
-  /* Until the peer had a list of endpoints, it discarded this router's reports about endpoints. */
+  /* The peer discarded this router's reports about endpoints while it had no list of endpoints. */
   peer->needs_full_report =
       peer->needs_full_report || (heartbeat->endpoints_revision && !peer->endpoints_revision);
   peer->endpoints_revision = heartbeat->endpoints_revision;
@@ -357,8 +357,8 @@
    * heartbeats seldom. */
   if (ready != fleet->ready_sent)
     ash_peers_send_heartbeats (&fleet->links);
-  /* The routers of the own hall choose those that read the store among the routers that the store
-   * answers. */
+  /* Informs the own hall: only routers that receive answers from the store can be chosen to read
+   * it. */
   else if (answered != fleet->store_answered)
     ash_fleet_notify_hall (fleet);
   fleet->ready_sent = ready;
--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -42,7 +42,7 @@
   uint64_t endpoints_revision;
   uint64_t endpoints_digest; /**< digest of the peer's list of endpoints */
   bool reads_store;          /**< the store answers the peer */
-  uint32_t link_mbps;        /**< what the peer's box can send, in Mbit/s; 0: not known */
+  uint32_t link_mbps;        /**< bandwidth of the peer's box in Mbit/s; 0: not known */
   uint32_t load_count;
   uint64_t *load_endpoints; /**< hashes of the endpoints in the peer's load reports */
   uint64_t *load_in_flight;
@@ -70,7 +70,7 @@
   bool first_of_hall;  /**< this router is one of the first few of its hall, which retry soon while
                           the store is unreachable */
   bool store_answered; /**< whether the store answers this router, as last reported to the hall */
-  bool ready_sent;     /**< whether callers may be sent here, as last reported to all peers */
+  bool ready_sent;     /**< whether callers may use this router, as last reported to all peers */
   bool polls_often;    /**< this router polls the store at short intervals */
   bool reads_store;    /**< this router polls the store; else routers of its hall that do forward
                           changes to it */
@@ -117,14 +117,16 @@
 void ash_fleet_notify_successors (struct ash_fleet *fleet);
 
 /**
- * @return whether this router polls the store at short intervals. A few of the linked routers that
- * the store answers do so, spread over the halls, and forward changes to the others.
+ * @return whether this router polls the store at short intervals. A few routers, spread over the
+ * halls, do so and forward changes to the others. They are chosen among the linked routers that
+ * receive answers from the store.
  */
 bool ash_fleet_polls_often (const struct ash_fleet *fleet);
 
 /**
- * @return whether this router polls the store for changes. In a large hall only a few of the linked
- * routers that the store answers do so, and forward changes to the others.
+ * @return whether this router polls the store for changes. In a large hall only a few routers poll
+ * the store and forward changes to the others. They are chosen among the linked routers that
+ * receive answers from the store.
  */
 bool ash_fleet_reads_store (const struct ash_fleet *fleet);
 
--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -25,7 +25,8 @@
       struct ash_direct_endpoint *endpoint = ash_direct_find_hash (set, peer->load_endpoints[i]);
       uint32_t load = (uint32_t) peer->load_in_flight[i];
 
-      /* If the endpoint was added after the peer's report, its load does not include the peer's. */
+      /* If the endpoint was added after the peer's report, `elsewhere` does not include the load
+       * that the peer reported. */
       if (endpoint)
         endpoint->elsewhere -= load < endpoint->elsewhere ? load : endpoint->elsewhere;
     }
--- a/daemon/fleet_roles.c
+++ b/daemon/fleet_roles.c
@@ -11,8 +11,8 @@
 #define FREQUENT_READERS 3
 
 /* Routers of each hall that poll the store: one remains if another is lost while a third is being
- * stopped. If all the routers of a large fleet polled, most calls to the store would report the
- * same endpoint. */
+ * stopped. If all the routers of a large fleet polled, most answers of the store would be copies
+ * of the same endpoint's entry. */
 #define HALL_READERS 3
 
 /* Routers that are kept informed of a change of an expert map so that they can continue it: one of
--- a/daemon/fleet_terms.h
+++ b/daemon/fleet_terms.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * The terms that endpoints set in their answers: a rate limit, a time to back off, or that they are
- * leaving. Limits and leaving are forwarded to all peers, and limits are split among the routers.
+ * The usage terms that endpoints send with their answers: a rate limit, a back-off time, and a
+ * shutdown notice. Limits and shutdown notices are forwarded to all peers, and limits are split
+ * among the routers.
  */
 #ifndef ASH_FLEET_TERMS_H
 #define ASH_FLEET_TERMS_H
--- a/daemon/group_agent.h
+++ b/daemon/group_agent.h
@@ -25,19 +25,22 @@
   char name[ASH_NAME_BYTES];
   uint32_t rank;
   uint32_t rank_count;
-  uint32_t interval_ms;                                 /**< between decisions on moves */
+  uint32_t interval_ms; /**< time between decisions on moves of experts */
   char box_names[ASH_EXPERT_RANKS_MAX][ASH_NAME_BYTES]; /**< boxes of the group, by rank */
   const char *boxes[ASH_EXPERT_RANKS_MAX];              /**< pointers to box_names */
   struct ash_expert_change change;    /**< the change that this agent coordinates */
   enum ash_expert_phase logged_phase; /**< last phase of the change that was logged */
   struct ash_expert_policy policy;
-  struct ash_expert_placement placement; /**< from the latest state of the own rank */
-  struct ash_expert_decision decision;   /**< the last decision, for the log */
-  struct ash_expert_history history;     /**< decisions and changes, for operators' queries */
-  struct ash_time unsettled_since;       /**< since when the own rank has been armed or blank */
+  struct ash_expert_placement
+      placement;                       /**< placement in the last reported state of the own rank */
+  struct ash_expert_decision decision; /**< the last decision, for the log */
+  struct ash_expert_history history;   /**< decisions and changes, for operators' queries */
+  struct ash_time
+      unsettled_since; /**< since when the own rank has had a map armed, or no map at all */
   struct ash_time next_poll;
   struct ash_time next_decision;
-  char profile[ASH_NAME_BYTES];  /**< profile of the event prepared for; empty: none */
+  char profile[ASH_NAME_BYTES];  /**< load profile of the declared event that is being prepared for;
+                                    empty: none */
   uint64_t rank_map;             /**< digest of the own rank's map; 0: none */
   struct ash_expert_guard guard; /**< checks orders to the own engine */
   bool polling;                  /**< a request for the engine's state is in progress */
--- a/daemon/map_manager.h
+++ b/daemon/map_manager.h
@@ -42,7 +42,8 @@
   struct ash_layer_policy *policy;     /**< NULL: the service has no experts, or not leading */
   enum ash_counts_state counts_state;
   struct ash_time counts_since;          /**< when counts_state last changed */
-  struct ash_time baseline_requested_at; /**< when the first query of the sample was sent */
+  struct ash_time baseline_requested_at; /**< when the token counts at the start of the present
+                                            sample were requested from the engines */
   bool counts_from_baseline; /**< the sample starts at its first query; else at the previous sample,
                                 or at the engines' start */
   uint32_t sample_offset;  /**< selects the queried endpoints: those whose index equals this modulo
--- a/daemon/peer_sync.c
+++ b/daemon/peer_sync.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 
 /* How long this router may lack a configuration that peers have. The store reports a change to all
- * routers within some 30 ms, and heartbeats report it at most one period (300 ms) later, so a
- * router that lacks it longer has a dead watch. */
+ * routers within some 30 ms, and heartbeats report it at most one period (300 ms) later, so if
+ * a router lacks it for longer, the connection of its watch is dead. */
 #define CONFIG_LAG_MS 300
 
 /* How long this router may lack a change of the list of endpoints: as CONFIG_LAG_MS, plus the 400
@@ -28,7 +28,8 @@
   *peer_sync = (struct ash_peer_sync){ .router = router };
 }
 
-/* A configuration that was rejected for errors is not missing. */
+/* @return the revision that this router has of a part. A configuration that was received and
+ * rejected for errors counts as present, so that it is not requested again. */
 static uint64_t
 own_revision (const struct ash_router *router, enum ash_store_part part)
 {
@@ -127,10 +128,10 @@
 
   ash_peer_version_reported (&peer_sync->peer_revisions[ASH_STORE_CONFIG], now, peer->version,
                              own_revision (router, ASH_STORE_CONFIG));
-  /* The revision of the list grows with every change in the store, so only lists with other
-   * contents count. Contents differ for some ms at each change that a peer receives first. If a
-   * peer reports no digest, its list can't be compared and counts only while the store does not
-   * answer. */
+  /* The revision of the list grows with every change in the store, so this router's list counts as
+   * outdated only if the contents differ too. Contents differ for some ms at each change that a
+   * peer receives first. If a peer reports no digest, its list can't be compared and is considered
+   * only while the store does not answer. */
   if (!peer->endpoints_digest && ash_store_is_answering (&router->store, ASH_STORE_SERVERS))
     ash_peer_version_equal (list, now, own_list, own_list);
   else if (peer->endpoints_digest != router->store.digest)
@@ -178,7 +179,7 @@
   ash_fleet_notify_hall (fleet);
 }
 
-/* A difference from another version than the active one is ignored: another router that reads the
+/* A delta whose base is not the active version is ignored: another router that reads the
  * store may have sent the changes in between, and if not, heartbeats will show that something is
  * missing. */
 void
--- a/daemon/peer_sync.h
+++ b/daemon/peer_sync.h
@@ -14,7 +14,7 @@
 struct ash_fleet_peer;
 struct ash_router;
 
-/** Number of parts of the store that peers exchange: all that routers read. */
+/** Number of parts of the store that peers exchange: all parts that routers read. */
 #define ASH_PEER_SYNC_PARTS 2
 
 /** The newest revisions that peers have reported. */
@@ -53,7 +53,7 @@
                                    const struct ash_config_text *before,
                                    const struct ash_config_text *after);
 
-/** Applies a difference between two configurations that a peer has sent. */
+/** Applies a delta, received from a peer, that changes one configuration into a newer one. */
 void ash_peer_sync_apply_delta (struct ash_peer_sync *peer_sync,
                                 const struct Ash__ConfigDelta *delta,
                                 const char *box);
--- a/daemon/platform_reader.h
+++ b/daemon/platform_reader.h
@@ -33,14 +33,14 @@
   struct ash_time sent_at; /**< when the last read was sent */
   uint64_t after_revision; /**< the last read requested a revision newer than this */
   uint32_t status;         /**< HTTP status of the answer; 0: none or too long */
-  uint64_t revision;       /**< of the document in the answer */
+  uint64_t revision;       /**< revision of the document in the answer */
   char *body;
   size_t body_bytes;
   uint32_t failures; /**< consecutive failed reads */
   ev_timer timer;    /**< starts the next read */
 };
 
-/** State of the reader. */
+/** Reads the configuration and the list of boxes from the platform's HTTP interface. */
 struct ash_platform_reader
 {
   struct ash_daemon *daemon;
--- a/daemon/rank_client.c
+++ b/daemon/rank_client.c
@@ -122,7 +122,7 @@
     {
       ash_layer_map_copy (&group->map, &group->next_map);
       group->skew = group->next_map_skew;
-      /* The ranks' reports lag: they will still show the previous map for a while. */
+      /* The ranks' reports lag: for a while they still contain the previous map. */
       for (uint32_t i = 0; i < sw->rank_count; i++)
         ash_map_switch_set_active (sw, i, sw->epoch, group->map.version);
       ash_pass_watch_reset (&group->watch);
--- a/daemon/rank_client.h
+++ b/daemon/rank_client.h
@@ -58,7 +58,7 @@
   char name[ASH_GROUP_NAME_BYTES];
   struct ash_map_switch sw;
   struct ash_rank_endpoint *endpoints[ASH_LAYER_RANKS_MAX];
-  struct ash_layer_map map;            /* in use */
+  struct ash_layer_map map;            /* the map in use */
   bool has_lists[ASH_LAYER_RANKS_MAX]; /* whether the map contains the lists of each rank */
   uint64_t listed_epoch;               /* epoch in which the ranks reported the lists in map */
   struct ash_layer_map next_map;       /* target of the present change; if it is being reverted, the
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -20,8 +20,8 @@
 #define USUAL_DURATION_MS 5000
 
 /* For this long after the signal to stop, when many callers still use the address, a request is
- * accepted if one of USUAL_DURATION_MS would end in time; later, only if its deadline is before the
- * end of the stop. */
+ * accepted if a request that takes USUAL_DURATION_MS would end in time. After it, a request is
+ * accepted only if its deadline is before the end of the stop. */
 #define STOP_EARLY_PHASE_MS 3000
 
 /* Retry-After for requests that a stopping router rejects: short, because the caller has the
@@ -244,7 +244,7 @@
 
 const struct ash_conn_handler ash_requests_handler = { on_request, on_gone, on_drained };
 
-/* ---- the end of a stop ---- */
+/* ---- end of a planned stop ---- */
 
 /* Ends the exchange without trying another endpoint. A request that was sent is reported as
  * possibly run, unless the endpoint guarantees that it did not run or the connection was never
--- a/daemon/router.c
+++ b/daemon/router.c
@@ -116,7 +116,7 @@
 }
 
 /* Idle connections and requests to the endpoint's rank belong to the endpoint's former process, and
- * may be dead like it. */
+ * their connections may be broken. */
 static void
 on_endpoint_restarted (void *data, struct ash_direct_endpoint *endpoint)
 {
--- a/daemon/store.c
+++ b/daemon/store.c
@@ -51,16 +51,17 @@
 #define HALL_RETRY_MAX_MS 2500
 #define HALL_RETRY_FACTOR 7
 
-/* Like ASH_STORE_LAPSE_MS, but counted from the time at which peers report a newer list, if they
- * notice the store's return first: the first change after it is at most a heartbeat (300 ms) older.
- * An endpoint that has left must get no more requests 2 s after the store has removed it, so this
- * is shorter than ASH_STORE_LAPSE_MS; it suffices for endpoints that renew their entries every 1.2
- * s. */
+/* Like ASH_STORE_LAPSE_MS, but counted from the time at which peers report a newer list, if this
+ * shows that the store is back before this router notices it: the first change after the store's
+ * return is then at most one heartbeat period (300 ms) old. An endpoint that has left must get no
+ * more requests 2 s after the store has removed it, so this is shorter than ASH_STORE_LAPSE_MS; it
+ * suffices for endpoints that renew their entries every 1.2 s. */
 #define BEHIND_LAPSE_MS 1500
 
-/* Delays between a complete listing and the first watch. After the second one, a router that starts
- * together with many others is linked to those of its hall that poll the store, and most routers
- * need not poll at all. A router without any link after the first one does not wait longer. */
+/* Delays between a complete listing and the first watch. A router that has no link after
+ * ISOLATED_WAIT_MS starts the watch then. Other routers wait for FIRST_WATCH_DELAY_MS: by then a
+ * router that starts together with many others is linked to those of its hall that poll the store,
+ * and most routers need not poll at all. */
 #define ISOLATED_WAIT_MS 150
 #define FIRST_WATCH_DELAY_MS 1000
 
@@ -227,9 +228,9 @@
   send_request (reader);
 }
 
-/* After a change of the era: the store has assigned the same revisions again, so what has been
- * read up to a revision may differ from what it has now. Restarts the listings of the other
- * parts too. */
+/* Restarts the listings of the other parts after a change of the store's era. The restored store
+ * assigns revisions that it had assigned before, so its contents at a revision may differ from
+ * those that were read at the same revision. */
 static void
 restart_other_listings (const struct ash_store_reader *reader)
 {
@@ -476,7 +477,7 @@
   ash_buffer_finish (&request);
 }
 
-/* Whether the store has sent no valid answer, not even to another reader, since the answer was
+/* Whether no reader has received a valid answer from the store since this reader's answer was
  * due. */
 static bool
 was_silent (const struct ash_store_reader *reader)
--- a/daemon/store.h
+++ b/daemon/store.h
@@ -44,7 +44,8 @@
   uint64_t position; /**< store position after which the watch continues; 0: everything must be read
                         first */
   char page[256];    /**< token of the next page of a listing; empty: the first page */
-  uint32_t listing_id;          /**< number of the current listing, to find entries that it lacks */
+  uint32_t listing_id; /**< number of the current listing; entries with another number are missing
+                          from it */
   struct ash_time requested_at; /**< when the current request was sent */
   uint32_t wait_ms;             /**< how long the store may wait with its answer */
   struct ash_time overdue_at; /**< an answer after this time shows that the store was unavailable */
@@ -129,9 +130,9 @@
 void ash_store_restart_watch (struct ash_store *store, enum ash_store_part part, const char *why);
 
 /**
- * Peers have had a newer list of endpoints than this router since @p since. Entries that this
- * router's list lacks may have expired while the store was unavailable, which this process did not
- * notice. Their endpoints stay in use for a short time.
+ * Handles the case that peers have had a newer list of endpoints than this router since @p since.
+ * Entries that are missing from this router's list may have expired while the store was
+ * unavailable, which this process did not notice. Their endpoints stay in use for a short time.
  */
 void ash_store_expect_lapses (struct ash_store *store, struct ash_time since);
 
--- a/daemon/store_list.c
+++ b/daemon/store_list.c
@@ -30,7 +30,7 @@
 /* Digest of an empty list. Not 0, which peers send that don't support digests. */
 #define EMPTY_LIST_DIGEST 1
 
-/* @return a digest of what matters for using the endpoint: its id, and whether it is draining. */
+/* @return a digest of the data that decide on using the endpoint: its id, and whether it drains. */
 static uint64_t
 digest_of (const struct ash_direct_facts *facts)
 {
--- a/daemon/store_list.h
+++ b/daemon/store_list.h
@@ -40,14 +40,15 @@
 void ash_store_list_publish (struct ash_store *store, uint64_t since, uint64_t position);
 
 /**
- * Runs the timers: uses endpoints again that had reported to be leaving, after a restored store has
- * listed them for a long time.
+ * Runs the timers. An endpoint that reported that it is leaving is used again after a restored
+ * store has listed it for a long time.
  */
 void ash_store_list_tick (struct ash_store *store, struct ash_time now);
 
 /**
  * Records that the store has been restored from an older copy, as an answer or a peer reports.
- * Endpoints write again within 2 s what the copy lacks; until then, missing ones may be running.
+ * Within 2 s running endpoints write the entries again that the copy lacks; until then, endpoints
+ * that are missing from the list may be running.
  * @param source who reported it, for the log.
  */
 void ash_store_begin_era (struct ash_store *store, uint64_t era, const char *source);
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -17,7 +17,7 @@
  * resubmit such a request within seconds. */
 #define SEND_NEW_MAX 32
 
-/* A connection to an endpoint, made to find out whether anything accepts it. */
+/* A connection to an endpoint, made to find out whether a process listens at its address. */
 struct ash_suspect_probe
 {
   struct ash_suspects *suspects;
--- a/filters/entry.h
+++ b/filters/entry.h
@@ -16,7 +16,7 @@
  * knowing. */
 #define ASH_ENTRY_MARGIN_MS 100
 
-/** State of an entry. */
+/** The part of an entry that the filters work on. */
 struct ash_entry
 {
   const struct ash_settings *settings;
--- a/filters/forward.h
+++ b/filters/forward.h
@@ -18,9 +18,9 @@
   ASH_FORWARD_NO_ENDPOINT, /**< no endpoint of the service is known */
   ASH_FORWARD_NO_ROOM,     /**< all endpoints are at their limit of requests in flight */
   ASH_FORWARD_THROTTLED,   /**< endpoints with capacity are at their rate limit or backing off */
-  ASH_FORWARD_REJECTED,    /**< endpoints refused it, and no further attempt is allowed */
-  ASH_FORWARD_FAILED,      /**< it was sent and got no answer; it may have run */
-  ASH_FORWARD_TIMEOUT,     /**< its deadline has passed */
+  ASH_FORWARD_REJECTED,    /**< endpoints refused the request, and no further attempt is allowed */
+  ASH_FORWARD_FAILED,      /**< the request was sent and got no answer; it may have run */
+  ASH_FORWARD_TIMEOUT,     /**< the request's deadline has passed */
   ASH_FORWARD_NO_BUDGET,   /**< a further attempt would exceed the resend budget */
   ASH_FORWARD_LEAVING,     /**< this process stops before the request could finish */
   ASH_FORWARD_QUARANTINED, /**< endpoints' processes ended while running it, so it is sent to
@@ -41,7 +41,7 @@
   enum ash_forward_action action;
   union
   {
-    struct ash_direct_endpoint *endpoint; /**< ASH_FORWARD_SEND: where to send it */
+    struct ash_direct_endpoint *endpoint; /**< ASH_FORWARD_SEND: where to send the request */
     struct ash_time until; /**< ASH_FORWARD_WAIT: call ash_forward_next() again by then */
     struct
     {
@@ -63,13 +63,15 @@
   uint32_t cap;             /**< maximum requests in flight at an endpoint, this one included */
   uint32_t pause_target_ms; /**< target for the longest pause between stream events; 0: none */
   struct ash_time arrived;
-  struct ash_time deadline;   /**< by when the caller must get the final answer */
-  struct ash_time wait_until; /**< until when a stream that has begun may wait to be resumed */
+  struct ash_time deadline; /**< time by which the caller must get the final answer */
+  struct ash_time
+      wait_until; /**< time until which a stream that has begun may wait to be resumed */
   struct ash_prompt_terms prompt;
   bool answer_started;                  /**< part of the answer has been passed to the caller */
   uint32_t unconfirmed;                 /**< attempts not confirmed as not run: they may have run */
   uint32_t sent;                        /**< number of attempts sent so far */
-  uint64_t tried[ASH_DIRECT_TRIED_MAX]; /**< hashes of the ids of endpoints it was sent to */
+  uint64_t tried[ASH_DIRECT_TRIED_MAX]; /**< hashes of the ids of endpoints that the request was
+                                           sent to */
   uint32_t tried_count;
 };
 
@@ -82,7 +84,7 @@
   uint32_t entries;                 /**< number of processes that share the resend budget */
   const char *hall;
   uint64_t own;          /**< a number that identifies this process among its peers */
-  uint32_t remote_parts; /**< of endpoints in other halls, this process uses 1/remote_parts */
+  uint32_t remote_parts; /**< this process uses 1/remote_parts of the endpoints in other halls */
   uint32_t wait_ms;      /**< how long a request may wait for capacity */
   struct ash_prompt_gate *gate; /**< prompt gate of the service; NULL: prompts are not held */
   int64_t quarantined_ms;       /**< remaining quarantine of the request; 0: not quarantined */
--- a/filters/links.c
+++ b/filters/links.c
@@ -122,7 +122,7 @@
           ash_attempt_resume (entry, now, request);
         }
       else
-        /* The incarnation that got the request has ended; whether it ran the request is unknown. */
+        /* The incarnation that received the request has ended. It may have run the request. */
         ash_request_retry_or_fail (entry, now, request, ASH__REASON__ENDPOINT_LOST,
                                    request->received ? ASH__OUTCOME__RAN : ASH__OUTCOME__UNKNOWN,
                                    0);
--- a/filters/request_history.h
+++ b/filters/request_history.h
@@ -19,7 +19,7 @@
   char account[ASH_NAME_BYTES];
   char class_name[ASH_NAME_BYTES];
   char service[ASH_NAME_BYTES];
-  char box[ASH_NAME_BYTES]; /**< the last endpoint that it was sent to; empty if none */
+  char box[ASH_NAME_BYTES]; /**< the last endpoint that the request was sent to; empty if none */
   uint32_t tries;           /**< number of attempts sent */
   int outcome;              /**< enum Ash__Outcome */
   int reason;               /**< enum Ash__Reason */
@@ -32,8 +32,8 @@
 struct ash_request_history
 {
   struct ash_ended_request *requests;
-  uint32_t
-      next; /**< number of requests added so far, modulo ASH_REQUEST_HISTORY_MAX the next slot */
+  uint32_t next; /**< number of requests added so far; the next one goes to slot next %
+                    ASH_REQUEST_HISTORY_MAX */
 };
 
 /** @return false if out of memory; the history stays empty then. */
--- a/net/http_call.c
+++ b/net/http_call.c
@@ -242,7 +242,8 @@
   return ash_socket_address (address, &pool->address);
 }
 
-/* Returns the most recently used idle connection: it is the least likely to have died unnoticed. */
+/* Returns the most recently used idle connection: it is the least likely to have been closed by the
+ * server. */
 static struct ash_pool_conn *
 find_idle (struct ash_http_pool *pool, struct ash_time read_since)
 {
--- a/net/http_call.h
+++ b/net/http_call.h
@@ -74,7 +74,7 @@
 bool ash_http_pool_set_address (struct ash_http_pool *pool, const char *address);
 
 /** Closes the idle connections on which nothing was received at or after @p since, when connections
- * to this address may have died unnoticed. */
+ * to this address may be broken without an error being reported. */
 void ash_http_pool_close_idle (struct ash_http_pool *pool, struct ash_time since);
 
 /**
--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -17,9 +17,9 @@
 
 #define SWEEP_S 0.1
 
-/* Keep-alive timeout of callers' connections. After it the caller counts as disconnected, and its
- * request is cancelled. As long as the retransmission of a lost packet takes, like USER_TIMEOUT_MS
- * of net/stream.c. */
+/* Keep-alive timeout of callers' connections. After this time without a response from the caller's
+ * kernel, the caller counts as disconnected and its request is cancelled. The timeout leaves time
+ * for the retransmission of a lost packet, like USER_TIMEOUT_MS in net/stream.c. */
 #define CALLER_SILENCE_MS 3000
 
 /* Bytes that a caller may send while its request is served, before reading is stopped. */
--- a/net/http_conn.h
+++ b/net/http_conn.h
@@ -50,7 +50,7 @@
   bool head_sent;
   bool chunked;   /**< the current response uses chunked transfer coding */
   bool keep_open; /**< the connection stays open after the current response */
-  void *request;  /**< set by the owner while it serves a request */
+  void *request;  /**< the owner's data while it serves a request */
   struct ash_http_conn *prev;
   struct ash_http_conn *next;
 };
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -64,7 +64,7 @@
 struct ash_http_server_conn
 {
   struct MHD_Connection *connection;
-  struct ash_time since; /* when it was opened, or its last request ended */
+  struct ash_time since; /* when the connection was opened, or its last request ended */
   bool in_request;
   bool used; /* at least one request was received */
   struct ash_http_server_conn *prev;
@@ -558,7 +558,7 @@
     {
       if (exchange->suspended && is_closed (exchange))
         {
-          /* libmicrohttpd sees the error in read_pending() or when it writes the response. */
+          /* libmicrohttpd detects the error in read_pending() or when it writes the response. */
           server->handler.gone (server->handler.data, exchange->number);
           shutdown (socket_of (exchange->connection), SHUT_RDWR);
           abort_exchange (server, exchange);
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -22,7 +22,7 @@
 /** A complete request; valid during the handler's call only. */
 struct ash_http_request
 {
-  uint64_t number; /**< identifies the request when it is answered */
+  uint64_t number; /**< identifies the request to the functions that send its response */
   const char *method;
   const char *path; /**< percent-decoded, without the query */
   const char *uri;  /**< as received: path and query, percent-encoded */
--- a/options/document.h
+++ b/options/document.h
@@ -63,7 +63,8 @@
   char hall[ASH_NAME_BYTES];
   char peer[ASH_NAME_BYTES];
   uint32_t slots;
-  char group[ASH_NAME_BYTES]; /**< group of engines that it runs in lock-step with; may be empty */
+  char group[ASH_NAME_BYTES]; /**< group of engines that run in lock-step with this endpoint's
+                                 engine; may be empty */
   uint32_t rank;              /**< rank of the endpoint in `group` */
   bool checks_orders; /**< the engine itself rejects orders for another incarnation or with an
                          outdated ballot */
