--- a/controllers/agent_admit.c
+++ b/controllers/agent_admit.c
@@ -128,7 +128,8 @@
   return mean_us ? mean_us : agent->all_runs.mean_us;
 }
 
-/* Adds one mean run, since the current runs must end first; all work is shared by the slots. */
+/* Adds the mean duration of a run, since the running requests must end first. The slots share the
+ * work. */
 int64_t
 ash_agent_wait_ms (const struct ash_agent *agent, int64_t work_us, uint32_t slots)
 {
--- a/controllers/direct.h
+++ b/controllers/direct.h
@@ -122,7 +122,7 @@
 void ash_direct_note_sent (struct ash_direct_endpoint *endpoint, struct ash_time now);
 
 /**
- * Sends the endpoint nothing for @p ms: it rejected a request and asked this router to back off.
+ * Sends the endpoint nothing for @p ms: it rejected a request and requested a back-off.
  */
 void ash_direct_back_off (struct ash_direct_endpoint *endpoint, struct ash_time now, int64_t ms);
 
@@ -175,9 +175,9 @@
 };
 
 /**
- * Chooses the endpoint with the lowest weighted load; among equals, one at random. Endpoints of
- * other halls outside this router's part are used only if none of the others matches, or those
- * below their cap are all throttled.
+ * Chooses the endpoint with the lowest weighted load; among equals, one at random. Each
+ * router has a part of the endpoints of other halls; the rest of them are considered only if no
+ * other endpoint matches, or if all other endpoints below their cap are throttled.
  * @param chosen set to the endpoint, or NULL.
  */
 enum ash_direct_choice ash_direct_choose (struct ash_direct_set *set,
--- a/controllers/expert_policy.c
+++ b/controllers/expert_policy.c
@@ -256,8 +256,8 @@
   return fast < slow ? fast : slow;
 }
 
-/* Proposes a replica of the expert in slot @from in slot @to, or an exchange of the two slots'
- * experts if slot @to holds the last replica of its expert.
+/* Proposes to put a replica of the expert in slot @p from into slot @p to, or, if slot @p to holds
+ * the last replica of its expert, to exchange the experts of the two slots.
  * @return whether the move is possible. */
 static bool
 make_candidate (const struct ash_expert_placement *placement,
--- a/controllers/expert_rank.h
+++ b/controllers/expert_rank.h
@@ -44,7 +44,7 @@
   uint64_t before;  /**< digest of the map that is used for steps before `from` */
   uint64_t armed;   /**< ballot of the armed map; 0: none is armed */
   uint64_t armed_map;
-  uint64_t armed_step;  /**< the rank waits with this step for a commit or disarm order */
+  uint64_t armed_step;  /**< step that the rank begins only after a commit or disarm order */
   uint64_t last_ballot; /**< ballot of the last commit order */
 };
 
--- a/controllers/ledger.h
+++ b/controllers/ledger.h
@@ -76,7 +76,7 @@
 struct ash_ledger
 {
   struct ash_record *records; /**< hash table by id */
-  struct ash_record *queued;  /**< by priority, then deadline */
+  struct ash_record *queued;  /**< ordered by priority, then by deadline */
   struct ash_record *running;
   struct ash_record *ended;       /**< finished or refused, without a key, ordered by expiry */
   struct ash_record *ended_keyed; /**< finished or refused, with a key, ordered by expiry */
--- a/controllers/map_switch.c
+++ b/controllers/map_switch.c
@@ -473,7 +473,7 @@
       sw->ranks[rank].answered = true;
       break;
     case ASH_MAP_ARM:
-      sw->ranks[rank].refusals++; /* sent again until cannot_arm() */
+      sw->ranks[rank].refusals++; /* the order is sent again until cannot_arm() is true */
       break;
     case ASH_MAP_FENCE:
       /* The rank has had a newer version, or it is armed by an order that arrived after the disarm.
--- a/controllers/membership.h
+++ b/controllers/membership.h
@@ -79,8 +79,8 @@
                                         bool leaving);
 
 /**
- * @return whether this box has links to so few of the declared boxes that it is more likely
- * isolated itself than all of them down.
+ * @return whether this box has links to so few of the declared boxes that it is more likely that
+ * this box is isolated than that all the other boxes are down.
  */
 bool ash_membership_isolated (const struct ash_membership *membership,
                               const struct ash_document *document,
--- a/controllers/peer_period.h
+++ b/controllers/peer_period.h
@@ -18,8 +18,8 @@
 
 /**
  * The more routers there are in other halls, the later a router learns their load on an endpoint,
- * and all that see the same free slot would send a request to it. Each router therefore uses only a
- * part of the endpoints of other halls.
+ * and all routers that know of the same free slot would send a request to it. Each router therefore
+ * uses only a part of the endpoints of other halls.
  * @return number of parts; 1 if loads are sent to other halls as often as within a hall.
  */
 uint32_t ash_peer_period_remote_parts (uint32_t load_period_ms, uint32_t remote_count);
--- a/controllers/peer_version.h
+++ b/controllers/peer_version.h
@@ -1,8 +1,9 @@
 /**
  * @file
- * Detects by the versions that peers report that this process misses a newer configuration or
- * endpoint list. Usually the source of this process delivers the same version within milliseconds.
- * If it does not, the source is stuck for this process, even if its connection looks healthy.
+ * Detects that this process lacks a configuration or endpoint list that peers have, by comparing
+ * its version with the versions that peers report. Usually the source of this process delivers the
+ * same version within milliseconds. If it does not, the source is stuck for this process, even if
+ * its connection looks healthy.
  */
 #ifndef ASH_PEER_VERSION_H
 #define ASH_PEER_VERSION_H
--- a/controllers/rank_state.h
+++ b/controllers/rank_state.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Reports of the ranks of a group that runs in lock-step on expert maps of several layers,
- * the maps themselves, and the orders that a rank accepts.
+ * Types for the ranks of a group that runs in lock-step: the reports of a rank, the group's expert
+ * map, which has several layers, and the orders that a rank accepts.
  */
 #ifndef ASH_RANK_STATE_H
 #define ASH_RANK_STATE_H
--- a/controllers/rate_limit.c
+++ b/controllers/rate_limit.c
@@ -10,8 +10,8 @@
 #define RATE_MIN_PER_S 0.25
 
 /* Number of routers that share a rate: HOLDERS_BASE plus HOLDERS_PER_S for each request per second.
- * At low rates there are few, since each may send one request at once. While routers see different
- * sets of routers, two of them may hold the same share. */
+ * At low rates the number is small, since each of these routers may send one request at once. While
+ * routers know different sets of routers, two routers may hold the same share. */
 #define HOLDERS_BASE 2.0
 #define HOLDERS_PER_S 1.5
 
--- a/controllers/rate_limit.h
+++ b/controllers/rate_limit.h
@@ -42,8 +42,8 @@
                             struct ash_time answered,
                             struct ash_time sent);
 
-/** @return a router's sort key among those that may get a share of an endpoint's rate; the lowest
- * get one first. Both arguments are hashes of names. */
+/** @return a router's sort key among the routers that may get a share of an endpoint's rate;
+ * routers with the lowest keys get a share. Both arguments are hashes of names. */
 uint64_t ash_rate_limit_order (uint64_t endpoint, uint64_t router);
 
 /**
--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -72,8 +72,8 @@
   bool store_answered; /**< whether the store answers this router, as last reported to the hall */
   bool ready_sent;     /**< whether callers may use this router, as last reported to all peers */
   bool polls_often;    /**< this router polls the store at short intervals */
-  bool reads_store;    /**< this router polls the store; else routers of its hall that do forward
-                          changes to it */
+  bool reads_store;    /**< this router polls the store; otherwise it receives changes from the
+                          routers of its hall that poll */
   bool opened;
 };
 
--- a/daemon/fleet_roles.c
+++ b/daemon/fleet_roles.c
@@ -11,8 +11,8 @@
 #define FREQUENT_READERS 3
 
 /* Routers of each hall that poll the store: one remains if another is lost while a third is being
- * stopped. If all the routers of a large fleet polled, most answers of the store would be copies
- * of the same endpoint's entry. */
+ * stopped. If all the routers of a large fleet polled, most calls to the store would only return
+ * the change of an endpoint that the store returns to the other routers too. */
 #define HALL_READERS 3
 
 /* Routers that are kept informed of a change of an expert map so that they can continue it: one of
@@ -146,7 +146,8 @@
   return before;
 }
 
-/* @return the peer that would lead after `after`, or first if that is NULL; NULL: there is none. */
+/* @return the peer that follows `after` in the order of leading, or the first one if `after` is
+ * NULL; NULL if there is none. */
 static const struct ash_fleet_peer *
 next_leader (const struct ash_fleet *fleet, const struct ash_fleet_peer *after)
 {
--- a/daemon/peer_sync.h
+++ b/daemon/peer_sync.h
@@ -2,7 +2,7 @@
  * @file
  * Exchange between routers of what the store holds: the configuration and the list of endpoints. If
  * a router gets no change from the store although peers have a newer version, it requests that
- * version from a peer and restarts its watch at the store, which may be dead.
+ * version from a peer, and restarts its watch at the store, whose connection may be dead.
  */
 #ifndef ASH_PEER_SYNC_H
 #define ASH_PEER_SYNC_H
@@ -47,7 +47,8 @@
 /**
  * Sends the difference between two configurations to the own hall, after the newer one has come
  * from the store and been activated.
- * @param before its text is empty if there was none.
+ * @param before the former configuration; its text is empty if there was none.
+ * @param after the active configuration.
  */
 void ash_peer_sync_publish_config (struct ash_peer_sync *peer_sync,
                                    const struct ash_config_text *before,
--- a/daemon/store.h
+++ b/daemon/store.h
@@ -123,8 +123,8 @@
 bool ash_store_is_followed (const struct ash_store *store, enum ash_store_part part);
 
 /**
- * Restarts the watch of a part with an immediate answer, after a sign, other than the watch's own
- * timeout, that its connection is dead.
+ * Cancels the watch of a part and reads the part again without a waiting time. To be called if
+ * something other than the watch's own timeout indicates that its connection is dead.
  * @param why for the log.
  */
 void ash_store_restart_watch (struct ash_store *store, enum ash_store_part part, const char *why);
--- a/daemon/store_list.c
+++ b/daemon/store_list.c
@@ -27,10 +27,11 @@
  * draining endpoints would change nothing. */
 #define DRAINING_FACTOR UINT64_C (0x9e3779b97f4a7c15)
 
-/* Digest of an empty list. Not 0, which peers send that don't support digests. */
+/* Digest of an empty list. Not 0, because peers that don't support digests send 0. */
 #define EMPTY_LIST_DIGEST 1
 
-/* @return a digest of the data that decide on using the endpoint: its id, and whether it drains. */
+/* @return a digest of the data that determines whether the endpoint is used: its id, and whether it
+ * is draining. */
 static uint64_t
 digest_of (const struct ash_direct_facts *facts)
 {
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -148,7 +148,7 @@
   handle_endpoint_end (suspects, endpoint, ASH_QUARANTINE_RESTARTED);
 }
 
-/* @return whether the request was suspected of ending endpoints. */
+/* Clears a request of suspicion. @return whether it was suspected of terminating endpoints. */
 static bool
 clear_suspect (struct ash_suspects *suspects, struct ash_id request, const char *source)
 {
--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -386,7 +386,8 @@
       fd = accept4 (listener->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
       if (fd < 0 && errno == EINTR)
         continue;
-      /* Out of file descriptors: the sweep retries, instead of every loop iteration. */
+      /* Out of file descriptors: the sweep accepts again, so that not every loop iteration tries.
+       */
       if (fd < 0 && (errno == EMFILE || errno == ENFILE))
         ev_io_stop (listener->loop, &listener->io);
       if (fd < 0)
--- a/options/document.h
+++ b/options/document.h
@@ -115,8 +115,8 @@
   uint32_t lead_s; /**< how long before its start the event already counts as started */
 };
 
-/** A rate that is reserved for an account during an event: its requests up to that rate are served
- * above the account's limit and with their own priority. */
+/** A rate that is reserved for an account during an event. Requests up to that rate don't count
+ * against the account's limit and get the priority of the reservation. */
 struct ash_reservation
 {
   char name[ASH_NAME_BYTES];
--- a/options/intent.h
+++ b/options/intent.h
@@ -3,8 +3,9 @@
  * Applies an operator's intent to a published document. This only computes a plan; the operator
  * reviews, confirms and publishes it.
  *
- * An intent is a partial document. Each of its rows is added, or overwrites single keys of the row
- * with the same kind and name. `remove = ["endpoint model-3"]` removes rows.
+ * An intent is a partial document. If the published document has a row with the same kind and name
+ * as a row of the intent, only the keys that the intent gives are replaced; otherwise the row is
+ * added. `remove = ["endpoint model-3"]` removes rows.
  */
 #ifndef ASH_INTENT_H
 #define ASH_INTENT_H
