--- a/controllers/agent_admit.c
+++ b/controllers/agent_admit.c
@@ -18,8 +18,8 @@
 }
 
 /* Whether a caller's first attempt that arrives now may have been sent before this incarnation
- * started: it may take guard_ms to reach the entry, and from the entry as long as a link may be
- * silent before it is closed. */
+ * started. An attempt may take guard_ms to reach the entry. From the entry to this agent it may
+ * take as long as a link may be silent before it is closed. */
 bool
 ash_agent_guarded (const struct ash_agent *agent, struct ash_time now)
 {
--- a/controllers/map_switch.c
+++ b/controllers/map_switch.c
@@ -117,8 +117,8 @@
   return held == sw->released && ash_time_diff (sw->released_at, now) < RELEASED_HOLD_MS;
 }
 
-/* Of several holds by other routers, the one of the lowest step stalls the group: it is handled
- * first. */
+/* If other routers hold several steps, the group is stalled at the lowest of them: this hold is
+ * handled first. */
 static void
 record_hold (struct ash_map_switch *sw, struct ash_time now, const struct ash_rank_report *report)
 {
--- a/controllers/map_switch.h
+++ b/controllers/map_switch.h
@@ -85,8 +85,8 @@
   uint32_t lag_ms; /**< age of a report when it arrives, in milliseconds */
   enum ash_map_phase phase;
   enum ash_map_result result;
-  uint64_t version;  /**< version of the new map; 0: none */
-  uint64_t fence;    /**< version that has the map in use, prepared as a fence */
+  uint64_t version; /**< version of the new map; 0: none */
+  uint64_t fence; /**< version number for the fence: a copy of the map in use that ranks prepare */
   bool fence_is_set; /**< @ref fence was set for the present change */
   uint64_t step;     /**< step that is being held */
   uint32_t own_rank; /**< rank at which this router holds steps */
--- a/controllers/quarantine.c
+++ b/controllers/quarantine.c
@@ -13,9 +13,10 @@
  * software. */
 #define FORGET_MS (60 * 60 * 1000)
 
-/* Exits that confirm a request if none of its runs had begun to answer; ASH_QUARANTINE_RUNS
- * otherwise. Uninvolved requests have mostly begun to answer when the process exits, and are
- * cleared by their next run. A third exit would stop a group of ranks for seconds more. */
+/* Number of process exits after which a request counts as their confirmed cause if no answer had
+ * begun in any of its runs; otherwise the number is ASH_QUARANTINE_RUNS. For most requests that
+ * are not the cause, the answer has begun when the process exits, and their next run clears them.
+ * A third exit would stop a group of ranks for seconds more. */
 #define EXITS_WITHOUT_ANSWER 2
 
 /* How long before the evidence of an exit a connection may have broken because of that exit. A
--- a/daemon/explain.c
+++ b/daemon/explain.c
@@ -7,7 +7,7 @@
 #define GROUP_PATH "/v1/explain/group/"
 #define REQUEST_PATH "/v1/explain/request/"
 
-/* Boxes that have not answered by then are listed as silent in the answer. */
+/* Boxes that have not answered within this time are listed as silent in the answer. */
 #define QUERY_TIMEOUT_MS 800
 
 void
--- a/daemon/peer_sync.h
+++ b/daemon/peer_sync.h
@@ -59,7 +59,7 @@
                                 const struct Ash__ConfigDelta *delta,
                                 const char *box);
 
-/** Send the configuration, or the list of endpoints, that a peer has requested. */
+/** Send a peer the configuration, or the list of endpoints, after it has requested that. */
 void ash_peer_sync_send_config (struct ash_peer_sync *peer_sync, const char *box);
 void ash_peer_sync_send_list (struct ash_peer_sync *peer_sync, const char *box);
 
--- a/net/keep_alive.c
+++ b/net/keep_alive.c
@@ -13,7 +13,8 @@
 {
   int on = 1;
   int probe_s = PROBE_S;
-  int probes = (int) (silence_ms / (PROBE_S * 1000)) - 1; /* less the idle time before the first */
+  int probes =
+      (int) (silence_ms / (PROBE_S * 1000)) - 1; /* one period passes before the first probe */
   int user_timeout_ms = (int) silence_ms;
 
   setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
--- a/net/peer.h
+++ b/net/peer.h
@@ -69,8 +69,9 @@
 };
 
 /**
- * Starts listening at the address of the settings. The address is exclusive: while a suspended
- * earlier process still holds it this fails, so that no two agents of a box are active.
+ * Starts listening at the address of the settings. The address is exclusive: binding fails
+ * while a suspended earlier process still holds the address, so that no two agents of a box are
+ * active.
  * @return false with errno set on failure.
  */
 bool ash_peers_init (struct ash_peers *peers, struct ev_loop *loop);
--- a/options/document.h
+++ b/options/document.h
@@ -77,7 +77,8 @@
   uint32_t line;
   uint32_t experts;    /**< number of experts in a layer of the model */
   uint32_t rank_slots; /**< experts that a rank holds in a layer */
-  uint32_t moves; /**< experts moved per interval at most, as the weight store has a limited rate */
+  uint32_t moves;      /**< maximum number of experts moved per interval, as the weight store has a
+                          limited rate */
   uint32_t interval_ms;
   double skew_weight;
   double cost_weight;
