--- a/controllers/direct.h
+++ b/controllers/direct.h
@@ -64,9 +64,10 @@
   struct ash_time pace_seen; /**< when the pace was last reported */
   bool announced_leaving;    /**< an answer announced its shutdown; reset when it restarts */
   struct ash_rate_limit limit;
-  struct ash_time backoff_until; /**< it asked this router to send no requests until then */
-  void *owner;                   /**< user data of the code that holds its connections */
-  UT_hash_handle hh;             /**< by id */
+  struct ash_time
+      backoff_until; /**< the endpoint requested that this router send it nothing until then */
+  void *owner;       /**< user data of the code that holds its connections */
+  UT_hash_handle hh; /**< by id */
   UT_hash_handle by_hash;
 };
 
@@ -76,7 +77,7 @@
   struct ash_direct_endpoint *endpoints; /**< by id */
   struct ash_direct_endpoint *by_hash;   /**< the same endpoints, by hash */
   struct ash_random random;
-  uint64_t revision; /**< of the endpoint list */
+  uint64_t revision; /**< revision of the endpoint list */
   /** Called before an endpoint is freed, so that its connections can be closed. May be NULL. */
   void (*before_free) (void *data, struct ash_direct_endpoint *endpoint);
   /** Called when an endpoint has restarted, maybe at another address. May be NULL. */
@@ -121,7 +122,7 @@
 void ash_direct_note_sent (struct ash_direct_endpoint *endpoint, struct ash_time now);
 
 /**
- * Sends the endpoint nothing for @p ms: it rejected a request and asked this router to back off.
+ * Sends the endpoint nothing for @p ms: it rejected a request and requested a back-off.
  */
 void ash_direct_back_off (struct ash_direct_endpoint *endpoint, struct ash_time now, int64_t ms);
 
@@ -174,9 +175,9 @@
 };
 
 /**
- * Chooses the endpoint with the lowest weighted load; among equals, one at random. Endpoints of
- * other halls outside this router's part are used only if none of the others matches, or those
- * below their cap are all throttled.
+ * Chooses the endpoint with the lowest weighted load; among equals, one at random. Each
+ * router has a part of the endpoints of other halls; the rest of them are considered only if no
+ * other endpoint matches, or if all other endpoints below their cap are throttled.
  * @param chosen set to the endpoint, or NULL.
  */
 enum ash_direct_choice ash_direct_choose (struct ash_direct_set *set,
--- a/controllers/expert_policy.c
+++ b/controllers/expert_policy.c
@@ -19,7 +19,8 @@
 /* Loads of the ranks under a placement. */
 struct loads
 {
-  double tokens[ASH_EXPERTS_MAX]; /* share of each expert; the sum is 1 */
+  double
+      tokens[ASH_EXPERTS_MAX]; /* fraction of all tokens that each expert processes; the sum is 1 */
   uint16_t replicas[ASH_EXPERTS_MAX];
   double ranks[ASH_EXPERT_POLICY_RANKS_MAX];
 };
@@ -255,8 +256,8 @@
   return fast < slow ? fast : slow;
 }
 
-/* Proposes a replica of the expert in slot @from in slot @to, or an exchange of the two slots'
- * experts if slot @to holds the last replica of its expert.
+/* Proposes to put a replica of the expert in slot @p from into slot @p to, or, if slot @p to holds
+ * the last replica of its expert, to exchange the experts of the two slots.
  * @return whether the move is possible. */
 static bool
 make_candidate (const struct ash_expert_placement *placement,
--- a/daemon/peer_sync.h
+++ b/daemon/peer_sync.h
@@ -2,7 +2,7 @@
  * @file
  * Exchange between routers of what the store holds: the configuration and the list of endpoints. If
  * a router gets no change from the store although peers have a newer version, it requests that
- * version from a peer and restarts its watch at the store, which may be dead.
+ * version from a peer, and restarts its watch at the store, whose connection may be dead.
  */
 #ifndef ASH_PEER_SYNC_H
 #define ASH_PEER_SYNC_H
@@ -14,7 +14,7 @@
 struct ash_fleet_peer;
 struct ash_router;
 
-/** Number of parts of the store that peers exchange: all that routers read. */
+/** Number of parts of the store that peers exchange: all parts that routers read. */
 #define ASH_PEER_SYNC_PARTS 2
 
 /** The newest revisions that peers have reported. */
@@ -47,18 +47,19 @@
 /**
  * Sends the difference between two configurations to the own hall, after the newer one has come
  * from the store and been activated.
- * @param before its text is empty if there was none.
+ * @param before the former configuration; its text is empty if there was none.
+ * @param after the active configuration.
  */
 void ash_peer_sync_publish_config (struct ash_peer_sync *peer_sync,
                                    const struct ash_config_text *before,
                                    const struct ash_config_text *after);
 
-/** Applies a difference between two configurations that a peer has sent. */
+/** Applies a delta, received from a peer, that changes one configuration into a newer one. */
 void ash_peer_sync_apply_delta (struct ash_peer_sync *peer_sync,
                                 const struct Ash__ConfigDelta *delta,
                                 const char *box);
 
-/** Send the configuration, or the list of endpoints, that a peer has requested. */
+/** Send a peer the configuration, or the list of endpoints, after it has requested that. */
 void ash_peer_sync_send_config (struct ash_peer_sync *peer_sync, const char *box);
 void ash_peer_sync_send_list (struct ash_peer_sync *peer_sync, const char *box);
 
--- a/daemon/suspects.c
+++ b/daemon/suspects.c
@@ -17,7 +17,7 @@
  * resubmit such a request within seconds. */
 #define SEND_NEW_MAX 32
 
-/* A connection to an endpoint, made to find out whether anything accepts it. */
+/* A connection to an endpoint, made to find out whether a process listens at its address. */
 struct ash_suspect_probe
 {
   struct ash_suspects *suspects;
@@ -148,7 +148,7 @@
   handle_endpoint_end (suspects, endpoint, ASH_QUARANTINE_RESTARTED);
 }
 
-/* @return whether the request was suspected of ending endpoints. */
+/* Clears a request of suspicion. @return whether it was suspected of terminating endpoints. */
 static bool
 clear_suspect (struct ash_suspects *suspects, struct ash_id request, const char *source)
 {
--- a/options/document.h
+++ b/options/document.h
@@ -63,7 +63,8 @@
   char hall[ASH_NAME_BYTES];
   char peer[ASH_NAME_BYTES];
   uint32_t slots;
-  char group[ASH_NAME_BYTES]; /**< group of engines that it runs in lock-step with; may be empty */
+  char group[ASH_NAME_BYTES]; /**< group of engines that run in lock-step with this endpoint's
+                                 engine; may be empty */
   uint32_t rank;              /**< rank of the endpoint in `group` */
   bool checks_orders; /**< the engine itself rejects orders for another incarnation or with an
                          outdated ballot */
@@ -76,7 +77,8 @@
   uint32_t line;
   uint32_t experts;    /**< number of experts in a layer of the model */
   uint32_t rank_slots; /**< experts that a rank holds in a layer */
-  uint32_t moves; /**< experts moved per interval at most, as the weight store has a limited rate */
+  uint32_t moves;      /**< maximum number of experts moved per interval, as the weight store has a
+                          limited rate */
   uint32_t interval_ms;
   double skew_weight;
   double cost_weight;
@@ -114,8 +116,8 @@
   uint32_t lead_s; /**< how long before its start the event already counts as started */
 };
 
-/** A rate that is reserved for an account during an event: its requests up to that rate are served
- * above the account's limit and with their own priority. */
+/** A rate that is reserved for an account during an event. Requests up to that rate don't count
+ * against the account's limit and get the priority of the reservation. */
 struct ash_reservation
 {
   char name[ASH_NAME_BYTES];
