--- a/bench/policy.c
+++ b/bench/policy.c
@@ -295,8 +295,7 @@
 
       for (int i = 0; i < 10; i++)
         sum += got[second + i];
-      /* The limit allows a burst of one second's worth of calls, so 10 s allow 11 times the rate.
-       */
+      /* The limit allows a burst of one second of calls, so 10 s allow 11 times the rate. */
       worst = fmax (worst, sum / (11.0 * HEAVY_LIMIT_PER_S));
     }
   return worst > 1 ? 100 * (worst - 1) : 0;
--- a/bench/router_sim.h
+++ b/bench/router_sim.h
@@ -41,7 +41,7 @@
   uint32_t groups;                       /**< number of groups of endpoints; 0: two */
   uint32_t shift_period_ms;              /**< period of shifts of the requested experts; 0: none */
   uint32_t shift_duration_ms; /**< until the expert map is adapted; ranks copy experts meanwhile */
-  double shift_skew;          /**< skew of the map until it is adapted */
+  double shift_skew;          /**< load of the busiest rank / mean load, until the map is adapted */
   uint32_t cap;               /**< maximum requests at an endpoint, over all routers */
   bool fixed_cap;             /**< do not reduce cap when streams pause too long */
   int32_t retry_cap_extra;    /**< added to cap for calls that retry; may be negative */
--- a/spec/expert_map.pml
+++ b/spec/expert_map.pml
@@ -38,7 +38,7 @@
 byte armed_map[RANKS];
 byte armed_step[RANKS];
 byte promised[RANKS];
-bool blank[RANKS];   /* replaced, and has no state of the others yet */
+bool blank[RANKS];   /* the rank was replaced and has not got the other ranks' state */
 byte incarnation[RANKS];
 bool replaced;
 
@@ -222,7 +222,7 @@
   byte r;
   byte donor;            /* a rank with the newest committed map */
   byte latest_step;      /* latest step that any rank has begun, according to the answers */
-  byte newest_version;   /* version of its map */
+  byte newest_version;   /* version of the donor's map */
   bool ok;
   bool differ;
   byte read_version[RANKS];
--- a/spec/map_switch.pml
+++ b/spec/map_switch.pml
@@ -72,7 +72,7 @@
 
 byte step;           /* last step that was begun; all ranks begin a step together */
 byte used[RANKS];    /* version in use */
-byte map_of[16];     /* the map of each version, named by the version of its change */
+byte map_of[16];     /* map of each version, as the version of the change that made the map */
 byte prepared[RANKS]; /* newest version that the rank has accepted with a prepare */
 bool copied[RANKS];  /* the rank has copied all experts of the prepared version */
 byte armed[RANKS];   /* armed version; 0: none */
--- a/test/fault_tests.h
+++ b/test/fault_tests.h
@@ -35,7 +35,7 @@
  */
 int run_fault_tests (const char *suite, const struct fault_test *tests, const char *part);
 
-/** Like run_fault_tests(), with several lists; NULL ends the tables. */
+/** Like run_fault_tests(), with several lists of tests in an array that NULL ends. */
 int run_fault_tables (const char *suite, const struct fault_test *const *tables, const char *part);
 
 /** Number of concurrent streams in the load that some tests run. */
@@ -44,7 +44,8 @@
 /** Waits for the streams of a load and checks that each is complete, with that many tokens. */
 void expect_streams (struct fleet_call *calls, int tokens);
 
-/** Waits until an engine has @p count runs of a kind. @return false after 10 s. */
+/** Waits until an engine has @p count runs of a kind, as in fleet_count_runs().
+ * @return false after 10 s. */
 bool wait_runs (struct fleet *fleet, int a, const char *kind, int count);
 
 /** Waits until a revision is active at an entry. @return false after 10 s. */
--- a/test/faults.c
+++ b/test/faults.c
@@ -528,8 +528,9 @@
   fleet_stop (&fleet);
 }
 
-/* The same for a planned stop of agents. Requests that may be repeated are retried at another
- * endpoint and get whole answers. */
+/* At the end of the grace period of an agent's planned stop the agent must exit, and each caller
+ * must get a final answer: requests that may be repeated are retried at another endpoint and get
+ * whole answers, the order gets the outcome unknown. */
 static void
 test_agent_stop_grace (void)
 {
--- a/test/group_fleet.h
+++ b/test/group_fleet.h
@@ -48,14 +48,17 @@
 /** Makes the engines drop all orders of a kind (RankOrder.Kind in proto/ash.proto; 0: none). */
 void group_fleet_drop_orders (const struct group_fleet *group, int kind);
 
-/** Waits until the group begins no more steps, as between arm and commit.
+/** Waits until the ranks begin no more steps, for example since they are armed and wait for the
+ * commit.
  * @return false after 10 s */
 bool group_fleet_wait_stalled (const struct group_fleet *group);
 
-/** @return a counter of the stand-in: steps, differences, changes or longest_wait_ms. */
+/** @return a counter of the engines' stand-in (test/standin_group.c): steps, differences, changes
+ * or longest_wait_ms. */
 int64_t group_fleet_read_counter (const struct group_fleet *group, const char *what);
 
-/** Waits until a counter of the stand-in is at least that large. @return false after 10 s. */
+/** Waits until a counter of the engines' stand-in is @p least or more. @return false after 10 s.
+ */
 bool group_fleet_wait (const struct group_fleet *group, const char *what, int64_t least);
 
 #endif
--- a/test/groups.c
+++ b/test/groups.c
@@ -37,8 +37,8 @@
   group_fleet_stop (&group);
 }
 
-/* Agents 0 and 1, each of which may be the coordinator then, are killed in turn during changes of
- * the map. */
+/* Kills agents 0 and 1 in turn during changes of the map; either may be the coordinator of the
+ * change at that time. */
 static void
 kill_coordinator (void (*start) (struct group_fleet *group))
 {
@@ -183,7 +183,8 @@
   group_fleet_stop (&group);
 }
 
-/* An entry explains a group: each agent's decisions and the loads that they are based on. */
+/* An entry's operator API lists, for a group, the decisions of each agent and the loads that they
+ * are based on. */
 static void
 test_explain (void)
 {
--- a/test/map_schedule.c
+++ b/test/map_schedule.c
@@ -349,7 +349,8 @@
   if ((!router->leads && router->map_switch.phase < ASH_MAP_HOLD) ||
       sim->now_ms < router->paused_until_ms)
     return;
-  /* Streams show the time of a pass earlier than reports show its step. */
+  /* A router can measure the time of a pass on its streams before a report shows the step of that
+   * pass. */
   if (sim->step && chance (sim, 20))
     ash_map_switch_set_pass_ms (&router->map_switch, PASS_MS);
   for (uint32_t i = 0; i < RANKS; i++)
--- a/test/operators.c
+++ b/test/operators.c
@@ -216,7 +216,7 @@
                               "[[account]]\nname = \"a\"\nburst = 7\n", &status);
   CU_ASSERT_EQUAL (json_array_size (json_object_get (second, "not_met")), 0);
   CU_ASSERT_EQUAL (fleet_revision (&fleet, 0), 1);
-  /* Both can be confirmed while the base is still active; the platform accepts only one. */
+  /* Both plans can be confirmed while the base is still active; the platform accepts only one. */
   CU_ASSERT_EQUAL (confirm (&fleet, 0, first, ""), 200);
   CU_ASSERT_EQUAL (confirm (&fleet, 1, second, ""), 200);
   CU_ASSERT_EQUAL (publish_plan (&fleet, first), 200);
@@ -456,7 +456,7 @@
   long status = 0;
 
   fleet_start (&fleet, OPERATOR_SETTINGS);
-  /* A plan lists what can't be met under not_met, and can't be confirmed then. */
+  /* Changes that can't be made are listed in the plan's not_met; such a plan can't be confirmed. */
   plan = post_operator_api (
       &fleet, 0, "/v1/plan", OPERATOR_KEY,
       "remove = [\"endpoint nobody\"]\n[[account]]\nname = \"a\"\nclass = \"x\"\n", &status);
@@ -597,7 +597,7 @@
   fleet_wait_call (&before);
   CU_ASSERT (fleet_stream_ok (&before.answer, 150));
   ash_cli_answer_finish (&before.answer);
-  /* After a restart it accepts requests again. */
+  /* After a restart the drained box accepts requests again. */
   CU_ASSERT_EQUAL (fleet_end_process (&fleet.endpoints[0].pid, SIGTERM), 0);
   fleet_start_endpoint (&fleet, 0);
   for (int e = 0; e < FLEET_ENTRIES; e++)
--- a/test/router.c
+++ b/test/router.c
@@ -559,7 +559,8 @@
     printf ("\n%s: %s\n", id, end);
 }
 
-/* The failed requests that docs/OPERATIONS.md explains, from the id to the cause. */
+/* Finds the cause of failed requests from their ids, for the failures that docs/OPERATIONS.md
+ * describes. */
 static void
 test_trace (void)
 {
--- a/test/router_quarantine.c
+++ b/test/router_quarantine.c
@@ -20,7 +20,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* After so many crashes no endpoint may receive the request any more. */
+/* A request that has crashed this many endpoints must not be sent to any other endpoint. */
 #define CRASHES_MAX 3
 
 #define SUBMISSIONS 6
@@ -118,7 +118,8 @@
   testbed_stop (&testbed);
 }
 
-/* A frequent request is answered between crashes that have another cause: the answer clears it. */
+/* A frequent request is answered between crashes that have another cause: the answer clears the
+ * evidence against the request. */
 static void
 test_cleared (void)
 {
--- a/test/router_stop.c
+++ b/test/router_stop.c
@@ -492,7 +492,8 @@
   close (fresh);
   CU_ASSERT_EQUAL (fleet_end_process (&testbed.routers[0].pid, 0), 0);
   testbed_stop (&testbed);
-  /* The same, when a second signal ends the stop. */
+  /* Requests are still unread when two signals arrive, the second of which ends the stop: the
+   * answers must state correctly whether the requests ran. */
   start ();
   kept = connect_kept ();
   kill (testbed.routers[0].pid, SIGSTOP);
--- a/test/router_store.c
+++ b/test/router_store.c
@@ -429,7 +429,7 @@
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT (applies_changes ());
   testbed_stop (&testbed);
-  /* The same with a router that is running when its polls are cut off. */
+  /* A running router whose polls have failed must learn of changes from the slow store, too. */
   start ();
   testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
   CU_ASSERT (testbed_wait_logged (&testbed, 0, "platform_down"));
@@ -476,10 +476,12 @@
   testbed_stop (&testbed);
 }
 
-/* The same failure, when a peer with a shorter time-out detects the silence. When the store answers
- * again, the peer treats the entries as expired and reports a newer list in its heartbeat; this
- * router, whose polls were lost, got that list and polled the store. The cause: it trusted the
- * peer's list and the store's answer, since none of its own polls had timed out. */
+/* The failure: callers got 503 although all servers were running, until the servers were listed
+ * again. The store was silent, the entries expired, and a peer with a shorter time-out detected the
+ * silence. When the store answered again, the peer treated the entries as expired and reported a
+ * newer list in its heartbeat; this router, whose polls were lost, got that list and polled the
+ * store. The cause: this router trusted the peer's list and the store's answer, since none of its
+ * own polls had timed out. */
 static void
 test_silence_found_by_peer (void)
 {
--- a/test/router_testbed.h
+++ b/test/router_testbed.h
@@ -101,7 +101,7 @@
  * no configuration. */
 void testbed_start (struct testbed *testbed);
 
-/** Like testbed_start(), with a link in front of each process. */
+/** Like testbed_start(), with a proxy (struct testbed_link) in front of each process. */
 void testbed_start_linked (struct testbed *testbed);
 
 /** Like testbed_start_linked(); routers use a clock that testbed_advance_boot_clock() moves. */
@@ -126,7 +126,8 @@
 /** Starts a group of ranks and lists them as the service "model", for the route /model/. */
 void testbed_start_group (struct testbed *testbed);
 
-/** @return a number of the group's state, by its name there, or -1: see test/standin_ranks.c. */
+/** @return a number from the group's state, or -1. @param name its name in the answer to GET
+ * /state, see test/standin_ranks.c. */
 long testbed_group_state (struct testbed *testbed, const char *name);
 
 /** Waits until the router's readiness page reports @p ready. @return false after 10 s. */
--- a/test/standin_store.c
+++ b/test/standin_store.c
@@ -5,7 +5,7 @@
  *
  *     PUT /put?KEY (body: the value)      PUT /remove?KEY
  *     PUT /mode?ok | busy (answers 503) | silent (no answers) | forget (drops the history)
- *     PUT /mode?slowMS (delays each answer by so many ms)
+ *     PUT /mode?slowMS (delays each answer by MS ms)
  *     PUT /era?TEXT (sets the header Store-Era of all answers; empty: no such header)
  *     PUT /restore?REVISION (restores a copy of that revision: later writes are lost, revision
  *     numbers are reused, the era increases by one, pending requests are cut)
--- a/test/unit.h
+++ b/test/unit.h
@@ -8,8 +8,8 @@
 #include <CUnit/CUnit.h>
 
 /**
- * Declared events: rows of the document, start and end times, reservations, expected loads of
- * experts.
+ * Declared events: rows of the configuration document, start and end times, reservations, expected
+ * loads of experts.
  */
 void add_declared_tests (CU_pSuite suite);
 
@@ -28,7 +28,7 @@
 /** A store that is restored from an older copy. */
 void add_era_tests (CU_pSuite suite);
 
-/** Expert maps, and the model and watch of pass times. */
+/** Expert maps, the model of pass times, and the detection of slow passes. */
 void add_expert_tests (CU_pSuite suite);
 
 /** Switching a group of ranks to another expert map. */
--- a/test/unit_prompts.c
+++ b/test/unit_prompts.c
@@ -43,7 +43,7 @@
   ash_prompt_gate_add_pause (gate, at (ms), pause_ms, PAUSE_AIM_MS);
 }
 
-/* ---- decisions of the gate ---- */
+/* ---- decisions of the prompt gate ---- */
 
 static void
 test_sudden_long_pass (void)
@@ -66,8 +66,8 @@
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 250, 250), 0);
 }
 
-/* Passes that remain long become the usual ones and keep the gate open. Passes that double but stay
- * short leave room for prompts. */
+/* Passes that remain long are accepted as normal, so prompts don't wait. Neither do they if passes
+ * take twice as long as before but are still short. */
 static void
 test_steady_passes (void)
 {
@@ -104,7 +104,8 @@
   /* Two prompts per pass of 50 ms: the third may be sent 25 ms later. */
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 100, 100), 26);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 100, 126), 0);
-  /* A resumed stream leaves one prompt of the allowance to new streams. */
+  /* A resumed stream must leave room for one prompt of a new stream, so its own prompt waits
+   * longer. */
   CU_ASSERT (wait_ms (&gate, &resumed, 126, 126) > 0);
   CU_ASSERT_EQUAL (wait_ms (&gate, &resumed, 126, 152), 0);
   /* After 600 ms a resumed stream is sent regardless of the pace. */
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -88,7 +88,7 @@
 {
   struct ash_route_table table;
 
-  /* All findings are reported at once. */
+  /* All errors of a configuration are reported at once. */
   read_table (&table, "{\"Services\":[{}],\"Routes\":[{}],\"Tenants\":[{}]}", 6);
   ash_route_table_finish (&table);
   /* In a split without any weight no service could be picked for a request. */
@@ -757,7 +757,8 @@
   ash_peer_version_reported (&version, (struct ash_time){ 1300 }, 9, 4);
   ash_peer_version_reported (&version, (struct ash_time){ 1350 }, 5, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1400 }, 4, 400));
-  /* A newer version that arrives here restarts the wait: the source is working. */
+  /* When this router gets a newer version the wait starts again, as its own source of changes
+   * works. */
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1500 }, 6, 1));
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1600 }, 6, 100));
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1600 }, 6, 101));
--- a/test/unit_terms.c
+++ b/test/unit_terms.c
@@ -164,7 +164,7 @@
 {
   struct ash_rate_limit limit = { 0 };
 
-  /* Most endpoints announce no rate. */
+  /* An endpoint that announces no rate (0) is not limited. */
   CU_ASSERT_FALSE (ash_rate_limit_update (&limit, 0, at (10), at (5)));
   CU_ASSERT_EQUAL (ash_rate_limit_wait_ms (&limit, at (10)), 0);
   CU_ASSERT (ash_rate_limit_update (&limit, 2000, at (20), at (15)));
@@ -181,7 +181,7 @@
   CU_ASSERT_EQUAL (limit.milli_per_s, 3000);
   CU_ASSERT (ash_rate_limit_update (&limit, 0, at (70), at (50)));
   CU_ASSERT_EQUAL (ash_rate_limit_wait_ms (&limit, at (70)), 0);
-  /* A peer that has not learned of the revocation yet still sends the old rate. */
+  /* The old rate is ignored when a peer that has not learned of the revocation still sends it. */
   CU_ASSERT_FALSE (ash_rate_limit_update (&limit, 3000, at (60), at (60)));
   CU_ASSERT_EQUAL (limit.milli_per_s, 0);
 }
--- a/test/unit_trace.c
+++ b/test/unit_trace.c
@@ -66,7 +66,7 @@
   explain (&trace, denied, end, sizeof end);
   CU_ASSERT_STRING_EQUAL (end, "Denied with 401 under configuration 7: no such key.");
   ash_trace_finish (&trace);
-  /* An unknown result is reported as unknown. */
+  /* The log has no line that shows how the request ended. */
   explain (&trace, unended, end, sizeof end);
   CU_ASSERT_PTR_NOT_NULL (strstr (end, "No line shows how it ended"));
   CU_ASSERT_PTR_NOT_NULL (strstr (end, "(12 were). It was last at i-7 and may have run."));
