--- a/bench/router_sim.h
+++ b/bench/router_sim.h
@@ -50,8 +50,8 @@
   bool by_deadline;           /**< serve waiting requests by class and deadline, not by arrival */
   uint32_t report_period_ms;  /**< period of load reports between routers */
   enum router_sim_retry retry_policy;
-  uint32_t retry_min_ms;    /**< RETRY_RANDOM, RETRY_BY_RATE */
-  uint32_t retry_spread_ms; /**< RETRY_RANDOM */
+  uint32_t retry_min_ms;    /**< for RETRY_RANDOM and RETRY_BY_RATE */
+  uint32_t retry_spread_ms; /**< for RETRY_RANDOM */
 };
 
 /** Results of the calls of one class: numbers of calls unless noted. */
--- a/bench/spread.c
+++ b/bench/spread.c
@@ -209,7 +209,8 @@
 }
 
 /* Waits until all boxes have accepted the revision. @return milliseconds from @p since_ms until
- * the last box accepted it; -1: timeout. @param took_ms the same for each box. */
+ * the last box accepted it; -1: timeout. @param took_ms receives the
+ * milliseconds for each box. */
 static int64_t
 propagation_ms (const struct testbed *testbed, int64_t since_ms, double *took_ms)
 {
--- a/test/fault_tests.h
+++ b/test/fault_tests.h
@@ -35,7 +35,7 @@
  */
 int run_fault_tests (const char *suite, const struct fault_test *tests, const char *part);
 
-/** Like run_fault_tests(), with several lists of tests in an array that NULL ends. */
+/** Like run_fault_tests(), with an array of lists of tests; NULL ends the array. */
 int run_fault_tables (const char *suite, const struct fault_test *const *tables, const char *part);
 
 /** Number of concurrent streams in the load that some tests run. */
--- a/test/faults.c
+++ b/test/faults.c
@@ -144,7 +144,8 @@
 }
 
 /* A minted key names its home endpoint and the incarnation of that endpoint's agent. Therefore an
- * agent that has just started runs it, once, at any attempt; a later incarnation refuses it. */
+ * agent that has just started runs a request with the key, once, whatever its attempt number; a
+ * later incarnation of the agent refuses the request. */
 static void
 test_minted_key (void)
 {
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -62,7 +62,7 @@
 /** Kills all processes that still run and removes the folder, unless FLEET_KEEP is set. */
 void fleet_stop (struct fleet *fleet);
 
-/** Starts one daemon; also to restart it after it has ended. */
+/** Starts one daemon, or restarts it after it has ended. */
 void fleet_start_entry (struct fleet *fleet, int e);
 void fleet_start_endpoint (struct fleet *fleet, int a);
 
--- a/test/group_fleet.h
+++ b/test/group_fleet.h
@@ -35,7 +35,7 @@
 
 void group_fleet_stop (struct group_fleet *group);
 
-/** Starts a rank's agent; also to restart it after it has ended. */
+/** Starts a rank's agent, or restarts it after it has ended. */
 void group_fleet_start_agent (struct group_fleet *group, int rank);
 
 /** Makes the engines report eight times as many tokens for one expert as for each other expert. */
@@ -48,7 +48,7 @@
 /** Makes the engines drop all orders of a kind (RankOrder.Kind in proto/ash.proto; 0: none). */
 void group_fleet_drop_orders (const struct group_fleet *group, int kind);
 
-/** Waits until the ranks begin no more steps, for example since they are armed and wait for the
+/** Waits until the ranks begin no more steps, for example as they are armed and wait for the
  * commit.
  * @return false after 10 s */
 bool group_fleet_wait_stalled (const struct group_fleet *group);
--- a/test/map_schedule.c
+++ b/test/map_schedule.c
@@ -365,7 +365,7 @@
     ash_map_switch_begin (
         &router->map_switch, now (sim),
         ash_map_switch_new_version (&router->map_switch, ash_random_next (&sim->random)), copy_ms);
-  /* The router may have to request the map in use first. */
+  /* Before it can fence the ranks, the router may have to request the map in use. */
   if (ash_map_switch_needs_fence (&router->map_switch) && chance (sim, 50))
     ash_map_switch_set_fence (
         &router->map_switch,
--- a/test/router_era.c
+++ b/test/router_era.c
@@ -166,7 +166,7 @@
   testbed_stop (&testbed);
 }
 
-/* An invalid era is ignored; an answer without the header belongs to the current era. */
+/* An invalid era is ignored; an answer without the Store-Era header belongs to the current era. */
 static void
 test_bad_era (void)
 {
--- a/test/router_store.c
+++ b/test/router_store.c
@@ -523,7 +523,7 @@
       CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, r, true));
     }
   CU_ASSERT (follower_logged ("store_reader", "reads=0"));
-  /* Polls that were in progress then end with the first change. */
+  /* The first change ends the polls that the follower made before it stopped polling. */
   testbed_list_server (&testbed, 1, "draining");
   testbed_publish (&testbed);
   CU_ASSERT (follower_logged ("endpoint_leaving", "endpoint=i-B1"));
@@ -531,7 +531,8 @@
 }
 
 /* A follower makes no store calls and still gets every change. 149 routers that all polled the
- * store made 231 calls per second, most of them for the same endpoint, at a cost of 0.11 a day. */
+ * store made 231 calls per second, most of them for the same endpoint, at a cost of 0.11 in the
+ * score of a day. */
 static void
 test_follower (void)
 {
--- a/test/router_terms.c
+++ b/test/router_terms.c
@@ -120,7 +120,7 @@
 }
 
 /* The limit is lifted while one router is stopped. That router then sends the endpoint no request
- * whose answer would show it, so it must learn it from its peers. */
+ * whose answer would show that the limit was lifted, so it must learn this from its peers. */
 static void
 test_limit_lifted_while_stopped (void)
 {
--- a/test/session.h
+++ b/test/session.h
@@ -10,7 +10,6 @@
 #include "controllers/expert_rank.h"
 #include "filters/entry.h"
 
-/** Which core a session drives. */
 enum session_core
 {
   SESSION_ENTRY,
--- a/test/unit_quarantine.c
+++ b/test/unit_quarantine.c
@@ -30,7 +30,7 @@
   return ash_quarantine_add_run (quarantine, &run);
 }
 
-/* Two endpoints exit in consecutive runs of a request that gave no answer in either run. */
+/* Two endpoints exit in consecutive runs of a request, before either has begun its answer. */
 static void
 test_two_exits (void)
 {
@@ -46,8 +46,8 @@
   ash_quarantine_finish (&quarantine);
 }
 
-/* If the request had begun to answer in a run, the exit may have another cause: then three exits
- * are required. */
+/* If an endpoint had begun to answer the request in a run, the exit may have another cause: then
+ * three exits are required. */
 static void
 test_three_exits (void)
 {
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -660,11 +660,11 @@
   own = ash_direct_find (&set, "e149");
   CU_ASSERT_PTR_NOT_NULL_FATAL (own);
   snprintf (own->facts.hall, sizeof own->facts.hall, "own");
-  /* There are three free slots; every router sends to one of them. */
+  /* If each router uses all endpoints of other halls, all send to one of the three free slots. */
   CU_ASSERT (spill_over (&set, 1, &sent) > SPILLOVER_ROUTERS / 5);
   CU_ASSERT_EQUAL (sent, SPILLOVER_ROUTERS);
-  /* With more than one part, the last slots stay free for requests of other routers that this
-   * router has not learned of yet. */
+  /* If each router uses only one of six parts of the endpoints of other halls, it leaves their last
+   * slots free for requests of other routers that it has not learned of yet. */
   spill_over (&set, 6, &sent);
   CU_ASSERT_EQUAL (sent, 0);
   /* When endpoints have many free slots, each gets only some of the routers, and every router finds
@@ -674,7 +674,8 @@
     endpoint->elsewhere = 1;
   CU_ASSERT (spill_over (&set, 6, &sent) < 8);
   CU_ASSERT_EQUAL (sent, SPILLOVER_ROUTERS);
-  /* With no endpoint in its own hall or in its part, a router takes any endpoint. */
+  /* If its own hall and its part of the other halls' endpoints have none to offer, a router takes
+   * any endpoint. */
   own->facts.draining = true;
   for (uint32_t i = 1; i < SPILLOVER_ENDPOINTS - 1; i++)
     {
@@ -749,16 +750,18 @@
 
   ash_peer_version_reported (&version, (struct ash_time){ 100 }, 4, 4);
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 900 }, 4, 0));
-  /* The wait begins when a peer reports a newer version, not when the last one arrived here. */
+  /* A router is behind once it has lacked a version for some time, which runs from a peer's first
+   * report of a newer version, not from the arrival of the router's own last version. */
   ash_peer_version_reported (&version, (struct ash_time){ 1000 }, 6, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1250 }, 4, 250));
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1250 }, 4, 251));
-  /* Further reports, newer or older, do not restart the wait. */
+  /* Further reports, of newer or older versions, do not restart the time after which the router is
+   * behind. */
   ash_peer_version_reported (&version, (struct ash_time){ 1300 }, 9, 4);
   ash_peer_version_reported (&version, (struct ash_time){ 1350 }, 5, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1400 }, 4, 400));
-  /* When this router gets a newer version the wait starts again, as its own source of changes
-   * works. */
+  /* When this router gets a newer version, the time after which it is behind starts again, since
+   * its own source of changes works. */
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1500 }, 6, 1));
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1600 }, 6, 100));
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1600 }, 6, 101));
@@ -785,7 +788,7 @@
   ash_peer_version_reported (&version, at (2000), 12, 4);
   ash_peer_version_equal (&version, at (2100), 11, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, at (2700), 4, 700));
-  /* A later change that a peer reports starts a new wait. */
+  /* When a peer reports a later change, the time after which this router is behind starts again. */
   ash_peer_version_equal (&version, at (2800), 13, 4);
   ash_peer_version_reported (&version, at (3000), 14, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, at (3100), 4, 100));
--- a/test/workers.h
+++ b/test/workers.h
@@ -7,7 +7,7 @@
 
 #include <stdint.h>
 
-/** A schedule test. */
+/** A schedule test that workers_run() runs for many seeds. */
 struct workers
 {
   /**
