--- a/test/standin_link.c
+++ b/test/standin_link.c
@@ -6,8 +6,8 @@
  * POST /control?mode=1     cut: keeps connections open, forwards nothing, loses nothing
  * POST /control?mode=2     forwards only from the caller to the target
  * POST /control?mode=3     closes connections and accepts no new ones
- * POST /control?silence=1  forwards nothing more of connections that are open now, in either
- *                          direction, nor their end; new connections are not affected
+ * POST /control?silence=1  for connections that are open now, forwards neither further bytes nor
+ *                          the close, in both directions; new connections are not affected
  * POST /control?silence=2  the same only towards the caller: what the caller sends still arrives
  * POST /control?silence=3  the same only towards the target
  * GET  /control            the number of connections accepted so far
