--- a/test/router.c
+++ b/test/router.c
@@ -616,10 +616,10 @@
   return fd;
 }
 
-/* The failure: a router that started while the store was slow sent as many requests again to
- * endpoints that its peers had already loaded, until the loads changed. The cause: its links to
- * peers were up before it had the list of endpoints. The peers reported their loads as the links
- * came up, and the new router dropped the loads of endpoints that it did not know yet. */
+/* The failure: a router that started while the store was slow doubled the load of endpoints that
+ * its peers had already loaded, until the loads changed. The cause: its links to peers were up
+ * before it had the list of endpoints. The peers reported their loads as the links came up, and the
+ * new router dropped the loads of endpoints that it did not know yet. */
 static void
 test_peer_loads_before_list (void)
 {
--- a/test/schedule.c
+++ b/test/schedule.c
@@ -4,7 +4,7 @@
  * engines, links that break, processes that are killed, stopped, or suspended and resumed,
  * and homes that move. The invariants are checked after every event.
  *
- * usage: schedule [COUNT [FIRST_SEED [stop]]]
+ * usage: test-schedule [COUNT [FIRST_SEED [stop]]]
  * A failing seed prints its sessions as golden files; the exit status is then 1.
  */
 #include "test/session.h"
--- a/test/unit_era.c
+++ b/test/unit_era.c
@@ -83,9 +83,9 @@
   CU_ASSERT_EQUAL (ash_tombstones_pop_expired (&tombstones, at (6100)), ENDPOINT);
   CU_ASSERT_EQUAL (ash_tombstones_pop_expired (&tombstones, at (6100)), 0);
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (6100), ENDPOINT, 5, 4));
-  /* A listing in the era of the removal must be a new write by the endpoint itself. So must a
-   * listing of another incarnation, even one with an earlier start time: the clocks of boxes may
-   * differ. */
+  /* A listing in the era of the removal is not stale, since it must be a new write by the endpoint
+   * itself. Nor is a listing of another incarnation, even one with an earlier start time: the
+   * clocks of boxes may differ. */
   add_tombstone (&tombstones, 5, 4, false);
   CU_ASSERT_FALSE (ash_tombstones_is_stale (&tombstones, at (7000), ENDPOINT, 5, 4));
   add_tombstone (&tombstones, 5, 4, false);
