--- a/test/faults.c
+++ b/test/faults.c
@@ -144,7 +144,8 @@
 }
 
 /* A minted key names its home endpoint and the incarnation of that endpoint's agent. Therefore an
- * agent that has just started runs it, once, at any attempt; a later incarnation refuses it. */
+ * agent that has just started runs a request with the key, once, whatever its attempt number; a
+ * later incarnation of the agent refuses the request. */
 static void
 test_minted_key (void)
 {
@@ -528,8 +529,9 @@
   fleet_stop (&fleet);
 }
 
-/* The same for a planned stop of agents. Requests that may be repeated are retried at another
- * endpoint and get whole answers. */
+/* At the end of the grace period of an agent's planned stop the agent must exit, and each caller
+ * must get a final answer: requests that may be repeated are retried at another endpoint and get
+ * whole answers, the order gets the outcome unknown. */
 static void
 test_agent_stop_grace (void)
 {
--- a/test/map_schedule.c
+++ b/test/map_schedule.c
@@ -349,7 +349,8 @@
   if ((!router->leads && router->map_switch.phase < ASH_MAP_HOLD) ||
       sim->now_ms < router->paused_until_ms)
     return;
-  /* Streams show the time of a pass earlier than reports show its step. */
+  /* A router can measure the time of a pass on its streams before a report shows the step of that
+   * pass. */
   if (sim->step && chance (sim, 20))
     ash_map_switch_set_pass_ms (&router->map_switch, PASS_MS);
   for (uint32_t i = 0; i < RANKS; i++)
@@ -364,7 +365,7 @@
     ash_map_switch_begin (
         &router->map_switch, now (sim),
         ash_map_switch_new_version (&router->map_switch, ash_random_next (&sim->random)), copy_ms);
-  /* The router may have to request the map in use first. */
+  /* Before it can fence the ranks, the router may have to request the map in use. */
   if (ash_map_switch_needs_fence (&router->map_switch) && chance (sim, 50))
     ash_map_switch_set_fence (
         &router->map_switch,
