--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -25,10 +25,11 @@
       struct ash_direct_endpoint *endpoint = ash_direct_find_hash (set, peer->load_endpoints[i]);
       uint32_t load = (uint32_t) peer->load_in_flight[i];
 
-      /* If the endpoint was added after the peer's report, `elsewhere` does not include the load
-       * that the peer reported. */
+      /* If the endpoint was added after the peer's report, `peers_in_flight` does not include the
+       * load that the peer reported. */
       if (endpoint)
-        endpoint->elsewhere -= load < endpoint->elsewhere ? load : endpoint->elsewhere;
+        endpoint->peers_in_flight -=
+            load < endpoint->peers_in_flight ? load : endpoint->peers_in_flight;
     }
   free (peer->load_endpoints);
   free (peer->load_in_flight);
@@ -87,10 +88,10 @@
       peer->load_in_flight[at] = 0;
       peer->load_count++;
     }
-  endpoint->elsewhere -= peer->load_in_flight[at] < endpoint->elsewhere
-                             ? (uint32_t) peer->load_in_flight[at]
-                             : endpoint->elsewhere;
-  endpoint->elsewhere += (uint32_t) in_flight;
+  endpoint->peers_in_flight -= peer->load_in_flight[at] < endpoint->peers_in_flight
+                                   ? (uint32_t) peer->load_in_flight[at]
+                                   : endpoint->peers_in_flight;
+  endpoint->peers_in_flight += (uint32_t) in_flight;
   peer->load_in_flight[at] = in_flight;
 }
 
