--- a/bench/engine_model.c
+++ b/bench/engine_model.c
@@ -65,11 +65,11 @@
   for (uint32_t i = 0; i < ENGINE_BATCH && budget; i++)
     {
       struct engine_run *run = &engine->runs[i];
-      uint32_t read = run->prompt_left < budget ? run->prompt_left : budget;
+      uint32_t read = run->prompt_remaining < budget ? run->prompt_remaining : budget;
 
       if (!run->run)
         continue;
-      run->prompt_left -= read;
+      run->prompt_remaining -= read;
       budget -= read;
       took_us += (int64_t) read * ENGINE_PROMPT_TOKEN_US;
     }
--- a/bench/engine_model.h
+++ b/bench/engine_model.h
@@ -26,7 +26,7 @@
 struct engine_run
 {
   uint64_t run; /**< 0: unused slot */
-  uint32_t prompt_left;
+  uint32_t prompt_remaining;
   uint32_t tokens_left;
   uint32_t generated;
 };
--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -175,7 +175,7 @@
       struct Ash__EngineHead head = ASH__ENGINE_HEAD__INIT;
       struct Ash__EngineEnd end = ASH__ENGINE_END__INIT;
 
-      if (!run->run || run->prompt_left)
+      if (!run->run || run->prompt_remaining)
         continue;
       engine->tokens++;
       run->generated++;
--- a/bench/router_sim.c
+++ b/bench/router_sim.c
@@ -64,7 +64,7 @@
   int64_t first_ms; /* first attempt */
   int64_t next_ms;  /* CALL_PENDING: next attempt */
   uint32_t class_index;
-  uint32_t prompt_left;
+  uint32_t prompt_remaining;
   uint32_t prompt;
   uint32_t events;
   uint32_t events_received;
@@ -241,7 +241,7 @@
     {
       struct call *call = &sim->calls[sim->active[i]];
 
-      if (is_of_group (sim, call, group) && call->prompt_left == 0)
+      if (is_of_group (sim, call, group) && call->prompt_remaining == 0)
         make_event (sim, call);
     }
   sim->groups[group].pass_running = false;
@@ -269,9 +269,9 @@
           writers[rank] == ENDPOINT_SLOTS)
         continue;
       writers[rank]++;
-      tokens =
-          call->prompt_left < read_most - read[rank] ? call->prompt_left : read_most - read[rank];
-      call->prompt_left -= tokens;
+      tokens = call->prompt_remaining < read_most - read[rank] ? call->prompt_remaining
+                                                               : read_most - read[rank];
+      call->prompt_remaining -= tokens;
       read[rank] += tokens;
       most_writers = writers[rank] > most_writers ? writers[rank] : most_writers;
       most_read = read[rank] > most_read ? read[rank] : most_read;
@@ -345,7 +345,7 @@
   call->state = CALL_SENT;
   call->endpoint = at;
   call->reads_ms = sim->now_ms + PROMPT_DELAY_MS;
-  call->prompt_left = call->prompt;
+  call->prompt_remaining = call->prompt;
   sim->endpoint_load[at]++;
   if (sim->endpoint_load[at] > sim->result->max_at_endpoint)
     sim->result->max_at_endpoint = sim->endpoint_load[at];
@@ -464,7 +464,7 @@
 
           for (uint32_t q = 0; q < ROUTERS; q++)
             sum += q != r && sim->routers[q].up ? sim->routers[q].reported[e] : 0;
-          sim->routers[r].endpoints[e]->elsewhere = sum;
+          sim->routers[r].endpoints[e]->peers_in_flight = sum;
         }
       sim->routers[r].check_waiting = true;
     }
--- a/controllers/agent.c
+++ b/controllers/agent.c
@@ -91,7 +91,7 @@
   /* An agent that is not the home can't know what the home has done with other attempts. */
   if (reason == ASH__REASON__NOT_HOME)
     return requester->caller_attempt == 1;
-  return ash_agent_knows_all_attempts (agent, now, requester);
+  return ash_agent_all_attempts_known (agent, now, requester);
 }
 
 static void
@@ -149,7 +149,7 @@
       return;
     }
   /* If the request is refused later from the queue, the outcome is sent to this requester too. */
-  if (!ash_agent_knows_all_attempts (agent, now, requester))
+  if (!ash_agent_all_attempts_known (agent, now, requester))
     record->outcome = ASH__OUTCOME__UNKNOWN;
   if (record->state != ASH_RECORD_FINISHED)
     ash_record_watch (record, requester->peer, requester->attempt);
@@ -215,7 +215,7 @@
   record->arrived = now;
   record->deadline = ash_time_add (now, submit->budget_ms);
   /* The outcome to send if the request is refused from the queue. */
-  record->outcome = ash_agent_knows_all_attempts (agent, now, requester) ? ASH__OUTCOME__NOT_RUN
+  record->outcome = ash_agent_all_attempts_known (agent, now, requester) ? ASH__OUTCOME__NOT_RUN
                                                                          : ASH__OUTCOME__UNKNOWN;
   record->refused_upto = ash_requester_covered_attempts (requester);
   ash_record_watch (record, requester->peer, requester->attempt);
--- a/controllers/agent_admit.c
+++ b/controllers/agent_admit.c
@@ -31,7 +31,7 @@
  * key's lifetime has passed since this one started. Requests without a key have only one attempt,
  * and a minted key is valid for one incarnation only. */
 bool
-ash_agent_knows_all_attempts (const struct ash_agent *agent,
+ash_agent_all_attempts_known (const struct ash_agent *agent,
                               struct ash_time now,
                               const struct ash_requester *requester)
 {
@@ -170,7 +170,7 @@
     return ASH__REASON__LEAVING;
   if (requester->keyed && requester->no_repeat)
     {
-      if (!ash_agent_knows_all_attempts (agent, now, requester))
+      if (!ash_agent_all_attempts_known (agent, now, requester))
         return ASH__REASON__NEW_LIFE;
       /* A later attempt may have overtaken this one and run in the previous incarnation. */
       if (!requester->minted && ash_agent_guarded (agent, now))
--- a/controllers/agent_admit.h
+++ b/controllers/agent_admit.h
@@ -16,7 +16,7 @@
 bool ash_agent_guarded (const struct ash_agent *agent, struct ash_time now);
 
 /** @return whether this incarnation knows of every earlier attempt of the request. */
-bool ash_agent_knows_all_attempts (const struct ash_agent *agent,
+bool ash_agent_all_attempts_known (const struct ash_agent *agent,
                                    struct ash_time now,
                                    const struct ash_requester *requester);
 
--- a/controllers/config.c
+++ b/controllers/config.c
@@ -28,7 +28,7 @@
 ash_config_finish (struct ash_config *config)
 {
   drop_deltas (config);
-  for (uint32_t i = 0; i < config->past_count; i++)
+  for (uint32_t i = 0; i < config->previous_count; i++)
     ash_document_finish (&config->past[i].document);
   ash_document_finish (&config->document);
   free (config->text);
@@ -45,8 +45,8 @@
 drop_oldest (struct ash_config *config)
 {
   ash_document_finish (&config->past[0].document);
-  config->past_count--;
-  memmove (&config->past[0], &config->past[1], config->past_count * sizeof config->past[0]);
+  config->previous_count--;
+  memmove (&config->past[0], &config->past[1], config->previous_count * sizeof config->past[0]);
 }
 
 static bool
@@ -76,17 +76,17 @@
 static void
 remember_active (struct ash_config *config, struct ash_time now, int64_t keep_ms)
 {
-  struct ash_config_past *past;
+  struct ash_config_previous *past;
 
-  while (config->past_count && ash_time_diff (config->past[0].until, now) > keep_ms)
+  while (config->previous_count && ash_time_diff (config->past[0].until, now) > keep_ms)
     drop_oldest (config);
-  if (config->past_count == ASH_CONFIG_HISTORY_MAX)
+  if (config->previous_count == ASH_CONFIG_HISTORY_MAX)
     {
       /* The history is full: homes from before the oldest document's end are no longer known. */
       config->known_since = config->past[0].until;
       drop_oldest (config);
     }
-  past = &config->past[config->past_count++];
+  past = &config->past[config->previous_count++];
   past->document = config->document;
   past->until = now;
   free_accounts (&past->document);
@@ -178,15 +178,15 @@
 }
 
 bool
-ash_config_knows_homes (const struct ash_config *config,
-                        const char *service_name,
-                        struct ash_time now,
-                        int64_t unix_s,
-                        int64_t life_ms)
+ash_config_homes_are_known (const struct ash_config *config,
+                            const char *service_name,
+                            struct ash_time now,
+                            int64_t unix_s,
+                            int64_t life_ms)
 {
   /* The oldest known document states since when its homes have been valid. */
   const struct ash_document *oldest =
-      config->past_count ? &config->past[0].document : &config->document;
+      config->previous_count ? &config->past[0].document : &config->document;
   const struct ash_service *service = ash_document_service (oldest, service_name);
 
   if (ash_time_diff (config->known_since, now) >= life_ms)
@@ -197,19 +197,19 @@
 }
 
 uint32_t
-ash_config_past_homes (const struct ash_config *config,
-                       const char *service,
-                       struct ash_id id,
-                       struct ash_time now,
-                       int64_t life_ms,
-                       const char *homes[ASH_CONFIG_HISTORY_MAX])
+ash_config_previous_homes (const struct ash_config *config,
+                           const char *service,
+                           struct ash_id id,
+                           struct ash_time now,
+                           int64_t life_ms,
+                           const char *homes[ASH_CONFIG_HISTORY_MAX])
 {
   const struct ash_endpoint *present = ash_document_home (&config->document, service, id);
   uint32_t count = 0;
 
-  for (uint32_t i = config->past_count; i > 0; i--)
+  for (uint32_t i = config->previous_count; i > 0; i--)
     {
-      const struct ash_config_past *past = &config->past[i - 1];
+      const struct ash_config_previous *past = &config->past[i - 1];
       const struct ash_endpoint *home = ash_document_home (&past->document, service, id);
       bool known = !home || (present && strcmp (home->name, present->name) == 0);
 
--- a/controllers/config.h
+++ b/controllers/config.h
@@ -27,7 +27,7 @@
 };
 
 /** A previously active document, and until when it was active. */
-struct ash_config_past
+struct ash_config_previous
 {
   struct ash_document document;
   struct ash_time until;
@@ -40,8 +40,8 @@
   struct ash_document document;
   char *text; /**< the document as published, to send to peers */
   size_t text_bytes;
-  struct ash_config_past past[ASH_CONFIG_HISTORY_MAX];
-  uint32_t past_count;
+  struct ash_config_previous past[ASH_CONFIG_HISTORY_MAX];
+  uint32_t previous_count;
   struct ash_time known_since; /**< since when all sets of endpoints are known */
   uint64_t refused_revision;   /**< last refused revision, which is not checked again */
   struct Ash__ConfigDelta
@@ -81,22 +81,22 @@
  * @p life_ms.
  * @param unix_s wall-clock time in seconds, compared with the document's homes_since_s.
  */
-bool ash_config_knows_homes (const struct ash_config *config,
-                             const char *service,
-                             struct ash_time now,
-                             int64_t unix_s,
-                             int64_t life_ms);
+bool ash_config_homes_are_known (const struct ash_config *config,
+                                 const char *service,
+                                 struct ash_time now,
+                                 int64_t unix_s,
+                                 int64_t life_ms);
 
 /**
  * Finds the homes that a key had before its current one, within the last @p life_ms.
  * @param homes set to their names, newest first; the strings are owned by @p config.
  * @return the number of names.
  */
-uint32_t ash_config_past_homes (const struct ash_config *config,
-                                const char *service,
-                                struct ash_id id,
-                                struct ash_time now,
-                                int64_t life_ms,
-                                const char *homes[ASH_CONFIG_HISTORY_MAX]);
+uint32_t ash_config_previous_homes (const struct ash_config *config,
+                                    const char *service,
+                                    struct ash_id id,
+                                    struct ash_time now,
+                                    int64_t life_ms,
+                                    const char *homes[ASH_CONFIG_HISTORY_MAX]);
 
 #endif
--- a/controllers/direct.c
+++ b/controllers/direct.c
@@ -317,9 +317,10 @@
 }
 
 static bool
-knows_pause (const struct ash_direct_endpoint *endpoint, struct ash_time now)
+pause_is_known (const struct ash_direct_endpoint *endpoint, struct ash_time now)
 {
-  return endpoint->pause_ms > 0 && ash_time_diff (endpoint->pause_seen, now) < PAUSE_MAX_AGE_MS;
+  return endpoint->pause_ms > 0 &&
+         ash_time_diff (endpoint->pause_measured_at, now) < PAUSE_MAX_AGE_MS;
 }
 
 void
@@ -327,24 +328,24 @@
 {
   double pause = (double) pause_ms;
 
-  if (knows_pause (endpoint, now))
+  if (pause_is_known (endpoint, now))
     endpoint->pause_ms += PAUSE_WEIGHT * (pause - endpoint->pause_ms);
   else
     endpoint->pause_ms = pause;
-  endpoint->pause_seen = now;
+  endpoint->pause_measured_at = now;
 }
 
 void
 ash_direct_set_pace (struct ash_direct_endpoint *endpoint, struct ash_time now, double pace)
 {
   endpoint->pace = pace > PACE_SLOW_MIN ? pace : 1;
-  endpoint->pace_seen = now;
+  endpoint->pace_reported_at = now;
 }
 
 double
 ash_direct_pace (const struct ash_direct_endpoint *endpoint, struct ash_time now)
 {
-  if (endpoint->pace <= 1 || ash_time_diff (endpoint->pace_seen, now) >= PACE_MAX_AGE_MS)
+  if (endpoint->pace <= 1 || ash_time_diff (endpoint->pace_reported_at, now) >= PACE_MAX_AGE_MS)
     return 1;
   return endpoint->pace;
 }
@@ -391,7 +392,7 @@
     return criteria->cap;
   if (pace > 1)
     return cap > pace ? (uint32_t) (cap / pace) : 1;
-  if (!knows_pause (endpoint, now))
+  if (!pause_is_known (endpoint, now))
     return criteria->cap;
   cap *= PAUSE_FRACTION * criteria->pause_target_ms / endpoint->pause_ms;
   if (cap < CAP_MIN_FRACTION * criteria->cap)
@@ -447,7 +448,7 @@
           const struct ash_direct_criteria *criteria,
           struct ash_time now)
 {
-  uint32_t load = endpoint->in_flight + endpoint->elsewhere;
+  uint32_t load = endpoint->in_flight + endpoint->peers_in_flight;
 
   if (criteria->remote_parts > 1 && is_remote (endpoint, criteria))
     load += (uint32_t) (REMOTE_RESERVE_FRACTION * criteria->cap + 0.5);
@@ -470,15 +471,15 @@
              const struct ash_direct_criteria *criteria,
              struct ash_time now)
 {
-  uint32_t load = endpoint->in_flight + endpoint->elsewhere;
+  uint32_t load = endpoint->in_flight + endpoint->peers_in_flight;
   struct sort_key key = { ash_time_before (now, endpoint->ejected_until), load + 1.0 };
 
   if (is_remote (endpoint, criteria))
     key.work += OTHER_HALL_WORK;
   if (criteria->pause_target_ms)
     key.work *= ash_direct_pace (endpoint, now) *
-                (knows_pause (endpoint, now) ? endpoint->pause_ms
-                                             : PAUSE_FRACTION * criteria->pause_target_ms);
+                (pause_is_known (endpoint, now) ? endpoint->pause_ms
+                                                : PAUSE_FRACTION * criteria->pause_target_ms);
   return key;
 }
 
--- a/controllers/direct.h
+++ b/controllers/direct.h
@@ -54,15 +54,15 @@
   struct ash_time lapsed_until;
   uint32_t in_flight;                      /**< requests from this router */
   uint32_t reported[ASH_DIRECT_AUDIENCES]; /**< value of in_flight last sent to each audience */
-  uint32_t elsewhere;            /**< requests from other routers, as they last reported */
+  uint32_t peers_in_flight;      /**< requests from other routers, as they last reported */
   uint32_t failures;             /**< consecutive failed requests */
   uint32_t rejections;           /**< requests rejected for lack of capacity, minus answered ones */
   struct ash_time ejected_until; /**< other endpoints are preferred until then */
-  double pause_ms;            /**< moving average of the time between stream events; 0: not known */
-  struct ash_time pause_seen; /**< when a pause was last measured */
-  double pace; /**< processing time relative to normal; ignored some time after pace_seen */
-  struct ash_time pace_seen; /**< when the pace was last reported */
-  bool announced_leaving;    /**< an answer announced its shutdown; reset when it restarts */
+  double pause_ms; /**< moving average of the time between stream events; 0: not known */
+  struct ash_time pause_measured_at; /**< when a pause was last measured */
+  double pace; /**< processing time relative to normal; ignored some time after pace_reported_at */
+  struct ash_time pace_reported_at; /**< when the pace was last reported */
+  bool announced_leaving;           /**< an answer announced its shutdown; reset when it restarts */
   struct ash_rate_limit limit;
   struct ash_time backoff_until; /**< it asked this router to send no requests until then */
   void *owner;                   /**< user data of the code that holds its connections */
--- a/controllers/limits.c
+++ b/controllers/limits.c
@@ -94,10 +94,10 @@
 }
 
 uint32_t
-ash_limits_take (struct ash_limits *limits,
-                 struct ash_time now,
-                 const struct ash_account *account,
-                 uint32_t parts)
+ash_limits_spend (struct ash_limits *limits,
+                  struct ash_time now,
+                  const struct ash_account *account,
+                  uint32_t parts)
 {
   struct bucket bucket = make_share (account->rate_per_s, account->burst, parts);
   struct ash_limit *limit = find_or_add (&limits->limits, now, account->name, &bucket);
@@ -106,10 +106,10 @@
 }
 
 bool
-ash_limits_take_reserved (struct ash_limits *limits,
-                          struct ash_time now,
-                          const struct ash_reservation *reservation,
-                          uint32_t parts)
+ash_limits_spend_reserved (struct ash_limits *limits,
+                           struct ash_time now,
+                           const struct ash_reservation *reservation,
+                           uint32_t parts)
 {
   struct bucket bucket = make_share (reservation->rate_per_s, reservation->rate_per_s, parts);
   struct ash_limit *limit = find_or_add (&limits->reserved, now, reservation->name, &bucket);
--- a/controllers/limits.h
+++ b/controllers/limits.h
@@ -36,19 +36,19 @@
  * @param parts number of entries that share the limit.
  * @return 0 if the request is allowed, else ms until one is.
  */
-uint32_t ash_limits_take (struct ash_limits *limits,
-                          struct ash_time now,
-                          const struct ash_account *account,
-                          uint32_t parts);
+uint32_t ash_limits_spend (struct ash_limits *limits,
+                           struct ash_time now,
+                           const struct ash_account *account,
+                           uint32_t parts);
 
 /**
  * Takes one request off the share of a reservation, whose burst is one second's worth of its rate.
  * @param parts number of entries that share the reservation.
  * @return whether the reservation covers the request.
  */
-bool ash_limits_take_reserved (struct ash_limits *limits,
-                               struct ash_time now,
-                               const struct ash_reservation *reservation,
-                               uint32_t parts);
+bool ash_limits_spend_reserved (struct ash_limits *limits,
+                                struct ash_time now,
+                                const struct ash_reservation *reservation,
+                                uint32_t parts);
 
 #endif
--- a/controllers/membership.c
+++ b/controllers/membership.c
@@ -159,7 +159,7 @@
 }
 
 bool
-ash_membership_knows_newer (const struct ash_membership *membership, uint64_t revision)
+ash_membership_has_newer_config (const struct ash_membership *membership, uint64_t revision)
 {
   for (const struct ash_box *box = membership->boxes; box; box = box->hh.next)
     if (box->linked && box->revision > revision)
--- a/controllers/membership.h
+++ b/controllers/membership.h
@@ -86,7 +86,7 @@
                               const char *self);
 
 /** @return whether a connected box has a newer configuration than @p revision. */
-bool ash_membership_knows_newer (const struct ash_membership *membership, uint64_t revision);
+bool ash_membership_has_newer_config (const struct ash_membership *membership, uint64_t revision);
 
 /** @return whether the current incarnation of the box is leaving. */
 bool ash_box_leaving (const struct ash_box *box);
--- a/daemon/api.c
+++ b/daemon/api.c
@@ -384,13 +384,13 @@
 {
   struct ash_http_headers headers = { 0 };
   bool is_ready = api->entry->config.ready && !api->entry->leaving;
-  bool asks_ready = strcmp (request->path, "/readyz") == 0;
+  bool is_readiness_query = strcmp (request->path, "/readyz") == 0;
   const char *text = "ok";
 
-  if (asks_ready && !is_ready)
+  if (is_readiness_query && !is_ready)
     text = api->entry->leaving ? "leaving" : "no configuration";
   ash_api_reply_json (api, request->number,
-                      asks_ready && !is_ready ? MHD_HTTP_SERVICE_UNAVAILABLE : MHD_HTTP_OK,
+                      is_readiness_query && !is_ready ? MHD_HTTP_SERVICE_UNAVAILABLE : MHD_HTTP_OK,
                       &headers, json_pack ("{s:s}", "status", text));
 }
 
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -67,7 +67,7 @@
 
   if (is_declared (entry, &config->document, box, address))
     return true;
-  for (uint32_t i = 0; i < config->past_count; i++)
+  for (uint32_t i = 0; i < config->previous_count; i++)
     if (ash_time_before (oldest, config->past[i].until) &&
         is_declared (entry, &config->past[i].document, box, address))
       return true;
@@ -133,7 +133,7 @@
     return false;
   /* A peer has a newer configuration and is about to send it. The active configuration may come
    * from a stale answer of the platform. */
-  if (ash_membership_knows_newer (&entry->core.membership, document->revision))
+  if (ash_membership_has_newer_config (&entry->core.membership, document->revision))
     return false;
   for (uint32_t i = 0; i < document->service_count; i++)
     if (!is_reachable (entry, &document->services[i]))
--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -30,7 +30,7 @@
     .entries = ash_fleet_size (&router->fleet),
     .hall = router->settings.hall,
     .own = router->incarnation,
-    .remote_parts = ash_fleet_far_parts (&router->fleet),
+    .remote_parts = ash_fleet_remote_parts (&router->fleet),
     .wait_ms = router->settings.wait_ms,
     .gate = exchange->forward.pause_target_ms ? &service->gate : NULL,
     .quarantined_ms = ash_exchange_quarantined_ms (exchange, ash_clock_now ()),
@@ -86,7 +86,7 @@
       &router->log, exchange->forward.sent ? ASH_EV_FORWARD_RESENT : ASH_EV_FORWARD_SENT,
       "id=%s route=%s endpoint=%s load=%u elsewhere=%u sent=%u age_ms=%lld last_event=%lld",
       ash_exchange_id (exchange), exchange->route->name, endpoint->facts.id, endpoint->in_flight,
-      endpoint->elsewhere, exchange->forward.sent, (long long) ash_exchange_age_ms (exchange),
+      endpoint->peers_in_flight, exchange->forward.sent, (long long) ash_exchange_age_ms (exchange),
       exchange->has_event ? (long long) exchange->last_event : -1LL);
   started = write_request (exchange, endpoint, &request) &&
             ash_http_call_start (&exchange->call, ash_router_pool (router, endpoint),
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -13,7 +13,7 @@
 /* How long an endpoint may be silent before a repeatable request is sent to another one: this
  * multiple of the route's latency target, and at least SILENCE_MIN_MS. A later answer is of little
  * use to the caller. */
-#define SILENCE_AIM_FACTOR 3
+#define SILENCE_TARGET_FACTOR 3
 #define SILENCE_MIN_MS 900
 
 /* Longest pause between two events before another endpoint resumes the stream. Callers give up
@@ -49,7 +49,7 @@
 static int64_t
 silence_limit_ms (const struct ash_exchange *exchange)
 {
-  int64_t ms = (int64_t) exchange->forward.answer_target_ms * SILENCE_AIM_FACTOR;
+  int64_t ms = (int64_t) exchange->forward.answer_target_ms * SILENCE_TARGET_FACTOR;
 
   if (exchange->forward.answer_started)
     return EVENT_PAUSE_MAX_MS;
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -385,7 +385,7 @@
 }
 
 uint32_t
-ash_fleet_far_parts (const struct ash_fleet *fleet)
+ash_fleet_remote_parts (const struct ash_fleet *fleet)
 {
   return ash_peer_period_remote_parts (fleet->router->settings.load_period_ms, fleet->far_linked);
 }
--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -98,7 +98,7 @@
  * @return into how many parts the endpoints of other halls are divided, of which this router uses
  * one: see ash_peer_period_remote_parts().
  */
-uint32_t ash_fleet_far_parts (const struct ash_fleet *fleet);
+uint32_t ash_fleet_remote_parts (const struct ash_fleet *fleet);
 
 /** @return how many peers are linked. */
 uint32_t ash_fleet_linked (const struct ash_fleet *fleet);
--- a/daemon/fleet_loads.c
+++ b/daemon/fleet_loads.c
@@ -27,7 +27,8 @@
 
       /* If the endpoint was added after the peer's report, its load does not include the peer's. */
       if (endpoint)
-        endpoint->elsewhere -= load < endpoint->elsewhere ? load : endpoint->elsewhere;
+        endpoint->peers_in_flight -=
+            load < endpoint->peers_in_flight ? load : endpoint->peers_in_flight;
     }
   free (peer->load_endpoints);
   free (peer->load_in_flight);
@@ -86,10 +87,10 @@
       peer->load_in_flight[at] = 0;
       peer->load_count++;
     }
-  endpoint->elsewhere -= peer->load_in_flight[at] < endpoint->elsewhere
-                             ? (uint32_t) peer->load_in_flight[at]
-                             : endpoint->elsewhere;
-  endpoint->elsewhere += (uint32_t) in_flight;
+  endpoint->peers_in_flight -= peer->load_in_flight[at] < endpoint->peers_in_flight
+                                   ? (uint32_t) peer->load_in_flight[at]
+                                   : endpoint->peers_in_flight;
+  endpoint->peers_in_flight += (uint32_t) in_flight;
   peer->load_in_flight[at] = in_flight;
 }
 
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -107,15 +107,15 @@
 static void
 apply_backoff (struct ash_fleet *fleet,
                struct ash_direct_endpoint *endpoint,
-               uint32_t rest_ms,
+               uint32_t backoff_ms,
                struct ash_time now)
 {
-  if (!rest_ms)
+  if (!backoff_ms)
     return;
   ash_log_event (&fleet->router->log, ASH_EV_ENDPOINT_RESTS,
-                 "endpoint=%s for_ms=%u before_ms=%lld load=%u", endpoint->facts.id, rest_ms,
+                 "endpoint=%s for_ms=%u before_ms=%lld load=%u", endpoint->facts.id, backoff_ms,
                  (long long) ash_direct_backoff_ms (endpoint, now), endpoint->in_flight);
-  ash_direct_back_off (endpoint, now, rest_ms);
+  ash_direct_back_off (endpoint, now, backoff_ms);
 }
 
 void
@@ -128,7 +128,7 @@
   struct Ash__EndpointTerms message;
   bool changed;
 
-  apply_backoff (fleet, endpoint, terms->rest_ms, now);
+  apply_backoff (fleet, endpoint, terms->backoff_ms, now);
   changed = update_limit (fleet, endpoint, terms->limit_milli, now, requested_at, "own");
   changed = update_leaving (fleet, endpoint, terms->leaving, "own") || changed;
   if (!changed)
--- a/daemon/intent.c
+++ b/daemon/intent.c
@@ -187,7 +187,7 @@
   if (!api->platform_answers (api->platform_data))
     return "this box does not hear the platform; confirm at another";
   *code = "behind";
-  if (ash_membership_knows_newer (&api->entry->membership, config->document.revision))
+  if (ash_membership_has_newer_config (&api->entry->membership, config->document.revision))
     return "this box is behind others; confirm again in a moment";
   *code = "base_moved";
   if (base != (json_int_t) config->document.revision)
--- a/daemon/map_manager.c
+++ b/daemon/map_manager.c
@@ -115,7 +115,7 @@
         set = &group->endpoints[rank]->manager->router->endpoints;
         direct = ash_direct_find_hash (set, group->endpoints[rank]->hash);
         if (direct)
-          streams += direct->in_flight + direct->elsewhere;
+          streams += direct->in_flight + direct->peers_in_flight;
       }
   return (double) streams / group->sw.rank_count;
 }
--- a/daemon/platform_reader.c
+++ b/daemon/platform_reader.c
@@ -67,7 +67,7 @@
 {
   struct ash_platform_reader *platform = read->platform;
 
-  platform->seen_revision = read->revision;
+  platform->read_revision = read->revision;
   platform->handler.document (platform->handler.data, read->revision, read->body ? read->body : "",
                               read->body_bytes);
 }
@@ -192,8 +192,8 @@
 
   if (read->after_revision > platform->confirmed_revision)
     platform->confirmed_revision = read->after_revision;
-  if (platform->seen_revision > platform->confirmed_revision)
-    platform->confirmed_revision = platform->seen_revision;
+  if (platform->read_revision > platform->confirmed_revision)
+    platform->confirmed_revision = platform->read_revision;
 }
 
 static void
@@ -226,7 +226,7 @@
   struct ash_fetch_request request = {
     .url = url, .method = "GET", .timeout_ms = READ_TIMEOUT_MS, .silence_ms = IDLE_TIMEOUT_MS
   };
-  uint64_t after_revision = platform->seen_revision;
+  uint64_t after_revision = platform->read_revision;
   /* Until a read has succeeded, reads don't wait at the platform: a watch would show only at its
    * end whether the platform answers. */
   int wait_ms = platform->is_reading ? WATCH_MS : 0;
--- a/daemon/platform_reader.h
+++ b/daemon/platform_reader.h
@@ -49,7 +49,7 @@
   struct ash_random random;
   struct ash_platform_read config;
   struct ash_platform_read list;
-  uint64_t seen_revision;                 /**< revision of the last document read */
+  uint64_t read_revision;                 /**< revision of the last document read */
   uint64_t confirmed_revision;            /**< own reads missed no revision up to this one */
   struct ash_peer_version peer_revisions; /**< active revisions of peers */
   bool is_reading; /**< the last read of the configuration succeeded and reading continues */
--- a/daemon/router_pages.c
+++ b/daemon/router_pages.c
@@ -129,7 +129,7 @@
     {
       snprintf (labels, sizeof labels, "endpoint=\"%s\"", endpoint->facts.id);
       ash_metrics_set (metrics, "ash_endpoint_in_flight", labels, endpoint->in_flight);
-      ash_metrics_set (metrics, "ash_endpoint_elsewhere", labels, endpoint->elsewhere);
+      ash_metrics_set (metrics, "ash_endpoint_elsewhere", labels, endpoint->peers_in_flight);
       ash_metrics_set (metrics, "ash_endpoint_failures", labels, endpoint->failures);
       ash_metrics_set (metrics, "ash_endpoint_rests_ms", labels,
                        (uint64_t) ash_direct_backoff_ms (endpoint, now));
--- a/filters/entry.c
+++ b/filters/entry.c
@@ -167,7 +167,7 @@
 }
 
 static void
-handle_caller_gone (struct ash_entry *entry, struct ash_time now, uint64_t call)
+handle_caller_disconnected (struct ash_entry *entry, struct ash_time now, uint64_t call)
 {
   struct ash_request *request;
 
@@ -191,7 +191,7 @@
       handle_call (entry, now, event->call);
       break;
     case ASH__EVENT__KIND_CALLER_GONE:
-      handle_caller_gone (entry, now, event->caller_gone->call);
+      handle_caller_disconnected (entry, now, event->caller_gone->call);
       break;
     case ASH__EVENT__KIND_REFUSED:
       ash_answer_refused (entry, now, peer, event->refused);
--- a/filters/key.c
+++ b/filters/key.c
@@ -45,15 +45,15 @@
   const char *earlier[ASH_CONFIG_HISTORY_MAX];
   const struct ash_box *box;
 
-  if (!ash_config_knows_homes (context->config, call->service, now, call->unix_s,
-                               context->settings->key_life_ms))
+  if (!ash_config_homes_are_known (context->config, call->service, now, call->unix_s,
+                                   context->settings->key_life_ms))
     return ash_filter_refuse (request, ASH__REASON__NEW_LIFE, ash_filter_retry_ms (context));
   if (!home)
     return ash_filter_refuse (request, ASH__REASON__NO_ENDPOINT, ash_filter_retry_ms (context));
   strcpy (request->box, home->name);
   box = ash_membership_find (context->membership, home->name);
   request->incarnation = box ? box->incarnation : 0;
-  request->pending_home_count = ash_config_past_homes (
+  request->pending_home_count = ash_config_previous_homes (
       context->config, call->service, request->id, now, context->settings->key_life_ms, earlier);
   for (uint32_t i = 0; i < request->pending_home_count; i++)
     strcpy (request->pending_homes[i], earlier[i]);
--- a/filters/limit.c
+++ b/filters/limit.c
@@ -44,12 +44,12 @@
     parts = document->entry_count;
   if (ash_document_entry_rank (document, account, context->settings->box) < 0)
     return ash_filter_refuse (request, ASH__REASON__MISDIRECTED, 1);
-  if (reservation && ash_limits_take_reserved (&priv->limits, now, reservation, parts))
+  if (reservation && ash_limits_spend_reserved (&priv->limits, now, reservation, parts))
     {
       request->priority = reservation->priority;
       return ASH_VERDICT_NEXT;
     }
-  wait_ms = ash_limits_take (&priv->limits, now, account, parts);
+  wait_ms = ash_limits_spend (&priv->limits, now, account, parts);
   if (wait_ms == 0)
     return ASH_VERDICT_NEXT;
   return ash_filter_refuse (request, ASH__REASON__LIMIT,
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -283,7 +283,7 @@
   struct ash_http_server *server = data;
   struct ash_http_exchange *exchange = *context;
   struct ash_http_server_conn *conn = conn_of (connection);
-  bool gone;
+  bool caller_disconnected;
 
   if (conn)
     {
@@ -292,10 +292,10 @@
     }
   if (!exchange)
     return;
-  gone = code != MHD_REQUEST_TERMINATED_COMPLETED_OK && !exchange->ended &&
-         (exchange->state == EXCHANGE_WAIT || exchange->state == EXCHANGE_STREAM);
-  if (gone)
-    server->handler.gone (server->handler.data, exchange->number);
+  caller_disconnected = code != MHD_REQUEST_TERMINATED_COMPLETED_OK && !exchange->ended &&
+                        (exchange->state == EXCHANGE_WAIT || exchange->state == EXCHANGE_STREAM);
+  if (caller_disconnected)
+    server->handler.caller_disconnected (server->handler.data, exchange->number);
   free_exchange (exchange);
   *context = NULL;
 }
@@ -559,7 +559,7 @@
       if (exchange->suspended && is_closed (exchange))
         {
           /* libmicrohttpd sees the error in read_pending() or when it writes the response. */
-          server->handler.gone (server->handler.data, exchange->number);
+          server->handler.caller_disconnected (server->handler.data, exchange->number);
           shutdown (socket_of (exchange->connection), SHUT_RDWR);
           abort_exchange (server, exchange);
         }
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -47,7 +47,7 @@
 {
   void (*request) (void *data, const struct ash_http_request *request);
   /** The caller disconnected before the response was complete. */
-  void (*gone) (void *data, uint64_t number);
+  void (*caller_disconnected) (void *data, uint64_t number);
   void *data;
 };
 
--- a/test/unit.c
+++ b/test/unit.c
@@ -167,7 +167,7 @@
 }
 
 static void
-test_config_past_homes (void)
+test_config_previous_homes (void)
 {
   struct ash_config config;
   struct ash_id id = { 1, 2 };
@@ -177,20 +177,20 @@
   offer_config (&config, 0, 1, DOC_START ENDPOINT ("m1"));
   offer_config (&config, 100, 2, DOC_START ENDPOINT ("m2"));
   offer_config (&config, 200, 3, DOC_START ENDPOINT ("m3"));
-  CU_ASSERT_EQUAL (ash_config_past_homes (&config, "s", id, at (300), 1000, homes), 2);
+  CU_ASSERT_EQUAL (ash_config_previous_homes (&config, "s", id, at (300), 1000, homes), 2);
   CU_ASSERT_STRING_EQUAL (homes[0], "m2");
   CU_ASSERT_STRING_EQUAL (homes[1], "m1");
-  CU_ASSERT_EQUAL (ash_config_past_homes (&config, "s", id, at (1150), 1000, homes), 1);
-  CU_ASSERT_EQUAL (ash_config_past_homes (&config, "s", id, at (1250), 1000, homes), 0);
+  CU_ASSERT_EQUAL (ash_config_previous_homes (&config, "s", id, at (1150), 1000, homes), 1);
+  CU_ASSERT_EQUAL (ash_config_previous_homes (&config, "s", id, at (1250), 1000, homes), 0);
   /* homes_since_s is 1: at 2 s of wall clock the set of homes is older than the key lifetime of
    * 1000 ms, so no key can have an earlier home. */
-  CU_ASSERT (ash_config_knows_homes (&config, "s", at (300), 2, 1000));
-  CU_ASSERT_FALSE (ash_config_knows_homes (&config, "s", at (300), 1, 1000));
-  CU_ASSERT (ash_config_knows_homes (&config, "s", at (1000), 1, 1000));
+  CU_ASSERT (ash_config_homes_are_known (&config, "s", at (300), 2, 1000));
+  CU_ASSERT_FALSE (ash_config_homes_are_known (&config, "s", at (300), 1, 1000));
+  CU_ASSERT (ash_config_homes_are_known (&config, "s", at (1000), 1, 1000));
   /* After more changes than the history holds, earlier homes are unknown. */
   for (uint64_t i = 4; i < 4 + ASH_CONFIG_HISTORY_MAX; i++)
     offer_config (&config, 300, i, i % 2 ? DOC_START ENDPOINT ("m1") : DOC_START ENDPOINT ("m2"));
-  CU_ASSERT_FALSE (ash_config_knows_homes (&config, "s", at (1000), 1, 1000));
+  CU_ASSERT_FALSE (ash_config_homes_are_known (&config, "s", at (1000), 1, 1000));
   ash_config_finish (&config);
 }
 
@@ -209,11 +209,11 @@
    * Together they must stay within the account's rate and burst. */
   for (int64_t ms = 0; ms < 10000; ms++)
     for (int i = 0; i < 3; i++)
-      admitted += ash_limits_take (&limits[i], at (ms), &account, 3) == 0;
+      admitted += ash_limits_spend (&limits[i], at (ms), &account, 3) == 0;
   CU_ASSERT (admitted <= 106);
   CU_ASSERT (admitted >= 102);
-  CU_ASSERT (ash_limits_take (&limits[0], at (10000), &account, 3) > 0);
-  CU_ASSERT (ash_limits_take (&limits[0], at (10000), &account, 3) <= 301);
+  CU_ASSERT (ash_limits_spend (&limits[0], at (10000), &account, 3) > 0);
+  CU_ASSERT (ash_limits_spend (&limits[0], at (10000), &account, 3) <= 301);
   for (int i = 0; i < 3; i++)
     ash_limits_finish (&limits[i]);
 }
@@ -703,7 +703,7 @@
   CU_add_test (suite, "settings: addresses", test_addresses);
   CU_add_test (suite, "document: findings", test_document_findings);
   CU_add_test (suite, "configuration: never reverts", test_config_never_reverts);
-  CU_add_test (suite, "configuration: past homes", test_config_past_homes);
+  CU_add_test (suite, "configuration: past homes", test_config_previous_homes);
   CU_add_test (suite, "limits: parts make no more than the whole", test_limits);
   CU_add_test (suite, "retry budget", test_retry_budget);
   CU_add_test (suite, "membership: leaving, life by life", test_membership_leaving);
--- a/test/unit_declared.c
+++ b/test/unit_declared.c
@@ -81,7 +81,7 @@
     ash_limits_init (&limits[i]);
   for (int64_t ms = 0; ms < 10000; ms++)
     for (int i = 0; i < 3; i++)
-      admitted += ash_limits_take_reserved (&limits[i], (struct ash_time){ ms }, &reservation, 3);
+      admitted += ash_limits_spend_reserved (&limits[i], (struct ash_time){ ms }, &reservation, 3);
   CU_ASSERT (admitted <= 330);
   CU_ASSERT (admitted >= 325);
   for (int i = 0; i < 3; i++)
--- a/test/unit_platform.c
+++ b/test/unit_platform.c
@@ -245,11 +245,12 @@
       snprintf (fields, sizeof fields, "Server-Limit: %s\r\n", no_numbers[i]);
       CU_ASSERT_EQUAL (read_terms (200, fields).limit_milli, 0);
     }
-  CU_ASSERT_EQUAL (read_terms (503, "Retry-After: 3\r\n").rest_ms, 3000);
-  CU_ASSERT_EQUAL (read_terms (503, "Retry-After: 0.25\r\n").rest_ms, 250);
-  CU_ASSERT_EQUAL (read_terms (503, "Retry-After: Thu, 03 Dec 2026 10:00:00 GMT\r\n").rest_ms, 0);
+  CU_ASSERT_EQUAL (read_terms (503, "Retry-After: 3\r\n").backoff_ms, 3000);
+  CU_ASSERT_EQUAL (read_terms (503, "Retry-After: 0.25\r\n").backoff_ms, 250);
+  CU_ASSERT_EQUAL (read_terms (503, "Retry-After: Thu, 03 Dec 2026 10:00:00 GMT\r\n").backoff_ms,
+                   0);
   /* Retry-After counts only in answers that reject a request. */
-  CU_ASSERT_EQUAL (read_terms (200, "Retry-After: 3\r\n").rest_ms, 0);
+  CU_ASSERT_EQUAL (read_terms (200, "Retry-After: 3\r\n").backoff_ms, 0);
   CU_ASSERT (read_terms (500, "Server-Leaving: 1\r\n").leaving);
   CU_ASSERT_FALSE (read_terms (200, "Server-Leaving: 0\r\n").leaving);
   CU_ASSERT_FALSE (read_terms (200, "").leaving);
--- a/test/unit_prompts.c
+++ b/test/unit_prompts.c
@@ -9,14 +9,14 @@
 
 #include <string.h>
 
-#define PAUSE_AIM_MS 120
-#define AIM_MS 400
+#define PAUSE_TARGET_MS 120
+#define ANSWER_TARGET_MS 400
 
 static const struct ash_prompt_terms usual_terms = {
   .per_pass = 2,
   .maps_adapt_in_time = true,
-  .pause_target_ms = PAUSE_AIM_MS,
-  .answer_target_ms = AIM_MS,
+  .pause_target_ms = PAUSE_TARGET_MS,
+  .answer_target_ms = ANSWER_TARGET_MS,
 };
 
 static struct ash_time
@@ -40,7 +40,7 @@
 static void
 add_pause (struct ash_prompt_gate *gate, int64_t ms, int64_t pause_ms)
 {
-  ash_prompt_gate_add_pause (gate, at (ms), pause_ms, PAUSE_AIM_MS);
+  ash_prompt_gate_add_pause (gate, at (ms), pause_ms, PAUSE_TARGET_MS);
 }
 
 /* ---- decisions of the gate ---- */
@@ -61,7 +61,7 @@
    * adapt. */
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 0, 160), 0);
   CU_ASSERT_EQUAL (wait_ms (&gate, &slow, 150, 150), 0);
-  CU_ASSERT (ash_prompt_gate_add_pause (&gate, at (250), 58, PAUSE_AIM_MS));
+  CU_ASSERT (ash_prompt_gate_add_pause (&gate, at (250), 58, PAUSE_TARGET_MS));
   CU_ASSERT_FALSE (gate.closed);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 250, 250), 0);
 }
@@ -123,12 +123,12 @@
   CU_ASSERT_DOUBLE_EQUAL (ash_prompt_gate_per_pass (&engine, 120, 60, 30), 2.4, 1e-9);
   CU_ASSERT_DOUBLE_EQUAL (ash_prompt_gate_per_pass (&(struct ash_engine_facts){ 0 }, 120, 60, 30),
                           0, 0);
-  CU_ASSERT_FALSE (ash_prompt_gate_maps_adapt_in_time (&engine, AIM_MS));
+  CU_ASSERT_FALSE (ash_prompt_gate_maps_adapt_in_time (&engine, ANSWER_TARGET_MS));
   engine.expert_mb = 320;
   engine.link_mbps = 180000;
-  CU_ASSERT (ash_prompt_gate_maps_adapt_in_time (&engine, AIM_MS));
+  CU_ASSERT (ash_prompt_gate_maps_adapt_in_time (&engine, ANSWER_TARGET_MS));
   engine.link_mbps = 18000;
-  CU_ASSERT_FALSE (ash_prompt_gate_maps_adapt_in_time (&engine, AIM_MS));
+  CU_ASSERT_FALSE (ash_prompt_gate_maps_adapt_in_time (&engine, ANSWER_TARGET_MS));
 }
 
 /* ---- simulation ---- */
@@ -170,7 +170,7 @@
   struct prompt prompts[PROMPTS_MAX];
   int count;
   double longest_pass_ms;
-  int late_count; /* new streams whose first event came later than AIM_MS */
+  int late_count; /* new streams whose first event came later than ANSWER_TARGET_MS */
 };
 
 static void
@@ -227,7 +227,7 @@
 
       if (prompt->read && prompt->arrived_ms >= 0 && !prompt->resumed)
         {
-          simulation->late_count += ms - prompt->arrived_ms > AIM_MS;
+          simulation->late_count += ms - prompt->arrived_ms > ANSWER_TARGET_MS;
           prompt->arrived_ms = -1;
         }
     }
@@ -264,7 +264,7 @@
 }
 
 /* When demand shifts, the gate must keep the longest pass, for which running streams pause, within
- * PAUSE_AIM_MS, without delaying the first event of new streams beyond AIM_MS. */
+ * PAUSE_TARGET_MS, without delaying the first event of new streams beyond ANSWER_TARGET_MS. */
 static void
 test_shift_simulated (void)
 {
@@ -273,13 +273,13 @@
 
   simulate_load (&ungated, false, true, 0);
   simulate_load (&gated, true, true, 0);
-  CU_ASSERT (ungated.longest_pass_ms > PAUSE_AIM_MS);
-  CU_ASSERT (gated.longest_pass_ms < PAUSE_AIM_MS);
+  CU_ASSERT (ungated.longest_pass_ms > PAUSE_TARGET_MS);
+  CU_ASSERT (gated.longest_pass_ms < PAUSE_TARGET_MS);
   CU_ASSERT_EQUAL (gated.late_count, 0);
 }
 
 /* When many streams resume at once, the gate must shorten the longest pass, without delaying the
- * first event of new streams beyond AIM_MS. */
+ * first event of new streams beyond ANSWER_TARGET_MS. */
 static void
 test_return_simulated (void)
 {
@@ -288,7 +288,7 @@
 
   simulate_load (&ungated, false, false, STREAMS);
   simulate_load (&gated, true, false, STREAMS);
-  CU_ASSERT (ungated.longest_pass_ms > PAUSE_AIM_MS - 10);
+  CU_ASSERT (ungated.longest_pass_ms > PAUSE_TARGET_MS - 10);
   CU_ASSERT (gated.longest_pass_ms < ungated.longest_pass_ms - 20);
   CU_ASSERT_EQUAL (gated.late_count, 0);
 }
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -142,7 +142,7 @@
   a = add_endpoint (&set, "a", false);
   b = add_endpoint (&set, "b", false);
   a->in_flight = 2;
-  b->elsewhere = 1;
+  b->peers_in_flight = 1;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (0), 9, 0), "b");
   /* An endpoint that failed is ejected for a while, but is still chosen if no other has room. */
   ash_direct_note_result (b, at (1000), ASH_DIRECT_BROKEN);
@@ -431,7 +431,7 @@
 
   begin_forward (&test, ASH_REPEAT_ONCE);
   ash_direct_find (&test.set, "a")->in_flight = 4;
-  ash_direct_find (&test.set, "b")->elsewhere = 4;
+  ash_direct_find (&test.set, "b")->peers_in_flight = 4;
   decision = next (&test, 1000);
   CU_ASSERT_EQUAL (decision.action, ASH_FORWARD_WAIT);
   CU_ASSERT_EQUAL (decision.until.ms, 1080);
@@ -655,7 +655,7 @@
       facts.slots = i;
       ash_direct_update (&set, &facts);
       endpoint = ash_direct_find (&set, facts.id);
-      endpoint->elsewhere = i < 3 ? SPILLOVER_CAP - 1 : SPILLOVER_CAP;
+      endpoint->peers_in_flight = i < 3 ? SPILLOVER_CAP - 1 : SPILLOVER_CAP;
     }
   own = ash_direct_find (&set, "e149");
   CU_ASSERT_PTR_NOT_NULL_FATAL (own);
@@ -671,7 +671,7 @@
    * one. */
   for (struct ash_direct_endpoint *endpoint = set.endpoints; endpoint != own;
        endpoint = endpoint->hh.next)
-    endpoint->elsewhere = 1;
+    endpoint->peers_in_flight = 1;
   CU_ASSERT (spill_over (&set, 6, &sent) < 8);
   CU_ASSERT_EQUAL (sent, SPILLOVER_ROUTERS);
   /* With no endpoint in its own hall or in its part, a router takes any endpoint. */
