--- a/controllers/config.c
+++ b/controllers/config.c
@@ -29,7 +29,7 @@
 {
   drop_deltas (config);
   for (uint32_t i = 0; i < config->previous_count; i++)
-    ash_document_finish (&config->past[i].document);
+    ash_document_finish (&config->previous[i].document);
   ash_document_finish (&config->document);
   free (config->text);
   *config = (struct ash_config){ 0 };
@@ -44,9 +44,10 @@
 static void
 drop_oldest (struct ash_config *config)
 {
-  ash_document_finish (&config->past[0].document);
+  ash_document_finish (&config->previous[0].document);
   config->previous_count--;
-  memmove (&config->past[0], &config->past[1], config->previous_count * sizeof config->past[0]);
+  memmove (&config->previous[0], &config->previous[1],
+           config->previous_count * sizeof config->previous[0]);
 }
 
 static bool
@@ -61,7 +62,7 @@
   return true;
 }
 
-/* Accounts make up most of a document, and those of past documents are not needed. */
+/* Accounts make up most of a document, and those of previous documents are not needed. */
 static void
 free_accounts (struct ash_document *document)
 {
@@ -72,24 +73,24 @@
   document->account_count = 0;
 }
 
-/* Adds the active document to the past ones. */
+/* Adds the active document to the previous ones. */
 static void
 remember_active (struct ash_config *config, struct ash_time now, int64_t keep_ms)
 {
-  struct ash_config_previous *past;
+  struct ash_config_previous *previous;
 
-  while (config->previous_count && ash_time_diff (config->past[0].until, now) > keep_ms)
+  while (config->previous_count && ash_time_diff (config->previous[0].until, now) > keep_ms)
     drop_oldest (config);
   if (config->previous_count == ASH_CONFIG_HISTORY_MAX)
     {
       /* The history is full: homes from before the oldest document's end are no longer known. */
-      config->known_since = config->past[0].until;
+      config->known_since = config->previous[0].until;
       drop_oldest (config);
     }
-  past = &config->past[config->previous_count++];
-  past->document = config->document;
-  past->until = now;
-  free_accounts (&past->document);
+  previous = &config->previous[config->previous_count++];
+  previous->document = config->document;
+  previous->until = now;
+  free_accounts (&previous->document);
 }
 
 /* Keeps the delta from the active text to the one that replaces it. */
@@ -186,7 +187,7 @@
 {
   /* The oldest known document states since when its homes have been valid. */
   const struct ash_document *oldest =
-      config->previous_count ? &config->past[0].document : &config->document;
+      config->previous_count ? &config->previous[0].document : &config->document;
   const struct ash_service *service = ash_document_service (oldest, service_name);
 
   if (ash_time_diff (config->known_since, now) >= life_ms)
@@ -209,11 +210,11 @@
 
   for (uint32_t i = config->previous_count; i > 0; i--)
     {
-      const struct ash_config_previous *past = &config->past[i - 1];
-      const struct ash_endpoint *home = ash_document_home (&past->document, service, id);
+      const struct ash_config_previous *previous = &config->previous[i - 1];
+      const struct ash_endpoint *home = ash_document_home (&previous->document, service, id);
       bool known = !home || (present && strcmp (home->name, present->name) == 0);
 
-      if (ash_time_diff (past->until, now) > life_ms)
+      if (ash_time_diff (previous->until, now) > life_ms)
         break;
       for (uint32_t j = 0; !known && j < count; j++)
         known = strcmp (homes[j], home->name) == 0;
--- a/controllers/config.h
+++ b/controllers/config.h
@@ -40,7 +40,7 @@
   struct ash_document document;
   char *text; /**< the document as published, to send to peers */
   size_t text_bytes;
-  struct ash_config_previous past[ASH_CONFIG_HISTORY_MAX];
+  struct ash_config_previous previous[ASH_CONFIG_HISTORY_MAX];
   uint32_t previous_count;
   struct ash_time known_since; /**< since when all sets of endpoints are known */
   uint64_t refused_revision;   /**< last refused revision, which is not checked again */
--- a/controllers/direct.c
+++ b/controllers/direct.c
@@ -429,7 +429,7 @@
 is_in_own_part (const struct ash_direct_endpoint *endpoint,
                 const struct ash_direct_criteria *criteria)
 {
-  uint64_t mixed = (endpoint->hash ^ criteria->own) * MIX_FACTOR;
+  uint64_t mixed = (endpoint->hash ^ criteria->router_id) * MIX_FACTOR;
 
   return criteria->remote_parts <= 1 || (mixed >> MIX_SHIFT) % criteria->remote_parts == 0;
 }
--- a/controllers/direct.h
+++ b/controllers/direct.h
@@ -164,7 +164,7 @@
 {
   const char *service;
   const char *hall;      /**< hall of this router; NULL: halls don't matter */
-  uint64_t own;          /**< hash that identifies this router */
+  uint64_t router_id;    /**< hash that identifies this router */
   uint32_t remote_parts; /**< this router uses 1 / remote_parts of the endpoints of other halls; 0
                             or 1: all of them */
   uint32_t cap;          /**< maximum concurrent requests of one endpoint, over all routers */
--- a/controllers/peer_version.c
+++ b/controllers/peer_version.c
@@ -4,9 +4,9 @@
 static void
 note_own (struct ash_peer_version *tracker, struct ash_time now, uint64_t own)
 {
-  if (tracker->own == own && tracker->newest > own)
+  if (tracker->own_version == own && tracker->newest_version > own)
     return;
-  tracker->own = own;
+  tracker->own_version = own;
   tracker->since = now;
 }
 
@@ -17,8 +17,8 @@
                            uint64_t own)
 {
   note_own (tracker, now, own);
-  if (reported > tracker->newest && reported > tracker->same)
-    tracker->newest = reported;
+  if (reported > tracker->newest_version && reported > tracker->equal_version)
+    tracker->newest_version = reported;
 }
 
 void
@@ -27,10 +27,10 @@
                         uint64_t reported,
                         uint64_t own)
 {
-  if (reported > tracker->same)
-    tracker->same = reported;
-  if (tracker->newest <= tracker->same)
-    tracker->newest = own;
+  if (reported > tracker->equal_version)
+    tracker->equal_version = reported;
+  if (tracker->newest_version <= tracker->equal_version)
+    tracker->newest_version = own;
   note_own (tracker, now, own);
 }
 
@@ -41,5 +41,5 @@
                             int64_t for_ms)
 {
   note_own (tracker, now, own);
-  return tracker->newest > own && ash_time_diff (tracker->since, now) >= for_ms;
+  return tracker->newest_version > own && ash_time_diff (tracker->since, now) >= for_ms;
 }
--- a/controllers/peer_version.h
+++ b/controllers/peer_version.h
@@ -15,10 +15,10 @@
 /** State for one versioned object. Zeroed memory is a valid start. */
 struct ash_peer_version
 {
-  uint64_t newest;       /**< newest reported version that may have content missing here */
-  uint64_t same;         /**< newest version known to have the same content as the own one */
-  uint64_t own;          /**< version of this process at the last call */
-  struct ash_time since; /**< since when the version of this process has not advanced */
+  uint64_t newest_version; /**< newest reported version that may have content missing here */
+  uint64_t equal_version;  /**< newest version known to have the same content as the own one */
+  uint64_t own_version;    /**< version of this process at the last call */
+  struct ash_time since;   /**< since when the version of this process has not advanced */
 };
 
 /** Handles a version reported by a peer. @param own version that this process has. */
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -68,8 +68,8 @@
   if (is_declared (entry, &config->document, box, address))
     return true;
   for (uint32_t i = 0; i < config->previous_count; i++)
-    if (ash_time_before (oldest, config->past[i].until) &&
-        is_declared (entry, &config->past[i].document, box, address))
+    if (ash_time_before (oldest, config->previous[i].until) &&
+        is_declared (entry, &config->previous[i].document, box, address))
       return true;
   return false;
 }
--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -29,7 +29,7 @@
     .bound = ash_router_resend_bound (router),
     .entries = ash_fleet_size (&router->fleet),
     .hall = router->settings.hall,
-    .own = router->incarnation,
+    .router_id = router->incarnation,
     .remote_parts = ash_fleet_remote_parts (&router->fleet),
     .wait_ms = router->settings.wait_ms,
     .gate = exchange->forward.pause_target_ms ? &service->gate : NULL,
--- a/daemon/explain.c
+++ b/daemon/explain.c
@@ -38,18 +38,18 @@
 ash_explain_request (const struct ash_entry *entry, const struct Ash__Query *query)
 {
   struct ash_id id = { query->id_hi, query->id_lo };
-  const struct ash_ended_request *past = ash_request_history_find (&entry->past, id);
+  const struct ash_ended_request *record = ash_request_history_find (&entry->request_history, id);
 
-  if (query->kind != ASH__QUERY__KIND__REQUEST || !past)
+  if (query->kind != ASH__QUERY__KIND__REQUEST || !record)
     return NULL;
   return json_pack (
       "{s:s, s:s, s:s, s:s, s:s, s:s, s:s, s:s, s:i, s:i, s:i, s:I, s:I}", "role", "entry",
-      "account", past->account, "class", past->class_name, "service", past->service, "endpoint",
-      past->box, "outcome", ash_entry_outcome_name (past->outcome), "reason",
-      ash_entry_reason_name (past->reason), "text", ash_entry_reason_text (past->reason), "tries",
-      (int) past->tries, "retry_after_ms", (int) past->retry_ms, "wait_ms", (int) past->wait_ms,
-      "took_ms", (json_int_t) past->took_ms, "ended_ms_ago",
-      (json_int_t) ash_time_diff (past->ended, ash_clock_now ()));
+      "account", record->account, "class", record->class_name, "service", record->service,
+      "endpoint", record->box, "outcome", ash_entry_outcome_name (record->outcome), "reason",
+      ash_entry_reason_name (record->reason), "text", ash_entry_reason_text (record->reason),
+      "tries", (int) record->tries, "retry_after_ms", (int) record->retry_ms, "wait_ms",
+      (int) record->wait_ms, "took_ms", (json_int_t) record->took_ms, "ended_ms_ago",
+      (json_int_t) ash_time_diff (record->ended, ash_clock_now ()));
 }
 
 /* ---- queries ---- */
--- a/daemon/peer_sync.c
+++ b/daemon/peer_sync.c
@@ -90,12 +90,12 @@
     return;
   if (part == ASH_STORE_SERVERS)
     ash_store_expect_lapses (&router->store, revisions->since);
-  peer = ash_fleet_peer_with (&router->fleet, part, revisions->newest);
+  peer = ash_fleet_peer_with (&router->fleet, part, revisions->newest_version);
   peer_sync->last_request[part] = now;
   ash_log_event (&router->log, ASH_EV_BEHIND_PEERS,
                  "part=%d version=%" PRIu64 " newest=%" PRIu64
                  " for_ms=%lld store_answers=%d age_ms=%lld asked=%s",
-                 (int) part, own, revisions->newest,
+                 (int) part, own, revisions->newest_version,
                  (long long) ash_time_diff (revisions->since, now),
                  ash_store_is_answering (&router->store, part),
                  (long long) ash_time_diff (router->store.readers[part].last_answer, now),
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -223,7 +223,7 @@
 }
 
 static void
-on_disconnected (struct ash_http_conn *conn)
+on_caller_disconnected (struct ash_http_conn *conn)
 {
   struct ash_exchange *exchange = conn->request;
 
@@ -242,7 +242,8 @@
     ash_http_call_pause (&exchange->call, false);
 }
 
-const struct ash_conn_handler ash_requests_handler = { on_request, on_disconnected, on_drained };
+const struct ash_conn_handler ash_requests_handler = { on_request, on_caller_disconnected,
+                                                       on_drained };
 
 /* ---- the end of a stop ---- */
 
--- a/daemon/router_pages.c
+++ b/daemon/router_pages.c
@@ -96,7 +96,7 @@
 
   ash_metrics_set (metrics, "ash_config_version", "", ash_router_version (router));
   ash_metrics_set (metrics, "ash_config_newest_told", "",
-                   router->peer_sync.peer_revisions[ASH_STORE_CONFIG].newest);
+                   router->peer_sync.peer_revisions[ASH_STORE_CONFIG].newest_version);
   ash_metrics_set (metrics, "ash_endpoints_revision", "", router->endpoints.revision);
   ash_metrics_set (metrics, "ash_store_era", "", router->store.era);
   ash_metrics_set (metrics, "ash_store_calls_total", "", router->store.calls);
--- a/filters/entry.c
+++ b/filters/entry.c
@@ -32,7 +32,7 @@
     .fleet_key = entry->fleet_key,
     .round_robin_counter = &entry->round_robin_counter,
   };
-  return ash_request_history_init (&entry->past) && ash_chain_init (&entry->chain);
+  return ash_request_history_init (&entry->request_history) && ash_chain_init (&entry->chain);
 }
 
 void
@@ -48,7 +48,7 @@
       ash_request_free (request);
     }
   ash_chain_finish (&entry->chain);
-  ash_request_history_finish (&entry->past);
+  ash_request_history_finish (&entry->request_history);
   ash_membership_finish (&entry->membership);
   ash_config_finish (&entry->config);
 }
--- a/filters/entry.h
+++ b/filters/entry.h
@@ -30,7 +30,7 @@
   struct ash_chain chain;
   struct ash_filter_context context;
   struct ash_retry_budget budget;
-  struct ash_request_history past;
+  struct ash_request_history request_history;
   struct ash_request *by_call;
   struct ash_request *by_attempt;
   uint64_t last_attempt;
--- a/filters/forward.c
+++ b/filters/forward.c
@@ -54,7 +54,7 @@
   return (struct ash_direct_criteria){
     .service = forward->service,
     .hall = context->hall,
-    .own = context->own,
+    .router_id = context->router_id,
     .remote_parts = context->remote_parts,
     .cap = forward->cap,
     .pause_target_ms = forward->pause_target_ms,
--- a/filters/forward.h
+++ b/filters/forward.h
@@ -81,7 +81,7 @@
   struct ash_resend_bound bound;    /**< limit on resends relative to recent requests */
   uint32_t entries;                 /**< number of processes that share the resend budget */
   const char *hall;
-  uint64_t own;          /**< a number that identifies this process among its peers */
+  uint64_t router_id;    /**< a number that identifies this process among its peers */
   uint32_t remote_parts; /**< of endpoints in other halls, this process uses 1/remote_parts */
   uint32_t wait_ms;      /**< how long a request may wait for capacity */
   struct ash_prompt_gate *gate; /**< prompt gate of the service; NULL: prompts are not held */
--- a/filters/request_end.c
+++ b/filters/request_end.c
@@ -34,7 +34,7 @@
                  id, request->account, service, request->box, request->tries,
                  ash_entry_outcome_name (outcome), ash_entry_reason_name (request->reason),
                  request->wait_ms, (long long) took_ms);
-  ash_request_history_add (&entry->past, now, request, outcome, took_ms);
+  ash_request_history_add (&entry->request_history, now, request, outcome, took_ms);
   if (!entry->metrics)
     return;
   /* Label values are names from the configuration, never text from callers, so that callers can't
--- a/filters/request_fields.h
+++ b/filters/request_fields.h
@@ -21,8 +21,7 @@
   uint32_t deadline_ms;      /**< how long the caller waits; 0: not stated */
   uint32_t prompt_tokens;
   uint32_t answer_tokens_max;
-  uint32_t
-      answer_tokens_estimate; /**< the caller's estimate of the answer's tokens; often far off */
+  uint32_t answer_tokens_estimate; /**< estimated by the caller; often far off */
 };
 
 /** Fields of an endpoint's answer. Strings belong to the message head. */
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -621,7 +621,7 @@
     {
       struct ash_direct_criteria criteria = { .service = "s",
                                               .hall = "own",
-                                              .own = router * UINT64_C (0x2545f4914f6cdd1d),
+                                              .router_id = router * UINT64_C (0x2545f4914f6cdd1d),
                                               .remote_parts = remote_parts,
                                               .cap = SPILLOVER_CAP };
 
--- a/test/unit_rows.c
+++ b/test/unit_rows.c
@@ -26,7 +26,7 @@
     return -1;
   while (ash_json_items_next (&rows, &item, &item_bytes))
     count++;
-  return rows.bad ? -1 : count;
+  return rows.malformed ? -1 : count;
 }
 
 static void
@@ -47,7 +47,7 @@
   CU_ASSERT (ash_json_items_next (&rows, &item, &item_bytes));
   CU_ASSERT (item_bytes == 1 && *item == '4');
   CU_ASSERT_FALSE (ash_json_items_next (&rows, &item, &item_bytes));
-  CU_ASSERT_FALSE (rows.bad);
+  CU_ASSERT_FALSE (rows.malformed);
 }
 
 static void
--- a/test/unit_terms.c
+++ b/test/unit_terms.c
@@ -319,7 +319,7 @@
 test_partition_backs_off (void)
 {
   struct ash_direct_criteria criteria = {
-    .service = "s", .hall = "x", .own = 1, .remote_parts = 4, .cap = 8
+    .service = "s", .hall = "x", .router_id = 1, .remote_parts = 4, .cap = 8
   };
   struct ash_direct_endpoint *chosen;
   struct ash_direct_set set;
