--- a/bench/router_sim.c
+++ b/bench/router_sim.c
@@ -43,7 +43,7 @@
 #define PROMPT_TOKENS_MEAN 800
 #define PROMPT_TOKENS_MAX 2850
 #define URGENT_PERCENT 70
-#define LARGE_SIZE 1300 /* half of the size in tokens above which a call counts as large */
+#define LARGE_SIZE 1300 /* large calls: prompt tokens + 10 * answer tokens > 2 * LARGE_SIZE */
 
 /* Planned stop of a router. */
 #define STOP_ACCEPT_MS 3000 /* accepts new calls for this long; then exits once it has none */
@@ -64,7 +64,7 @@
   int64_t first_ms; /* first attempt */
   int64_t next_ms;  /* CALL_PENDING: next attempt */
   uint32_t class_index;
-  uint32_t prompt_left;
+  uint32_t prompt_remaining;
   uint32_t prompt;
   uint32_t events;
   uint32_t events_received;
@@ -75,7 +75,7 @@
   uint64_t order; /* order of arrival at routers */
   enum call_state state;
   struct ash_forward forward;
-  int64_t reads_ms; /* the prompt is not read earlier */
+  int64_t reads_ms; /* earliest time at which a pass can read the prompt */
   int64_t event_ms; /* last event received */
   bool late;        /* the first event or a pause missed its target */
   bool overtaken;
@@ -91,7 +91,7 @@
   uint32_t reported[ENDPOINTS]; /* in_flight as last reported to the other routers */
   bool up;
   bool stopping;
-  int64_t since_ms;   /* start of the planned stop, or, if not up, its end */
+  int64_t since_ms;   /* if stopping: start of the planned stop; if not up: time of the exit */
   bool changed;       /* in_flight has changed since the last report */
   bool check_waiting; /* waiting calls may be sent now */
 };
@@ -118,7 +118,7 @@
   uint32_t active_count;
   uint32_t next_call;                /* index of the first call that has not been submitted yet */
   uint32_t endpoint_load[ENDPOINTS]; /* requests at each endpoint, from all routers */
-  int64_t last_retry_ms;             /* RETRY_BY_RATE: the latest time given to a caller */
+  int64_t last_retry_ms;             /* RETRY_BY_RATE: latest retry time of any caller */
   uint32_t released;                 /* slots released in this second */
   uint32_t released_last;            /* slots released in the previous second */
   double pass_sum_ms;
@@ -241,7 +241,7 @@
     {
       struct call *call = &sim->calls[sim->active[i]];
 
-      if (is_of_group (sim, call, group) && call->prompt_left == 0)
+      if (is_of_group (sim, call, group) && call->prompt_remaining == 0)
         make_event (sim, call);
     }
   sim->groups[group].pass_running = false;
@@ -269,9 +269,9 @@
           writers[rank] == ENDPOINT_SLOTS)
         continue;
       writers[rank]++;
-      tokens =
-          call->prompt_left < read_most - read[rank] ? call->prompt_left : read_most - read[rank];
-      call->prompt_left -= tokens;
+      tokens = call->prompt_remaining < read_most - read[rank] ? call->prompt_remaining
+                                                               : read_most - read[rank];
+      call->prompt_remaining -= tokens;
       read[rank] += tokens;
       most_writers = writers[rank] > most_writers ? writers[rank] : most_writers;
       most_read = read[rank] > most_read ? read[rank] : most_read;
@@ -317,7 +317,7 @@
   call->next_ms = sim->now_ms + 2 * CALLER_LATENCY_MS + wait_ms;
 }
 
-/* Marks the waiting calls that arrived before @p sent and are more urgent. */
+/* Marks the waiting calls that arrived before @p sent and are more urgent as overtaken. */
 static void
 mark_overtaken (struct sim *sim, const struct call *sent)
 {
@@ -345,7 +345,7 @@
   call->state = CALL_SENT;
   call->endpoint = at;
   call->reads_ms = sim->now_ms + PROMPT_DELAY_MS;
-  call->prompt_left = call->prompt;
+  call->prompt_remaining = call->prompt;
   sim->endpoint_load[at]++;
   if (sim->endpoint_load[at] > sim->result->max_at_endpoint)
     sim->result->max_at_endpoint = sim->endpoint_load[at];
@@ -464,7 +464,7 @@
 
           for (uint32_t q = 0; q < ROUTERS; q++)
             sum += q != r && sim->routers[q].up ? sim->routers[q].reported[e] : 0;
-          sim->routers[r].endpoints[e]->elsewhere = sum;
+          sim->routers[r].endpoints[e]->peers_in_flight = sum;
         }
       sim->routers[r].check_waiting = true;
     }
@@ -591,11 +591,11 @@
   call->forward = (struct ash_forward){
     .repeat = ASH_REPEAT_SAFE,
     .servers_max = 2,
-    .aim_ms = FIRST_EVENT_TARGET_MS,
+    .answer_target_ms = FIRST_EVENT_TARGET_MS,
     .service = "model",
     .cap = (uint32_t) ((int32_t) sim->setup->cap +
                        (is_retry (call) ? sim->setup->retry_cap_extra : 0)),
-    .pause_aim_ms = sim->setup->fixed_cap ? 0 : ROUTER_SIM_PAUSE_MAX_MS,
+    .pause_target_ms = sim->setup->fixed_cap ? 0 : ROUTER_SIM_PAUSE_MAX_MS,
     .arrived = sim_time (sim),
     .deadline = { call->first_ms + DEADLINE_MS },
   };
--- a/cli/fetch.h
+++ b/cli/fetch.h
@@ -20,14 +20,14 @@
   unsigned attempt;            /**< number of the submission, from 1; 0: no Ash-Attempt header */
   unsigned deadline_ms;        /**< 0: no Ash-Deadline-Ms header */
   bool no_repeat;
-  FILE *echo; /**< the body is also written there while it is received; may be NULL */
+  FILE *echo; /**< file to which the body is also written while it is received; may be NULL */
 };
 
 /** The answer to a request, to be freed with ash_cli_answer_finish(). */
 struct ash_cli_answer
 {
   long status; /**< HTTP status; 0: no answer */
-  bool whole;  /**< received to its end */
+  bool whole;  /**< the answer was received to its end */
   bool connected;
   char outcome[16];
   char endpoint[64];
--- a/cli/send.h
+++ b/cli/send.h
@@ -8,18 +8,18 @@
 
 #include "cli/fetch.h"
 
-/** Most submissions of one request. */
+/** Maximum number of submissions of one request. */
 #define ASH_CLI_ATTEMPTS_MAX 4
 
 /** A request, and the entry to query for addresses. */
 struct ash_cli_send
 {
-  const char *entry; /**< URL of any entry */
+  const char *entry; /**< URL of the entry to query for addresses */
   const char *account;
   const char *service;
   const char *path;
   struct ash_cli_request
-      request; /**< its url, and attempt if it has a key, are set by ash_cli_send() */
+      request; /**< ash_cli_send() sets the url and, if there is a key, the attempt */
 };
 
 /** Sends a request, with retries. @param answer answer to the last submission.
--- a/common/log.h
+++ b/common/log.h
@@ -24,10 +24,10 @@
 /** Rate limit of a log. Warnings and errors are exempt. */
 struct ash_log_bound
 {
-  uint32_t lines_per_s; /**< 0: no limit */
+  uint32_t lines_per_s; /**< maximum lines per second; 0: no limit */
   int64_t second;       /**< current second of CLOCK_MONOTONIC */
-  uint32_t lines;       /**< in the current second, also those above the limit */
-  uint64_t dropped;     /**< since the last log_left_out event */
+  uint32_t lines;       /**< lines of the current second, including those above the limit */
+  uint64_t dropped;     /**< lines dropped since the last log_left_out event */
   uint64_t dropped_total;
 };
 
@@ -58,7 +58,7 @@
 void ash_log_event (const struct ash_log *log, enum ash_event event, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
 
-/** @return the event's name in lower case, or NULL for an unknown number. */
+/** @return the event's name in upper case, or NULL for an unknown number. */
 const char *ash_event_name (enum ash_event event);
 
 #endif
--- a/controllers/agent.c
+++ b/controllers/agent.c
@@ -73,7 +73,7 @@
   return record;
 }
 
-/* Extends what a refusal of the record covers to this requester's attempt. */
+/* Extends the refusal of the record to cover this requester's attempt. */
 static void
 extend_refusal (struct ash_record *record, const struct ash_requester *requester)
 {
@@ -91,7 +91,7 @@
   /* An agent that is not the home can't know what the home has done with other attempts. */
   if (reason == ASH__REASON__NOT_HOME)
     return requester->caller_attempt == 1;
-  return ash_agent_knows_all_attempts (agent, now, requester);
+  return ash_agent_all_attempts_known (agent, now, requester);
 }
 
 static void
@@ -149,7 +149,7 @@
       return;
     }
   /* If the request is refused later from the queue, the outcome is sent to this requester too. */
-  if (!ash_agent_knows_all_attempts (agent, now, requester))
+  if (!ash_agent_all_attempts_known (agent, now, requester))
     record->outcome = ASH__OUTCOME__UNKNOWN;
   if (record->state != ASH_RECORD_FINISHED)
     ash_record_watch (record, requester->peer, requester->attempt);
@@ -215,7 +215,7 @@
   record->arrived = now;
   record->deadline = ash_time_add (now, submit->budget_ms);
   /* The outcome to send if the request is refused from the queue. */
-  record->outcome = ash_agent_knows_all_attempts (agent, now, requester) ? ASH__OUTCOME__NOT_RUN
+  record->outcome = ash_agent_all_attempts_known (agent, now, requester) ? ASH__OUTCOME__NOT_RUN
                                                                          : ASH__OUTCOME__UNKNOWN;
   record->refused_upto = ash_requester_covered_attempts (requester);
   ash_record_watch (record, requester->peer, requester->attempt);
@@ -242,8 +242,9 @@
 
   if (submit->incarnation != agent->incarnation)
     {
-      /* Every copy of this message has the earlier incarnation, so none can run here and nothing
-       * needs to be recorded. But the earlier incarnation may have run it. */
+      /* All copies of this message name the earlier incarnation, so the request can't run here
+       * because of any of them, and nothing needs to be recorded. The earlier incarnation may have
+       * run the request. */
       ash_agent_send_refused (agent, &requester, ASH__REASON__STALE_INCARNATION,
                               ASH__OUTCOME__UNKNOWN);
       return;
@@ -271,7 +272,7 @@
 }
 
 /* Whether the ledger would still have a record of the request if it had arrived. An entry that was
- * suspended for long may ask to resume a request that has finished and expired. */
+ * suspended for long may try to resume a request that has finished and expired. */
 static bool
 is_within_lifetime (const struct ash_agent *agent, const struct Ash__Resume *resume)
 {
@@ -315,7 +316,7 @@
 static bool
 can_cancel_at_once (const struct ash_record *record)
 {
-  /* The caller of a keyed request may still come for the answer through another entry. */
+  /* The caller of a keyed request may still fetch the answer through another entry. */
   return !record->keyed;
 }
 
@@ -405,7 +406,7 @@
   disowned.has_it = !record || record->state != ASH_RECORD_REFUSED;
   if (!disowned.has_it)
     {
-      /* From now on it may run at the other home, so its outcome is not known here. */
+      /* From now on the request may run at the other home, so its outcome is not known here. */
       record->disowned = true;
       record->outcome = ASH__OUTCOME__UNKNOWN;
     }
--- a/controllers/agent_admit.c
+++ b/controllers/agent_admit.c
@@ -18,7 +18,8 @@
 }
 
 /* Whether a caller's first attempt that arrives now may have been sent before this incarnation
- * started: it may take guard_ms to the entry, and from there as long as a link may be silent. */
+ * started. An attempt may take guard_ms to reach the entry. From the entry to this agent it may
+ * take as long as a link may be silent before it is closed. */
 bool
 ash_agent_guarded (const struct ash_agent *agent, struct ash_time now)
 {
@@ -26,9 +27,11 @@
          agent->settings->guard_ms + agent->settings->link_silence_ms;
 }
 
-/* Requests without a key have only one attempt. */
+/* An earlier attempt with the same key may have been handled by a previous incarnation, until a
+ * key's lifetime has passed since this one started. Requests without a key have only one attempt,
+ * and a minted key is valid for one incarnation only. */
 bool
-ash_agent_knows_all_attempts (const struct ash_agent *agent,
+ash_agent_all_attempts_known (const struct ash_agent *agent,
                               struct ash_time now,
                               const struct ash_requester *requester)
 {
@@ -125,7 +128,8 @@
   return mean_us ? mean_us : agent->all_runs.mean_us;
 }
 
-/* Adds one mean run, since the current runs must end first; all work is shared by the slots. */
+/* Adds the mean duration of a run, since the running requests must end first. The slots share the
+ * work. */
 int64_t
 ash_agent_wait_ms (const struct ash_agent *agent, int64_t work_us, uint32_t slots)
 {
@@ -167,9 +171,9 @@
     return ASH__REASON__LEAVING;
   if (requester->keyed && requester->no_repeat)
     {
-      if (!ash_agent_knows_all_attempts (agent, now, requester))
+      if (!ash_agent_all_attempts_known (agent, now, requester))
         return ASH__REASON__NEW_LIFE;
-      /* A later attempt may have run in the previous incarnation. */
+      /* A later attempt may have overtaken this one and run in the previous incarnation. */
       if (!requester->minted && ash_agent_guarded (agent, now))
         return ASH__REASON__NEW_LIFE;
       home = agent->config.ready
--- a/controllers/config.c
+++ b/controllers/config.c
@@ -7,8 +7,8 @@
 
 #define MS_PER_S 1000
 
-/* Deltas are used if they take at most 1/DELTAS_PART of the document's size. */
-#define DELTAS_PART 2
+/* Deltas are sent if they take at most 1 / DELTAS_SIZE_DIVISOR of the document's size. */
+#define DELTAS_SIZE_DIVISOR 2
 
 void
 ash_config_init (struct ash_config *config)
@@ -28,8 +28,8 @@
 ash_config_finish (struct ash_config *config)
 {
   drop_deltas (config);
-  for (uint32_t i = 0; i < config->past_count; i++)
-    ash_document_finish (&config->past[i].document);
+  for (uint32_t i = 0; i < config->previous_count; i++)
+    ash_document_finish (&config->previous[i].document);
   ash_document_finish (&config->document);
   free (config->text);
   *config = (struct ash_config){ 0 };
@@ -44,9 +44,10 @@
 static void
 drop_oldest (struct ash_config *config)
 {
-  ash_document_finish (&config->past[0].document);
-  config->past_count--;
-  memmove (&config->past[0], &config->past[1], config->past_count * sizeof config->past[0]);
+  ash_document_finish (&config->previous[0].document);
+  config->previous_count--;
+  memmove (&config->previous[0], &config->previous[1],
+           config->previous_count * sizeof config->previous[0]);
 }
 
 static bool
@@ -61,7 +62,7 @@
   return true;
 }
 
-/* Accounts are most of a document, and those of past documents are not needed. */
+/* Accounts make up most of a document, and those of previous documents are not needed. */
 static void
 free_accounts (struct ash_document *document)
 {
@@ -72,24 +73,24 @@
   document->account_count = 0;
 }
 
-/* Adds the active document to the past ones. */
+/* Adds the active document to the previous ones. */
 static void
 remember_active (struct ash_config *config, struct ash_time now, int64_t keep_ms)
 {
-  struct ash_config_past *past;
+  struct ash_config_previous *previous;
 
-  while (config->past_count && ash_time_diff (config->past[0].until, now) > keep_ms)
+  while (config->previous_count && ash_time_diff (config->previous[0].until, now) > keep_ms)
     drop_oldest (config);
-  if (config->past_count == ASH_CONFIG_HISTORY_MAX)
+  if (config->previous_count == ASH_CONFIG_HISTORY_MAX)
     {
       /* The history is full: homes from before the oldest document's end are no longer known. */
-      config->known_since = config->past[0].until;
+      config->known_since = config->previous[0].until;
       drop_oldest (config);
     }
-  past = &config->past[config->past_count++];
-  past->document = config->document;
-  past->until = now;
-  free_accounts (&past->document);
+  previous = &config->previous[config->previous_count++];
+  previous->document = config->document;
+  previous->until = now;
+  free_accounts (&previous->document);
 }
 
 /* Keeps the delta from the active text to the one that replaces it. */
@@ -123,7 +124,7 @@
   for (uint32_t i = config->delta_count; i > 0; i--)
     {
       bytes += ash__config_delta__get_packed_size (config->deltas[i - 1]);
-      if (bytes > config->text_bytes / DELTAS_PART)
+      if (bytes > config->text_bytes / DELTAS_SIZE_DIVISOR)
         return 0;
       if (config->deltas[i - 1]->base_revision != revision)
         continue;
@@ -178,15 +179,15 @@
 }
 
 bool
-ash_config_knows_homes (const struct ash_config *config,
-                        const char *service_name,
-                        struct ash_time now,
-                        int64_t unix_s,
-                        int64_t life_ms)
+ash_config_homes_are_known (const struct ash_config *config,
+                            const char *service_name,
+                            struct ash_time now,
+                            int64_t unix_s,
+                            int64_t life_ms)
 {
   /* The oldest known document states since when its homes have been valid. */
   const struct ash_document *oldest =
-      config->past_count ? &config->past[0].document : &config->document;
+      config->previous_count ? &config->previous[0].document : &config->document;
   const struct ash_service *service = ash_document_service (oldest, service_name);
 
   if (ash_time_diff (config->known_since, now) >= life_ms)
@@ -197,23 +198,23 @@
 }
 
 uint32_t
-ash_config_past_homes (const struct ash_config *config,
-                       const char *service,
-                       struct ash_id id,
-                       struct ash_time now,
-                       int64_t life_ms,
-                       const char *homes[ASH_CONFIG_HISTORY_MAX])
+ash_config_previous_homes (const struct ash_config *config,
+                           const char *service,
+                           struct ash_id id,
+                           struct ash_time now,
+                           int64_t life_ms,
+                           const char *homes[ASH_CONFIG_HISTORY_MAX])
 {
   const struct ash_endpoint *present = ash_document_home (&config->document, service, id);
   uint32_t count = 0;
 
-  for (uint32_t i = config->past_count; i > 0; i--)
+  for (uint32_t i = config->previous_count; i > 0; i--)
     {
-      const struct ash_config_past *past = &config->past[i - 1];
-      const struct ash_endpoint *home = ash_document_home (&past->document, service, id);
+      const struct ash_config_previous *previous = &config->previous[i - 1];
+      const struct ash_endpoint *home = ash_document_home (&previous->document, service, id);
       bool known = !home || (present && strcmp (home->name, present->name) == 0);
 
-      if (ash_time_diff (past->until, now) > life_ms)
+      if (ash_time_diff (previous->until, now) > life_ms)
         break;
       for (uint32_t j = 0; !known && j < count; j++)
         known = strcmp (homes[j], home->name) == 0;
--- a/controllers/direct.h
+++ b/controllers/direct.h
@@ -21,7 +21,7 @@
  * were already tried. */
 #define ASH_DIRECT_TRIED_MAX 8
 
-/** Groups of peers that get load reports at different periods: routers of the own hall, and those
+/** Groups of peers that get load reports at different periods: routers of the same hall, and those
  * of other halls. */
 #define ASH_DIRECT_AUDIENCES 2
 
@@ -49,24 +49,25 @@
 struct ash_direct_endpoint
 {
   struct ash_direct_facts facts;
-  uint64_t hash; /**< of the id; identifies the endpoint in messages to peers */
+  uint64_t hash; /**< hash of the id; identifies the endpoint in messages to peers */
   enum ash_direct_presence presence;
   struct ash_time lapsed_until;
   uint32_t in_flight;                      /**< requests from this router */
   uint32_t reported[ASH_DIRECT_AUDIENCES]; /**< value of in_flight last sent to each audience */
-  uint32_t elsewhere;            /**< requests from other routers, as they last reported */
+  uint32_t peers_in_flight;      /**< requests from other routers, as they last reported */
   uint32_t failures;             /**< consecutive failed requests */
   uint32_t rejections;           /**< requests rejected for lack of capacity, minus answered ones */
   struct ash_time ejected_until; /**< other endpoints are preferred until then */
-  double pause_ms;            /**< moving average of the time between stream events; 0: not known */
-  struct ash_time pause_seen; /**< when a pause was last measured */
-  double pace; /**< processing time relative to normal; expires some time after pace_seen */
-  struct ash_time pace_seen; /**< when the pace was last reported */
-  bool announced_leaving;    /**< announced in an answer; holds for the incarnation */
+  double pause_ms; /**< moving average of the time between stream events; 0: not known */
+  struct ash_time pause_measured_at; /**< when a pause was last measured */
+  double pace; /**< processing time relative to normal; ignored some time after pace_reported_at */
+  struct ash_time pace_reported_at; /**< when the pace was last reported */
+  bool announced_leaving;           /**< an answer announced its shutdown; reset when it restarts */
   struct ash_rate_limit limit;
-  struct ash_time backoff_until; /**< it asked this router to send no requests until then */
-  void *owner;                   /**< user data of the code that holds its connections */
-  UT_hash_handle hh;             /**< by id */
+  struct ash_time
+      backoff_until; /**< the endpoint requested that this router send it nothing until then */
+  void *owner;       /**< user data of the code that holds its connections */
+  UT_hash_handle hh; /**< by id */
   UT_hash_handle by_hash;
 };
 
@@ -76,7 +77,7 @@
   struct ash_direct_endpoint *endpoints; /**< by id */
   struct ash_direct_endpoint *by_hash;   /**< the same endpoints, by hash */
   struct ash_random random;
-  uint64_t revision; /**< of the endpoint list */
+  uint64_t revision; /**< revision of the endpoint list */
   /** Called before an endpoint is freed, so that its connections can be closed. May be NULL. */
   void (*before_free) (void *data, struct ash_direct_endpoint *endpoint);
   /** Called when an endpoint has restarted, maybe at another address. May be NULL. */
@@ -106,8 +107,8 @@
 
 /**
  * Handles the removal of an endpoint from the list.
- * @param trusted whether the list was reliable throughout. If so the endpoint is removed at once;
- * otherwise it is used until @p until, unless it is listed again before.
+ * @param trusted whether the list can be trusted, so that the endpoint was really removed. If so it
+ * gets no more requests; otherwise it is used until @p until, or longer if it is listed again.
  * @return whether its state changed.
  */
 bool
@@ -121,7 +122,7 @@
 void ash_direct_note_sent (struct ash_direct_endpoint *endpoint, struct ash_time now);
 
 /**
- * Sends the endpoint nothing for @p ms: it rejected a request and asked this router to back off.
+ * Sends the endpoint nothing for @p ms: it rejected a request and requested a back-off.
  */
 void ash_direct_back_off (struct ash_direct_endpoint *endpoint, struct ash_time now, int64_t ms);
 
@@ -164,19 +165,19 @@
 {
   const char *service;
   const char *hall;      /**< hall of this router; NULL: halls don't matter */
-  uint64_t own;          /**< hash that identifies this router */
-  uint32_t remote_parts; /**< this router uses one in so many of the endpoints of other halls; 0 or
-                            1: all of them */
+  uint64_t router_id;    /**< hash that identifies this router */
+  uint32_t remote_parts; /**< this router uses 1 / remote_parts of the endpoints of other halls; 0
+                            or 1: all of them */
   uint32_t cap;          /**< maximum concurrent requests of one endpoint, over all routers */
-  uint32_t pause_aim_ms; /**< target time between stream events; 0: the cap is fixed */
-  const uint64_t *tried; /**< hashes of endpoints not to choose */
+  uint32_t pause_target_ms; /**< target time between stream events; 0: the cap is fixed */
+  const uint64_t *tried;    /**< hashes of endpoints not to choose */
   uint32_t tried_count;
 };
 
 /**
- * Chooses the endpoint with the lowest weighted load; among equals, one at random. Endpoints of
- * other halls outside this router's part are used only if none of the others matches, or those
- * below their cap are all throttled.
+ * Chooses the endpoint with the lowest weighted load; among equals, one at random. Each
+ * router has a part of the endpoints of other halls; the rest of them are considered only if no
+ * other endpoint matches, or if all other endpoints below their cap are throttled.
  * @param chosen set to the endpoint, or NULL.
  */
 enum ash_direct_choice ash_direct_choose (struct ash_direct_set *set,
--- a/controllers/ledger.c
+++ b/controllers/ledger.c
@@ -67,7 +67,7 @@
 {
   struct ash_record *record;
 
-  /* At most as many as the engine has slots: a few dozen. */
+  /* The engine runs at most as many requests as it has slots: a few dozen. */
   DL_FOREACH (ledger->running, record)
     if (record->run == run)
       return record;
@@ -240,7 +240,8 @@
     return false;
   memcpy (answer->bytes + answer->length, bytes, length);
   answer->length += length;
-  /* Trims only at twice the bound, so that bytes are moved once per keep_bytes received. */
+  /* Trims only at twice the bound, so that the kept bytes are moved only once per keep_bytes
+   * received. */
   if (answer->length <= 2 * keep_bytes)
     return true;
   excess = answer->length - keep_bytes;
--- a/controllers/map_steps.c
+++ b/controllers/map_steps.c
@@ -35,7 +35,7 @@
 
   ash_map_record_step (sw, now, step);
   /* A new step shortly after the last sample gives no duration: ranks that are queried at the same
-   * time may answer before and after the begin of a pass. */
+   * time may answer before and after a pass begins. */
   if (step <= sw->sampled_step || since_ms < SAMPLES_APART_MS)
     return;
   if (sw->sampled_step && since_ms < STEPPING_MS)
@@ -45,7 +45,8 @@
 }
 
 /* Duration of the group's passes, from the streams of this router, or else from the steps that its
- * ranks report. Without a duration, up to nine holds were refused before one was in time. */
+ * ranks report. If the duration is unknown, up to nine holds are refused before one arrives in
+ * time. */
 static double
 pass_ms_of (const struct ash_map_switch *sw)
 {
--- a/controllers/map_switch.c
+++ b/controllers/map_switch.c
@@ -12,7 +12,8 @@
 
 /* The held step is this many steps after the one that is estimated to be running. A hold that
  * arrives too late is refused and tried again for a later step, which costs one round trip; a hold
- * far ahead delays the change by all passes up to it. */
+ * far ahead delays the change by all passes up to it. The change is aborted if
+ * HOLDS_MAX holds are refused. */
 #define STEPS_AHEAD 1
 #define HOLDS_MAX 16
 
@@ -33,8 +34,9 @@
  * group is stalled meanwhile. */
 #define ARM_TIMEOUT_MS 1000
 
-/* Maximum time to wait for the map in use, without which ranks cannot be fenced. Its lists arrive
- * within a round trip, or are requested again after 400 ms. */
+/* Maximum time to wait for the map in use, without which ranks cannot be fenced. It is read
+ * from the ranks' lists of experts, which arrive within a round trip, or are requested again after
+ * 400 ms. */
 #define FENCE_TIMEOUT_MS 2000
 
 /* Intervals at which reports are requested: from all ranks; from the first rank, to notice new
@@ -115,8 +117,8 @@
   return held == sw->released && ash_time_diff (sw->released_at, now) < RELEASED_HOLD_MS;
 }
 
-/* Of several holds by other routers, the one of the lowest step stalls the group: it is handled
- * first. */
+/* If other routers hold several steps, the group is stalled at the lowest of them: this hold is
+ * handled first. */
 static void
 record_hold (struct ash_map_switch *sw, struct ash_time now, const struct ash_rank_report *report)
 {
@@ -471,7 +473,7 @@
       sw->ranks[rank].answered = true;
       break;
     case ASH_MAP_ARM:
-      sw->ranks[rank].refusals++; /* sent again until cannot_arm() */
+      sw->ranks[rank].refusals++; /* the order is sent again until cannot_arm() is true */
       break;
     case ASH_MAP_FENCE:
       /* The rank has had a newer version, or it is armed by an order that arrived after the disarm.
--- a/controllers/pass_model.c
+++ b/controllers/pass_model.c
@@ -7,8 +7,9 @@
 /* Skew of a map that is adapted to the demand; 1.2 to 1.4 on the same engines. */
 #define USUAL_SKEW 1.3
 
-/* Fraction of the streams that are running during a shift: the demand shifts every 3 to 4 s, the
- * map is adapted after 0.5 to 1 s, and a stream lasts 1 to 2 s. */
+/* Fraction of all streams that run at some time while the map is not adapted to the demand yet: the
+ * demand shifts every 3 to 4 s, the map is adapted 0.5 to 1 s later, and a stream lasts 1 to 2 s.
+ */
 #define SHIFTED_STREAM_FRACTION 0.6
 
 /* Fraction of a stream's value that is lost if one of its pauses is too long. */
@@ -60,7 +61,7 @@
 /* Useful output of a rank with so many streams: streams, less the value lost to late ones, per
  * millisecond of a pass. */
 static double
-useful_rate (const struct ash_engine_facts *engine, uint32_t pause_aim_ms, uint32_t streams)
+useful_rate (const struct ash_engine_facts *engine, uint32_t pause_target_ms, uint32_t streams)
 {
   double usual_ms = ash_pass_model_ms (engine, streams, USUAL_SKEW) + prompt_ms (engine);
   double shifted_ms =
@@ -68,16 +69,16 @@
       prompt_ms (engine);
   double late_fraction = 0;
 
-  if (usual_ms > pause_aim_ms)
+  if (usual_ms > pause_target_ms)
     late_fraction = 1;
-  else if (shifted_ms > pause_aim_ms)
+  else if (shifted_ms > pause_target_ms)
     late_fraction = SHIFTED_STREAM_FRACTION;
   return streams * (1 - late_fraction * LATE_STREAM_LOSS) / usual_ms;
 }
 
 uint32_t
 ash_pass_model_streams (const struct ash_engine_facts *engine,
-                        uint32_t pause_aim_ms,
+                        uint32_t pause_target_ms,
                         uint32_t bound)
 {
   uint32_t best = bound;
@@ -85,10 +86,10 @@
 
   if (ash_pass_model_ms (engine, 1, USUAL_SKEW) <= 0)
     return bound;
-  best_value = useful_rate (engine, pause_aim_ms, bound);
+  best_value = useful_rate (engine, pause_target_ms, bound);
   for (uint32_t streams = bound; streams-- > 1;)
     {
-      double value = useful_rate (engine, pause_aim_ms, streams);
+      double value = useful_rate (engine, pause_target_ms, streams);
 
       if (value <= best_value)
         continue;
--- a/controllers/pass_model.h
+++ b/controllers/pass_model.h
@@ -1,8 +1,8 @@
 /**
  * @file
  * Estimates the duration of the passes of a group of ranks from the performance figures that its
- * engine publishes. All ranks run a pass together: the experts take as long as on the most loaded
- * rank, which grows with the skew of the map in use (maximum load divided by the mean load).
+ * engine publishes. All ranks run a pass together: the time for the experts is that of the most
+ * loaded rank, which grows with the skew of the map in use (maximum load divided by the mean load).
  */
 #ifndef ASH_PASS_MODEL_H
 #define ASH_PASS_MODEL_H
@@ -16,7 +16,8 @@
  */
 double ash_pass_model_ms (const struct ash_engine_facts *engine, double streams, double skew);
 
-/** @return the fraction, 0 to 1, of a pass with evenly loaded ranks that grows with the skew. */
+/** @return the fraction, 0 to 1, of the duration of a pass that is proportional to the skew, if
+ * ranks are evenly loaded. */
 double ash_pass_model_expert_fraction (const struct ash_engine_facts *engine, double streams);
 
 /** @return milliseconds that a rank takes to copy one expert; 0 if its link speed is unknown. */
@@ -28,12 +29,12 @@
  * experts has just shifted, ranks copy experts and a prompt is read, or else all running streams
  * are late. The result is usually the highest number of streams that meets the target; on an engine
  * too slow to meet it, more.
- * @param pause_aim_ms target for the longest pause between two events of a stream.
+ * @param pause_target_ms target for the longest pause between two events of a stream.
  * @param bound maximum number of streams.
  * @return 1 to @p bound.
  */
 uint32_t ash_pass_model_streams (const struct ash_engine_facts *engine,
-                                 uint32_t pause_aim_ms,
+                                 uint32_t pause_target_ms,
                                  uint32_t bound);
 
 #endif
--- a/controllers/planned_stop.h
+++ b/controllers/planned_stop.h
@@ -16,7 +16,7 @@
 /** Time limits of a shutdown. ASH_TIME_NEVER if there is no shutdown, or it has no time limit. */
 struct ash_planned_stop
 {
-  struct ash_time served_until;    /**< callers that still hold the address are served until then */
+  struct ash_time served_until;    /**< callers that still use the address are served until then */
   struct ash_time answer_deadline; /**< requests in flight get a final answer at that time */
 };
 
@@ -28,7 +28,7 @@
                              const struct ash_settings *settings,
                              struct ash_time now);
 
-/** @return the earlier of @p deadline and the time of the final answers. */
+/** @return the earlier of @p deadline and the shutdown's answer_deadline. */
 struct ash_time ash_planned_stop_cap (const struct ash_planned_stop *stop,
                                       struct ash_time deadline);
 
--- a/controllers/pollers.c
+++ b/controllers/pollers.c
@@ -10,8 +10,8 @@
   return strcmp (a.box, b.box) < 0;
 }
 
-/* @return how many of the other routers of its hall are ordered before the poller. If it is in @p
- * others itself, that does not count. */
+/* @return how many of the other routers of its hall are ordered before the poller. If the
+ * poller is in @p others, it is not counted. */
 static uint32_t
 rank_in_hall (struct ash_poller poller, const struct ash_poller *others, size_t count)
 {
@@ -31,7 +31,7 @@
   uint32_t own_rank = rank_in_hall (own, others, count);
   uint32_t before = 0;
 
-  /* Stops once the result is known, which is early for nearly all routers of a large fleet. */
+  /* Stops once the result is known: early for all but a few of 400 routers. */
   for (size_t i = 0; i < count && own_rank < wanted && before < wanted; i++)
     {
       struct ash_poller other = others[i];
--- a/controllers/rate_limit.h
+++ b/controllers/rate_limit.h
@@ -2,8 +2,9 @@
  * @file
  * Rate limits set by endpoints: the requests per second that an endpoint accepts from all routers
  * together. A few routers each get a share of the rate; the others send the endpoint nothing. All
- * routers select the sharing ones by the same function of the routers that they see, so a fleet of
- * any size keeps to the rate without coordination, and the shares are large enough to be useful.
+ * routers select those that share it by the same function of the set of routers known to them, so a
+ * fleet of any size keeps to the rate without coordination, and the shares are large enough to be
+ * useful.
  */
 #ifndef ASH_RATE_LIMIT_H
 #define ASH_RATE_LIMIT_H
@@ -20,7 +21,8 @@
 {
   uint32_t milli_per_s;     /**< limit in thousandths of a request per second; 0: none */
   struct ash_time updated;  /**< time of the newest answer that was evaluated */
-  uint64_t routers_digest;  /**< routers that the share was computed for; 0: not computed yet */
+  uint64_t routers_digest;  /**< digest of the set of routers that the share was computed for;
+                               0: not computed */
   double share_per_s;       /**< this router's share, in requests per second */
   double burst;             /**< bucket size in requests */
   double tokens;            /**< requests in the bucket at the time of refilled */
@@ -40,8 +42,8 @@
                             struct ash_time answered,
                             struct ash_time sent);
 
-/** @return a router's sort key among those that may get a share of an endpoint's rate; the lowest
- * get one first. Both arguments are hashes of names. */
+/** @return a router's sort key among the routers that may get a share of an endpoint's rate;
+ * routers with the lowest keys get a share. Both arguments are hashes of names. */
 uint64_t ash_rate_limit_order (uint64_t endpoint, uint64_t router);
 
 /**
--- a/controllers/route_table.h
+++ b/controllers/route_table.h
@@ -30,7 +30,7 @@
   double sequence_ms;     /**< added to a step per decoding request */
   double context_ms_1k;   /**< added to a step per 1,000 tokens of context */
   double read_tokens_s;   /**< prefill rate in prompt tokens per second */
-  uint32_t report_lag_ms; /**< age of reports from remote engines */
+  uint32_t report_lag_ms; /**< age of a report when it arrives from a remote engine */
   uint32_t usual_prompt_tokens;
   uint32_t usual_answer_tokens;
   uint32_t layers;       /**< groups of layers, each with its own experts; 0: no experts */
@@ -62,7 +62,7 @@
 /** A route: requests with one host and path prefix. */
 struct ash_route
 {
-  uint64_t digest; /**< of the source text, to recognize an unchanged route; 0: not known */
+  uint64_t digest; /**< digest of the source text, to recognize an unchanged route; 0: not known */
   char *name;
   char *host;
   char *prefix;
@@ -71,11 +71,11 @@
   bool resumable; /**< a broken stream may be continued on another server */
   bool anonymous; /**< no account key required */
   uint32_t timeout_ms;
-  uint32_t aim_ms;       /**< target time until the answer, or the first event of a stream */
-  uint32_t pause_aim_ms; /**< target time between events of a stream */
-  uint32_t priority;     /**< 0 is the highest */
-  uint32_t servers_max;  /**< maximum number of servers tried per request */
-  uint32_t part_first;   /**< index of its first share in parts */
+  uint32_t answer_target_ms; /**< target time until the answer, or the first event of a stream */
+  uint32_t pause_target_ms;  /**< target time between events of a stream */
+  uint32_t priority;         /**< 0 is the highest */
+  uint32_t servers_max;      /**< maximum number of servers tried per request */
+  uint32_t part_first;       /**< index of its first share in parts */
   uint32_t part_count;
 };
 
@@ -109,10 +109,10 @@
   uint64_t version;
   struct ash_route *routes;
   uint32_t route_count;
-  uint32_t route_room; /**< allocated size of routes, in items */
+  uint32_t route_capacity; /**< allocated size of routes, in items */
   struct ash_route_split *parts;
   uint32_t part_count;
-  uint32_t part_room; /**< allocated size of parts, in items */
+  uint32_t part_capacity; /**< allocated size of parts, in items */
   struct ash_route_service *services;
   uint32_t service_count;
   struct ash_route_account *accounts;
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -26,8 +26,9 @@
   struct ash_time next_link_check;
   struct ash_time stop_since;
   bool serving;
-  bool logged_isolated; /* whether the last log line on it reported this box in isolation */
-  bool failed;          /* it could not listen for callers */
+  bool
+      logged_isolated; /* whether the last log line about isolation reported this box as isolated */
+  bool failed;         /* the entry could not listen for callers */
 };
 
 /* ---- links ---- */
@@ -54,8 +55,8 @@
 }
 
 /* The link to a box that is no longer declared is kept for key_life_ms: the box finishes its
- * requests, and is requested to disown keys whose home it was. No request lasts longer than that.
- */
+ * requests, and this entry may have to request that the box disown keys whose home it was. No
+ * request lasts longer than that. */
 static bool
 is_link_needed (void *data, const char *box, const char *address)
 {
@@ -66,9 +67,9 @@
 
   if (is_declared (entry, &config->document, box, address))
     return true;
-  for (uint32_t i = 0; i < config->past_count; i++)
-    if (ash_time_before (oldest, config->past[i].until) &&
-        is_declared (entry, &config->past[i].document, box, address))
+  for (uint32_t i = 0; i < config->previous_count; i++)
+    if (ash_time_before (oldest, config->previous[i].until) &&
+        is_declared (entry, &config->previous[i].document, box, address))
       return true;
   return false;
 }
@@ -119,8 +120,8 @@
 }
 
 /* Callers keep this box's address across a restart. Without its links this box would refuse
- * requests that another entry could serve, so it first waits until each service has an endpoint.
- * A service that no entry can reach delays it by at most ready_wait_ms. */
+ * requests that another entry could serve, so it first waits until each service has an endpoint. A
+ * service that no entry can reach delays readiness by at most ready_wait_ms. */
 static bool
 is_ready (const struct entry *entry)
 {
@@ -130,9 +131,9 @@
 
   if (!entry->core.config.ready)
     return false;
-  /* A peer has a newer configuration and is about to send it. The one here may come from a stale
-   * answer of the platform. */
-  if (ash_membership_knows_newer (&entry->core.membership, document->revision))
+  /* A peer has a newer configuration and is about to send it. The active configuration may come
+   * from a stale answer of the platform. */
+  if (ash_membership_has_newer_config (&entry->core.membership, document->revision))
     return false;
   for (uint32_t i = 0; i < document->service_count; i++)
     if (!is_reachable (entry, &document->services[i]))
@@ -160,8 +161,8 @@
     }
 }
 
-/* Logs when this box begins or ceases to reach so few others that it is likely in isolation itself.
- * Its view of other boxes is unreliable meanwhile. */
+/* Logs when this box begins or ceases to reach so few other boxes that it is probably isolated
+ * itself. While it is isolated, its view of other boxes is unreliable. */
 static void
 log_isolation (struct entry *entry)
 {
@@ -259,8 +260,9 @@
                                   settings->platform_readers);
 }
 
-/* Whether the platform answers. An entry that reads the platform relies on its own reads. One that
- * doesn't, or has only just begun to, relies on what the reading entries report. */
+/* Whether the platform answers. An entry that reads the platform knows this from its own reads. An
+ * entry that does not read it, or has just begun to, relies on the reports of the entries that do.
+ */
 static bool
 platform_answers (void *data)
 {
@@ -311,7 +313,8 @@
 }
 
 /* By the end of the grace period all requests have their final answers. Callers that read or send
- * slowly may still be connected; they must not keep the process running until it is killed. */
+ * slowly may still be connected; these connections must not keep the process running until it is
+ * killed. */
 static bool
 is_grace_over (const struct entry *entry, struct ash_time now)
 {
--- a/daemon/exchange.c
+++ b/daemon/exchange.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Decides what an exchange does next: send the request to an endpoint, resend it where that is
- * safe, wait for a free slot, or end with a final answer.
+ * State machine of an exchange, in the router process. Decides what the exchange does next: send
+ * the request to an endpoint, resend it where that is safe, wait for a free slot, or end with a
+ * final answer.
  */
 #include "daemon/exchange.h"
 
@@ -17,7 +18,7 @@
 /* ---- sending ---- */
 
 static struct ash_forward_context
-forward_world (struct ash_exchange *exchange)
+forward_context (struct ash_exchange *exchange)
 {
   struct ash_router *router = exchange->router;
   struct ash_router_service *service = ash_router_service (router, exchange->forward.service);
@@ -28,10 +29,10 @@
     .bound = ash_router_resend_bound (router),
     .entries = ash_fleet_size (&router->fleet),
     .hall = router->settings.hall,
-    .own = router->incarnation,
-    .remote_parts = ash_fleet_far_parts (&router->fleet),
+    .router_id = router->incarnation,
+    .remote_parts = ash_fleet_remote_parts (&router->fleet),
     .wait_ms = router->settings.wait_ms,
-    .gate = exchange->forward.pause_aim_ms ? &service->gate : NULL,
+    .gate = exchange->forward.pause_target_ms ? &service->gate : NULL,
     .quarantined_ms = ash_exchange_quarantined_ms (exchange, ash_clock_now ()),
   };
 }
@@ -85,14 +86,14 @@
       &router->log, exchange->forward.sent ? ASH_EV_FORWARD_RESENT : ASH_EV_FORWARD_SENT,
       "id=%s route=%s endpoint=%s load=%u elsewhere=%u sent=%u age_ms=%lld last_event=%lld",
       ash_exchange_id (exchange), exchange->route->name, endpoint->facts.id, endpoint->in_flight,
-      endpoint->elsewhere, exchange->forward.sent, (long long) ash_exchange_age_ms (exchange),
+      endpoint->peers_in_flight, exchange->forward.sent, (long long) ash_exchange_age_ms (exchange),
       exchange->has_event ? (long long) exchange->last_event : -1LL);
   started = write_request (exchange, endpoint, &request) &&
             ash_http_call_start (&exchange->call, ash_router_pool (router, endpoint),
                                  request.bytes + request.start, request.length,
                                  exchange->idle_valid_since);
   ash_buffer_finish (&request);
-  if (exchange->forward.pause_aim_ms)
+  if (exchange->forward.pause_target_ms)
     ash_prompt_gate_record_sent (&ash_router_service (router, exchange->forward.service)->gate);
   ash_forward_sent (&exchange->forward, endpoint);
   exchange->sent_at = ash_clock_now ();
@@ -112,23 +113,23 @@
 void
 ash_exchange_step (struct ash_exchange *exchange)
 {
-  struct ash_forward_context world = forward_world (exchange);
-  struct ash_forward_decision verdict =
-      ash_forward_next (&exchange->forward, &world, ash_clock_now ());
+  struct ash_forward_context context = forward_context (exchange);
+  struct ash_forward_decision decision =
+      ash_forward_next (&exchange->forward, &context, ash_clock_now ());
 
   exchange->awaited_probe = 0;
-  ash_exchange_set_waiting (exchange, verdict.action == ASH_FORWARD_WAIT);
-  switch (verdict.action)
+  ash_exchange_set_waiting (exchange, decision.action == ASH_FORWARD_WAIT);
+  switch (decision.action)
     {
     case ASH_FORWARD_SEND:
-      send_to (exchange, verdict.endpoint);
+      send_to (exchange, decision.endpoint);
       break;
     case ASH_FORWARD_WAIT:
-      set_timer (exchange, verdict.until);
+      set_timer (exchange, decision.until);
       break;
     case ASH_FORWARD_ANSWER:
-      ash_exchange_end_with_status (exchange, verdict.answer.status, verdict.answer.reason,
-                                    verdict.answer.retry_after_ms);
+      ash_exchange_end_with_status (exchange, decision.answer.status, decision.answer.reason,
+                                    decision.answer.retry_after_ms);
       break;
     }
 }
@@ -140,13 +141,13 @@
 static void
 handle_server_error (struct ash_exchange *exchange)
 {
-  struct ash_forward_context world = forward_world (exchange);
-  struct ash_forward_decision verdict = { .action = ASH_FORWARD_ANSWER };
+  struct ash_forward_context context = forward_context (exchange);
+  struct ash_forward_decision decision = { .action = ASH_FORWARD_ANSWER };
 
   if (exchange->forward.repeat == ASH_REPEAT_SAFE && !exchange->forward.answer_started)
-    verdict = ash_forward_next (&exchange->forward, &world, ash_clock_now ());
-  if (verdict.action == ASH_FORWARD_SEND)
-    send_to (exchange, verdict.endpoint);
+    decision = ash_forward_next (&exchange->forward, &context, ash_clock_now ());
+  if (decision.action == ASH_FORWARD_SEND)
+    send_to (exchange, decision.endpoint);
   else
     ash_exchange_end_with_answer (exchange);
 }
--- a/daemon/exchange_cut.c
+++ b/daemon/exchange_cut.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Handles connections to endpoints that close during an exchange, and requests that are quarantined
- * because endpoint processes ended while running them.
+ * In the router process, handles connections to endpoints that close during an exchange, and
+ * requests that are quarantined because endpoint processes ended while running them.
  */
 #include "daemon/exchange.h"
 
@@ -61,9 +61,9 @@
   log_disconnect (exchange, &run);
   ash_suspects_record_disconnect (
       suspects, &ash_router_pool (exchange->router, exchange->endpoint)->address, &run);
-  /* A request during which an endpoint process ended before may have ended this one too: it is not
-   * resent until a probe has shown whether this endpoint still runs. Other requests are resent at
-   * once. */
+  /* If an endpoint process exited during an earlier run of this request, the request may have
+   * terminated this endpoint too. It is not resent until a probe has shown whether this endpoint
+   * still runs. Other requests are resent at once. */
   if (ash_quarantine_exits (&suspects->quarantine, run.request))
     exchange->awaited_probe = run.endpoint;
 }
--- a/daemon/exchange_watch.c
+++ b/daemon/exchange_watch.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Monitors the endpoint that an exchange was sent to: how long it may be silent, and what its
- * answer or silence shows about the endpoint and the connections to it.
+ * Monitors, in the router process, the endpoint that an exchange was sent to: how long it may be
+ * silent, and what its answer or silence shows about the endpoint and the connections to it.
  */
 #include "daemon/exchange.h"
 
@@ -13,14 +13,14 @@
 /* How long an endpoint may be silent before a repeatable request is sent to another one: this
  * multiple of the route's latency target, and at least SILENCE_MIN_MS. A later answer is of little
  * use to the caller. */
-#define SILENCE_AIM_FACTOR 3
+#define SILENCE_TARGET_FACTOR 3
 #define SILENCE_MIN_MS 900
 
 /* Longest pause between two events before another endpoint resumes the stream. Callers give up
  * after 2 s, and ranks that depend on a lost endpoint stall for 1.5 s. */
 #define EVENT_PAUSE_MAX_MS 1650
 
-/* Divisor of the silence limit: after that part of it the exchange checks whether the endpoint's
+/* After a silence of the silence limit divided by this, the exchange checks whether the endpoint's
  * kernel has acknowledged the request. If it has not after 450 ms (half of SILENCE_MIN_MS), which
  * includes two retransmissions, the connection is dead rather than the endpoint slow. */
 #define ACK_CHECK_DIVISOR 2
@@ -49,7 +49,7 @@
 static int64_t
 silence_limit_ms (const struct ash_exchange *exchange)
 {
-  int64_t ms = (int64_t) exchange->forward.aim_ms * SILENCE_AIM_FACTOR;
+  int64_t ms = (int64_t) exchange->forward.answer_target_ms * SILENCE_TARGET_FACTOR;
 
   if (exchange->forward.answer_started)
     return EVENT_PAUSE_MAX_MS;
@@ -84,17 +84,18 @@
   return earlier (until, exchange->forward.deadline);
 }
 
-/* @return the middle of the silence. A connection that received data later worked while the
- * connection of this exchange did not. Connections to other endpoints are judged by the same time,
- * since a network fault often breaks all connections that were open. */
+/* @return the time since which an idle connection must have received data to be kept: the middle of
+ * the endpoint's silence. A connection that received data later worked while the connection of this
+ * exchange did not. The same time applies to connections to other endpoints, since a network fault
+ * often breaks all connections that were open. */
 static struct ash_time
 valid_since (const struct ash_exchange *exchange, struct ash_time now)
 {
   return ash_time_add (exchange->last_received, ash_time_diff (exchange->last_received, now) / 2);
 }
 
-/* After a long silence the endpoint's idle connections may be dead too, and a request that may not
- * be repeated would fail on each of them. */
+/* After a long silence the endpoint's idle connections may be broken too, and a request that may
+ * not be repeated would fail on each of them. */
 void
 ash_exchange_close_idle_connections (struct ash_exchange *exchange, struct ash_time now)
 {
--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -2,7 +2,7 @@
  * @file
  * The other routers: discovered through the seeds and then through each other, and linked to all
  * others. Routers report to each other the address at which callers reach them, how much work they
- * have at each endpoint, and what they have read from the store, for those that can't read it.
+ * have at each endpoint, and what they have read from the store, for routers that can't read it.
  */
 #ifndef ASH_FLEET_H
 #define ASH_FLEET_H
@@ -42,7 +42,7 @@
   uint64_t endpoints_revision;
   uint64_t endpoints_digest; /**< digest of the peer's list of endpoints */
   bool reads_store;          /**< the store answers the peer */
-  uint32_t link_mbps;        /**< what the peer's box can send, in Mbit/s; 0: not known */
+  uint32_t link_mbps;        /**< bandwidth of the peer's box in Mbit/s; 0: not known */
   uint32_t load_count;
   uint64_t *load_endpoints; /**< hashes of the endpoints in the peer's load reports */
   uint64_t *load_in_flight;
@@ -54,7 +54,8 @@
 {
   bool loads_changed;
   struct ash_time last_sent;
-  uint32_t delta_count; /**< reports with changes only since the last one with all loads */
+  uint32_t delta_count; /**< number of reports with changes only that were sent since the last full
+                           report */
 };
 
 /** The other routers, and this router's role among them. */
@@ -69,13 +70,14 @@
   bool first_of_hall;  /**< this router is one of the first few of its hall, which retry soon while
                           the store is unreachable */
   bool store_answered; /**< whether the store answers this router, as last reported to the hall */
-  bool ready_sent;     /**< whether callers may be sent here, as last reported to all peers */
+  bool ready_sent;     /**< whether callers may use this router, as last reported to all peers */
   bool polls_often;    /**< this router polls the store at short intervals */
-  bool reads_store; /**< this router polls the store; else it follows those of its hall that do */
+  bool reads_store;    /**< this router polls the store; otherwise it receives changes from the
+                          routers of its hall that poll */
   bool opened;
 };
 
-/** The number of requests at an endpoint has changed: reports it at the next interval. */
+/** Makes the next periodic load report include a changed number of requests at an endpoint. */
 void ash_fleet_loads_changed (struct ash_fleet *fleet);
 
 /** Starts to accept and open links. @return false with errno set. */
@@ -96,7 +98,7 @@
  * @return into how many parts the endpoints of other halls are divided, of which this router uses
  * one: see ash_peer_period_remote_parts().
  */
-uint32_t ash_fleet_far_parts (const struct ash_fleet *fleet);
+uint32_t ash_fleet_remote_parts (const struct ash_fleet *fleet);
 
 /** @return how many peers are linked. */
 uint32_t ash_fleet_linked (const struct ash_fleet *fleet);
@@ -115,14 +117,16 @@
 void ash_fleet_notify_successors (struct ash_fleet *fleet);
 
 /**
- * @return whether this router polls the store at short intervals. A few of the linked routers that
- * the store answers do so, spread over the halls, and forward changes to the others.
+ * @return whether this router polls the store at short intervals. A few routers, spread over the
+ * halls, do so and forward changes to the others. They are chosen among the linked routers that
+ * receive answers from the store.
  */
 bool ash_fleet_polls_often (const struct ash_fleet *fleet);
 
 /**
- * @return whether this router polls the store for changes. In a large hall only a few of the linked
- * routers that the store answers do so, and forward changes to the others.
+ * @return whether this router polls the store for changes. In a large hall only a few routers poll
+ * the store and forward changes to the others. They are chosen among the linked routers that
+ * receive answers from the store.
  */
 bool ash_fleet_reads_store (const struct ash_fleet *fleet);
 
--- a/daemon/fleet_terms.c
+++ b/daemon/fleet_terms.c
@@ -87,7 +87,7 @@
   return true;
 }
 
-/* @return whether the endpoint had not been known to be leaving. */
+/* @return whether this is new: the endpoint was not known to be leaving. */
 static bool
 update_leaving (struct ash_fleet *fleet,
                 struct ash_direct_endpoint *endpoint,
@@ -103,19 +103,19 @@
   return true;
 }
 
-/* The endpoint asks only this router to back off, so peers are not notified. */
+/* The request to back off applies to this router only, so peers are not notified. */
 static void
 apply_backoff (struct ash_fleet *fleet,
                struct ash_direct_endpoint *endpoint,
-               uint32_t rest_ms,
+               uint32_t backoff_ms,
                struct ash_time now)
 {
-  if (!rest_ms)
+  if (!backoff_ms)
     return;
   ash_log_event (&fleet->router->log, ASH_EV_ENDPOINT_RESTS,
-                 "endpoint=%s for_ms=%u before_ms=%lld load=%u", endpoint->facts.id, rest_ms,
+                 "endpoint=%s for_ms=%u before_ms=%lld load=%u", endpoint->facts.id, backoff_ms,
                  (long long) ash_direct_backoff_ms (endpoint, now), endpoint->in_flight);
-  ash_direct_back_off (endpoint, now, rest_ms);
+  ash_direct_back_off (endpoint, now, backoff_ms);
 }
 
 void
@@ -128,7 +128,7 @@
   struct Ash__EndpointTerms message;
   bool changed;
 
-  apply_backoff (fleet, endpoint, terms->rest_ms, now);
+  apply_backoff (fleet, endpoint, terms->backoff_ms, now);
   changed = update_limit (fleet, endpoint, terms->limit_milli, now, requested_at, "own");
   changed = update_leaving (fleet, endpoint, terms->leaving, "own") || changed;
   if (!changed)
@@ -227,8 +227,8 @@
       if (!endpoint->limit.milli_per_s)
         continue;
       routers_digest = routers_digest ? routers_digest : members_digest (fleet, now);
-      /* A stopping router gets no part: the other routers split the limit without it as soon as
-       * they know that it stops. */
+      /* A stopping router gets no part of the limit: the other routers split it without this router
+       * as soon as they know that it is stopping. */
       if (fleet->router->stopping)
         ash_rate_limit_release (&endpoint->limit);
       else if (endpoint->limit.routers_digest != routers_digest)
--- a/daemon/peer_sync.c
+++ b/daemon/peer_sync.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 
 /* How long this router may lack a configuration that peers have. The store reports a change to all
- * routers within some 30 ms, and heartbeats report it at most one period (300 ms) later, so a
- * router that lacks it longer has a dead watch. */
+ * routers within some 30 ms, and heartbeats report it at most one period (300 ms) later, so if
+ * a router lacks it for longer, the connection of its watch is dead. */
 #define CONFIG_LAG_MS 300
 
 /* How long this router may lack a change of the list of endpoints: as CONFIG_LAG_MS, plus the 400
@@ -28,7 +28,8 @@
   *peer_sync = (struct ash_peer_sync){ .router = router };
 }
 
-/* A configuration that was rejected for errors is not missing. */
+/* @return the revision that this router has of a part. A configuration that was received and
+ * rejected for errors counts as present, so that it is not requested again. */
 static uint64_t
 own_revision (const struct ash_router *router, enum ash_store_part part)
 {
@@ -66,17 +67,17 @@
 {
   if (ash_store_is_polled (&router->store, part))
     return part == ASH_STORE_CONFIG ? CONFIG_LAG_MS : LIST_LAG_MS;
-  /* The routers that read the store for this one forward changes, possibly a little later than a
-   * heartbeat from another hall arrives. If the store does not answer, there is nothing to wait
-   * for. */
+  /* The routers that poll the store on behalf of this one forward changes, possibly a little later
+   * than a heartbeat from another hall arrives. If the store does not answer, there is nothing to
+   * wait for. */
   return ash_store_is_followed (&router->store, part) ? FOLLOWED_LAG_MS : 0;
 }
 
-/* Checks whether peers have a newer revision of a part for too long, and requests it from one of
- * them. A watch that returns nothing looks the same whether there is no change or the connection
- * is dead; the peers' revisions show which. Without this check a router that had been isolated
- * remained outdated for 5 s afterwards, with it for 0.6 s at most from when a peer has the
- * change. */
+/* Checks whether peers have had a newer revision of a part of the store for too long, and requests
+ * it from one of them. A watch that returns nothing looks the same whether there is no change or
+ * the connection is dead; the peers' revisions show which. Without this check a router that had
+ * been isolated remained outdated for 5 s afterwards, with it for 0.6 s at most from when a peer
+ * has the change. */
 static void
 check_part (struct ash_peer_sync *peer_sync, enum ash_store_part part, struct ash_time now)
 {
@@ -90,12 +91,12 @@
     return;
   if (part == ASH_STORE_SERVERS)
     ash_store_expect_lapses (&router->store, revisions->since);
-  peer = ash_fleet_peer_with (&router->fleet, part, revisions->newest);
+  peer = ash_fleet_peer_with (&router->fleet, part, revisions->newest_version);
   peer_sync->last_request[part] = now;
   ash_log_event (&router->log, ASH_EV_BEHIND_PEERS,
                  "part=%d version=%" PRIu64 " newest=%" PRIu64
                  " for_ms=%lld store_answers=%d age_ms=%lld asked=%s",
-                 (int) part, own, revisions->newest,
+                 (int) part, own, revisions->newest_version,
                  (long long) ash_time_diff (revisions->since, now),
                  ash_store_is_answering (&router->store, part),
                  (long long) ash_time_diff (router->store.readers[part].last_answer, now),
@@ -127,10 +128,10 @@
 
   ash_peer_version_reported (&peer_sync->peer_revisions[ASH_STORE_CONFIG], now, peer->version,
                              own_revision (router, ASH_STORE_CONFIG));
-  /* The revision of the list grows with every change in the store, so only lists with other
-   * contents count. Contents differ for some ms at each change that a peer receives first. If a
-   * peer reports no digest, its list can't be compared and counts only while the store does not
-   * answer. */
+  /* The revision of the list grows with every change in the store, so this router's list counts as
+   * outdated only if the contents differ too. Contents differ for some ms at each change that a
+   * peer receives first. If a peer reports no digest, its list can't be compared and is considered
+   * only while the store does not answer. */
   if (!peer->endpoints_digest && ash_store_is_answering (&router->store, ASH_STORE_SERVERS))
     ash_peer_version_equal (list, now, own_list, own_list);
   else if (peer->endpoints_digest != router->store.digest)
@@ -164,8 +165,8 @@
   struct ash_fleet *fleet = &peer_sync->router->fleet;
   struct Ash__ConfigDelta *delta = NULL;
 
-  /* Without a previous text, the routers that follow request the whole text when a heartbeat
-   * reports its version. */
+  /* Without a previous text there is no difference to send: routers that don't poll the store
+   * request the whole text when a heartbeat reports its version. */
   if (before->length)
     delta = ash_config_delta_make (before, after);
   if (delta)
@@ -178,8 +179,8 @@
   ash_fleet_notify_hall (fleet);
 }
 
-/* A difference from another version than the active one is ignored: another router that reads the
- * store may have sent the steps between, and if not, heartbeats will show that something is
+/* A delta whose base is not the active version is ignored: another router that reads the
+ * store may have sent the changes in between, and if not, heartbeats will show that something is
  * missing. */
 void
 ash_peer_sync_apply_delta (struct ash_peer_sync *peer_sync,
--- a/daemon/platform_reader.h
+++ b/daemon/platform_reader.h
@@ -28,18 +28,19 @@
   struct ash_platform_reader *platform;
   struct ash_fetch *fetch; /**< the read in progress; NULL: none */
   bool is_list;            /**< reads the list of boxes, not the configuration */
-  bool is_long_poll;       /**< the last read sent was to wait at the platform for something new */
+  bool is_long_poll; /**< the platform may delay its answer to the last read until there is a new
+                        document */
   struct ash_time sent_at; /**< when the last read was sent */
   uint64_t after_revision; /**< the last read requested a revision newer than this */
   uint32_t status;         /**< HTTP status of the answer; 0: none or too long */
-  uint64_t revision;       /**< of the document in the answer */
+  uint64_t revision;       /**< revision of the document in the answer */
   char *body;
   size_t body_bytes;
   uint32_t failures; /**< consecutive failed reads */
   ev_timer timer;    /**< starts the next read */
 };
 
-/** State of the reader. */
+/** Reads the configuration and the list of boxes from the platform's HTTP interface. */
 struct ash_platform_reader
 {
   struct ash_daemon *daemon;
@@ -48,7 +49,7 @@
   struct ash_random random;
   struct ash_platform_read config;
   struct ash_platform_read list;
-  uint64_t seen_revision;                 /**< revision of the last document read */
+  uint64_t read_revision;                 /**< revision of the last document read */
   uint64_t confirmed_revision;            /**< own reads missed no revision up to this one */
   struct ash_peer_version peer_revisions; /**< active revisions of peers */
   bool is_reading; /**< the last read of the configuration succeeded and reading continues */
--- a/daemon/requests.c
+++ b/daemon/requests.c
@@ -15,13 +15,13 @@
 /* Used if the caller sends no deadline. */
 #define DEADLINE_DEFAULT_MS 30000
 
-/* Requests seldom take longer, including the waits of streams: the longest that users have
+/* Requests seldom take longer, including the waits of streams: the longest stream that users have
  * specified has 57 events, some 80 ms apart. */
 #define USUAL_DURATION_MS 5000
 
 /* For this long after the signal to stop, when many callers still use the address, a request is
- * accepted if one of USUAL_DURATION_MS would end in time; later, only if its deadline is before the
- * end of the stop. */
+ * accepted if a request that takes USUAL_DURATION_MS would end in time. After it, a request is
+ * accepted only if its deadline is before the end of the stop. */
 #define STOP_EARLY_PHASE_MS 3000
 
 /* Retry-After for requests that a stopping router rejects: short, because the caller has the
@@ -89,8 +89,8 @@
                            ? router->settings.rank_streams
                            : service->engine.slots;
 
-      return route->pause_aim_ms
-                 ? ash_pass_model_streams (&service->engine, route->pause_aim_ms, bound)
+      return route->pause_target_ms
+                 ? ash_pass_model_streams (&service->engine, route->pause_target_ms, bound)
                  : bound;
     }
   for (endpoint = router->endpoints.endpoints; endpoint; endpoint = endpoint->hh.next)
@@ -108,11 +108,12 @@
   uint32_t ranks = ash_direct_count (&router->endpoints, service->name);
 
   return (struct ash_prompt_terms){
-    .per_pass = ash_prompt_gate_per_pass (&service->engine, route->pause_aim_ms, ranks,
+    .per_pass = ash_prompt_gate_per_pass (&service->engine, route->pause_target_ms, ranks,
                                           ash_fleet_size (&router->fleet)),
-    .maps_adapt_in_time = ash_prompt_gate_maps_adapt_in_time (&service->engine, route->aim_ms),
-    .pause_aim_ms = route->pause_aim_ms,
-    .aim_ms = route->aim_ms,
+    .maps_adapt_in_time =
+        ash_prompt_gate_maps_adapt_in_time (&service->engine, route->answer_target_ms),
+    .pause_target_ms = route->pause_target_ms,
+    .answer_target_ms = route->answer_target_ms,
     .resumed = exchange->facts.last_event_id != NULL,
   };
 }
@@ -133,17 +134,17 @@
   *forward = (struct ash_forward){
     .repeat = route->repeat,
     .servers_max = route->servers_max,
-    .aim_ms = route->aim_ms,
+    .answer_target_ms = route->answer_target_ms,
     .service = service->name,
     .cap = concurrency_limit (router, route, service),
-    .pause_aim_ms = service->has_engine ? route->pause_aim_ms : 0,
+    .pause_target_ms = service->has_engine ? route->pause_target_ms : 0,
     .arrived = ash_clock_now (),
   };
-  if (forward->pause_aim_ms)
+  if (forward->pause_target_ms)
     forward->prompt = prompt_terms (exchange, service);
-  /* A request that is read just after the process was suspended may have waited for as long. The
-   * suspension is subtracted from its deadline, or an endpoint would work for a caller that has
-   * given up. */
+  /* A request that is read just after the process was suspended may have waited for the whole
+   * suspension. The suspension is subtracted from the request's deadline; otherwise an endpoint
+   * would work for a caller that has given up. */
   forward->deadline =
       ash_time_add (forward->arrived, (int64_t) max_ms - DEADLINE_MARGIN_MS - router->suspended_ms);
 }
@@ -222,7 +223,7 @@
 }
 
 static void
-on_gone (struct ash_http_conn *conn)
+on_caller_disconnected (struct ash_http_conn *conn)
 {
   struct ash_exchange *exchange = conn->request;
 
@@ -241,9 +242,10 @@
     ash_http_call_pause (&exchange->call, false);
 }
 
-const struct ash_conn_handler ash_requests_handler = { on_request, on_gone, on_drained };
+const struct ash_conn_handler ash_requests_handler = { on_request, on_caller_disconnected,
+                                                       on_drained };
 
-/* ---- the end of a stop ---- */
+/* ---- end of a planned stop ---- */
 
 /* Ends the exchange without trying another endpoint. A request that was sent is reported as
  * possibly run, unless the endpoint guarantees that it did not run or the connection was never
--- a/daemon/store.h
+++ b/daemon/store.h
@@ -44,7 +44,8 @@
   uint64_t position; /**< store position after which the watch continues; 0: everything must be read
                         first */
   char page[256];    /**< token of the next page of a listing; empty: the first page */
-  uint32_t listing_id;          /**< number of the current listing, to find entries that it lacks */
+  uint32_t listing_id; /**< number of the current listing; entries with another number are missing
+                          from it */
   struct ash_time requested_at; /**< when the current request was sent */
   uint32_t wait_ms;             /**< how long the store may wait with its answer */
   struct ash_time overdue_at; /**< an answer after this time shows that the store was unavailable */
@@ -56,8 +57,9 @@
   struct ash_time list_changed_at;
   uint32_t burst;    /**< consecutive answers that changed the list, close together */
   uint32_t failures; /**< consecutive failed requests */
-  uint32_t timeouts; /**< consecutive failed requests whose immediate answer did not come in time */
-  bool just_listed;  /**< everything has just been read; the first watch is yet to start */
+  uint32_t
+      timeouts; /**< consecutive timeouts of requests that the store should answer immediately */
+  bool just_listed;   /**< everything has just been read; the first watch is yet to start */
   bool was_suspended; /**< the process was suspended: changes that peers sent meanwhile are lost */
   bool distrust_idle; /**< the last request timed out: idle connections may be dead too and are not
                          used */
@@ -76,7 +78,10 @@
   UT_hash_handle hh;
 };
 
-/** The ids that an answer has changed, for the routers that follow this one. */
+/**
+ * The ids of the entries that the store's last answer changed, to send to routers that don't poll
+ * it.
+ */
 struct ash_store_changes
 {
   char (*ids)[ASH_DIRECT_NAME_BYTES];
@@ -92,12 +97,12 @@
   struct ash_store_reader readers[ASH_STORE_PARTS];
   struct ash_store_entry *entries;
   uint64_t digest; /**< digest of all entries, independent of their order */
-  uint64_t era;    /**< the store's era, which rises when it is restored from an older copy */
+  uint64_t era;    /**< the store's era, increased when it is restored from an older copy */
   struct ash_tombstones tombstones;
   struct ash_store_changes changes;
   uint64_t calls;                  /**< number of requests sent to the store */
   struct ash_time uncertain_until; /**< until then entries may be missing only because they expired
-                                      by mistake */
+                                      while the store was unavailable */
 };
 
 /** Starts reading. @return false: the store's address is invalid. */
@@ -118,15 +123,16 @@
 bool ash_store_is_followed (const struct ash_store *store, enum ash_store_part part);
 
 /**
- * Restarts the watch of a part with an immediate answer, after another sign that the watch is dead.
+ * Cancels the watch of a part and reads the part again without a waiting time. To be called if
+ * something other than the watch's own timeout indicates that its connection is dead.
  * @param why for the log.
  */
 void ash_store_restart_watch (struct ash_store *store, enum ash_store_part part, const char *why);
 
 /**
- * Peers have had a newer list of endpoints than this router since @p since. Entries that it lacks
- * may have expired while the store was unavailable, which this process did not notice. Their
- * endpoints stay in use for a short time.
+ * Handles the case that peers have had a newer list of endpoints than this router since @p since.
+ * Entries that are missing from this router's list may have expired while the store was
+ * unavailable, which this process did not notice. Their endpoints stay in use for a short time.
  */
 void ash_store_expect_lapses (struct ash_store *store, struct ash_time since);
 
@@ -146,7 +152,7 @@
 void ash_store_list_free (struct Ash__EndpointList *list);
 
 /**
- * Applies a peer's list, or its changes, if it is newer than the list here.
+ * Applies a peer's list, or its changes, if it is newer than this router's list.
  * @param source the peer's box, for the log.
  * @return false: changes before these are missing, and the complete list is needed.
  */
--- a/daemon/store_list.h
+++ b/daemon/store_list.h
@@ -10,8 +10,8 @@
 #include "daemon/store.h"
 
 /**
- * For this long after the store has come back, in ms, a missing entry may only have expired while
- * the store was unavailable: running endpoints renew their entries within 2 s.
+ * For this long after the store has come back, in ms, an entry may be missing because it expired
+ * while the store was unavailable: running endpoints renew their entries within 2 s.
  */
 #define ASH_STORE_LAPSE_MS 2300
 
@@ -34,19 +34,21 @@
 /**
  * Sends the changes in the store's last answer to the own hall immediately.
  * @param since the store position before the answer.
- * @param position the store position of the answer. The list here may be newer, through a peer.
+ * @param position the store position of the answer. The router's list may be newer, if a peer has
+ * sent changes.
  */
 void ash_store_list_publish (struct ash_store *store, uint64_t since, uint64_t position);
 
 /**
- * Runs the timers: uses endpoints again that were seen leaving, after a restored store has listed
- * them for long.
+ * Runs the timers. An endpoint that reported that it is leaving is used again after a restored
+ * store has listed it for a long time.
  */
 void ash_store_list_tick (struct ash_store *store, struct ash_time now);
 
 /**
  * Records that the store has been restored from an older copy, as an answer or a peer reports.
- * Endpoints write again within 2 s what the copy lacks; until then, missing ones may be running.
+ * Within 2 s running endpoints write the entries again that the copy lacks; until then, endpoints
+ * that are missing from the list may be running.
  * @param source who reported it, for the log.
  */
 void ash_store_begin_era (struct ash_store *store, uint64_t era, const char *source);
--- a/filters/entry.c
+++ b/filters/entry.c
@@ -32,7 +32,7 @@
     .fleet_key = entry->fleet_key,
     .round_robin_counter = &entry->round_robin_counter,
   };
-  return ash_request_history_init (&entry->past) && ash_chain_init (&entry->chain);
+  return ash_request_history_init (&entry->request_history) && ash_chain_init (&entry->chain);
 }
 
 void
@@ -48,7 +48,7 @@
       ash_request_free (request);
     }
   ash_chain_finish (&entry->chain);
-  ash_request_history_finish (&entry->past);
+  ash_request_history_finish (&entry->request_history);
   ash_membership_finish (&entry->membership);
   ash_config_finish (&entry->config);
 }
@@ -135,8 +135,8 @@
 {
   request->keyed = *call->idempotency_key != '\0';
   /* A call that was read just after the process was suspended may have waited in the socket all
-   * that time. The caller may have submitted the request elsewhere meanwhile, so the number of its
-   * submission is not to be relied on. */
+   * that time. The caller may have submitted the request elsewhere meanwhile, so the attempt number
+   * of this call is unreliable. */
   if (request->keyed && !call->may_be_old)
     request->caller_attempt = call->caller_attempt;
 }
@@ -167,7 +167,7 @@
 }
 
 static void
-handle_caller_gone (struct ash_entry *entry, struct ash_time now, uint64_t call)
+handle_caller_disconnected (struct ash_entry *entry, struct ash_time now, uint64_t call)
 {
   struct ash_request *request;
 
@@ -191,7 +191,7 @@
       handle_call (entry, now, event->call);
       break;
     case ASH__EVENT__KIND_CALLER_GONE:
-      handle_caller_gone (entry, now, event->caller_gone->call);
+      handle_caller_disconnected (entry, now, event->caller_gone->call);
       break;
     case ASH__EVENT__KIND_REFUSED:
       ash_answer_refused (entry, now, peer, event->refused);
--- a/filters/links.c
+++ b/filters/links.c
@@ -122,7 +122,7 @@
           ash_attempt_resume (entry, now, request);
         }
       else
-        /* The incarnation that got the request has ended; whether it ran the request is unknown. */
+        /* The incarnation that received the request has ended. It may have run the request. */
         ash_request_retry_or_fail (entry, now, request, ASH__REASON__ENDPOINT_LOST,
                                    request->received ? ASH__OUTCOME__RAN : ASH__OUTCOME__UNKNOWN,
                                    0);
@@ -131,7 +131,7 @@
 
 /* ---- timers ---- */
 
-/* Ends a request whose deadline or whose entry's planned stop is over. */
+/* Ends a request whose deadline has passed, or that is unanswered at the end of a planned stop. */
 static void
 fail_expired (struct ash_entry *entry, struct ash_time now, struct ash_request *request, int reason)
 {
--- a/filters/minted_key.h
+++ b/filters/minted_key.h
@@ -9,7 +9,6 @@
 
 #include "options/option.h"
 
-/** Bytes of the fleet key. */
 #define ASH_FLEET_KEY_BYTES 32
 
 /** Size of a minted key's text, the terminating zero included. */
@@ -20,7 +19,7 @@
 {
   char home[ASH_NAME_BYTES];
   uint64_t incarnation;
-  int64_t expires_s; /**< Unix time */
+  int64_t expires_s; /**< Unix time at which the key expires */
   uint64_t nonce;    /**< random; makes the key unique */
 };
 
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -64,7 +64,7 @@
 struct ash_http_server_conn
 {
   struct MHD_Connection *connection;
-  struct ash_time since; /* when it was opened, or its last request ended */
+  struct ash_time since; /* when the connection was opened, or its last request ended */
   bool in_request;
   bool used; /* at least one request was received */
   struct ash_http_server_conn *prev;
@@ -283,7 +283,7 @@
   struct ash_http_server *server = data;
   struct ash_http_exchange *exchange = *context;
   struct ash_http_server_conn *conn = conn_of (connection);
-  bool gone;
+  bool caller_disconnected;
 
   if (conn)
     {
@@ -292,10 +292,10 @@
     }
   if (!exchange)
     return;
-  gone = code != MHD_REQUEST_TERMINATED_COMPLETED_OK && !exchange->ended &&
-         (exchange->state == EXCHANGE_WAIT || exchange->state == EXCHANGE_STREAM);
-  if (gone)
-    server->handler.gone (server->handler.data, exchange->number);
+  caller_disconnected = code != MHD_REQUEST_TERMINATED_COMPLETED_OK && !exchange->ended &&
+                        (exchange->state == EXCHANGE_WAIT || exchange->state == EXCHANGE_STREAM);
+  if (caller_disconnected)
+    server->handler.caller_disconnected (server->handler.data, exchange->number);
   free_exchange (exchange);
   *context = NULL;
 }
@@ -558,8 +558,8 @@
     {
       if (exchange->suspended && is_closed (exchange))
         {
-          /* libmicrohttpd sees the error in read_pending() or when it writes the response. */
-          server->handler.gone (server->handler.data, exchange->number);
+          /* libmicrohttpd detects the error in read_pending() or when it writes the response. */
+          server->handler.caller_disconnected (server->handler.data, exchange->number);
           shutdown (socket_of (exchange->connection), SHUT_RDWR);
           abort_exchange (server, exchange);
         }
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -22,13 +22,13 @@
 /** A complete request; valid during the handler's call only. */
 struct ash_http_request
 {
-  uint64_t number; /**< identifies the request when it is answered */
+  uint64_t number; /**< identifies the request to the functions that send its response */
   const char *method;
   const char *path; /**< percent-decoded, without the query */
   const char *uri;  /**< as received: path and query, percent-encoded */
   const uint8_t *body;
   size_t body_bytes;
-  struct MHD_Connection *connection; /**< for ash_http_header() and ash_http_query() */
+  struct MHD_Connection *connection; /**< used by ash_http_header() and ash_http_query() */
 };
 
 /** Headers of a response. Names are not copied: they must stay valid until it is started. */
@@ -47,7 +47,7 @@
 {
   void (*request) (void *data, const struct ash_http_request *request);
   /** The caller disconnected before the response was complete. */
-  void (*gone) (void *data, uint64_t number);
+  void (*caller_disconnected) (void *data, uint64_t number);
   void *data;
 };
 
@@ -67,7 +67,7 @@
   struct ash_http_exchange *exchanges;
   struct ash_http_server_conn *conns;
   uint64_t last_number;
-  bool run_needed;          /**< MHD_run() must be called before the loop blocks */
+  bool run_needed;          /**< MHD_run() has to be called before the loop blocks */
   bool keep_alive_disabled; /**< responses carry `Connection: close` */
   int listen_fd;
 };
--- a/options/document.h
+++ b/options/document.h
@@ -48,9 +48,9 @@
   char name[ASH_NAME_BYTES];
   uint32_t line;
   int kind;
-  bool no_repeat;          /**< its requests run at most once */
-  uint32_t homes_since_s;  /**< Unix time at which its set of endpoints changed; 0: not given */
-  uint32_t endpoint_first; /**< index of its first element in ash_document.by_service */
+  bool no_repeat;          /**< requests of the service run at most once */
+  uint32_t homes_since_s;  /**< Unix time of the last change of its endpoints; 0: not given */
+  uint32_t endpoint_first; /**< index of the service's first endpoint in ash_document.by_service */
   uint32_t endpoint_count;
 };
 
@@ -63,9 +63,11 @@
   char hall[ASH_NAME_BYTES];
   char peer[ASH_NAME_BYTES];
   uint32_t slots;
-  char group[ASH_NAME_BYTES]; /**< group of engines that it runs in lock-step with; may be empty */
-  uint32_t rank;              /**< its rank in that group */
-  bool checks_orders;         /**< its engine itself rejects outdated orders */
+  char group[ASH_NAME_BYTES]; /**< group of engines that run in lock-step with this endpoint's
+                                 engine; may be empty */
+  uint32_t rank;              /**< rank of the endpoint in `group` */
+  bool checks_orders; /**< the engine itself rejects orders for another incarnation or with an
+                         outdated ballot */
 };
 
 /** A group of engines that run in lock-step with a common expert map. */
@@ -73,9 +75,10 @@
 {
   char name[ASH_NAME_BYTES];
   uint32_t line;
-  uint32_t experts;    /**< number of experts in a layer */
+  uint32_t experts;    /**< number of experts in a layer of the model */
   uint32_t rank_slots; /**< experts that a rank holds in a layer */
-  uint32_t moves;      /**< most experts moved in an interval, limited by the weight store's rate */
+  uint32_t moves;      /**< maximum number of experts moved per interval, as the weight store has a
+                          limited rate */
   uint32_t interval_ms;
   double skew_weight;
   double cost_weight;
@@ -87,7 +90,7 @@
 {
   char name[ASH_NAME_BYTES];
   uint32_t line;
-  uint32_t priority; /**< 0 is the highest */
+  uint32_t priority; /**< priority of the requests; 0 is the highest */
 };
 
 /** An account (customer, tenant). */
@@ -100,7 +103,7 @@
   uint32_t class_index;
   uint32_t rate_per_s;
   uint32_t burst;
-  uint32_t entries; /**< number of entries that share its requests */
+  uint32_t entries; /**< number of entries that share the account's requests */
 };
 
 /** A period of high demand that an operator has declared in advance. */
@@ -108,13 +111,13 @@
 {
   char name[ASH_NAME_BYTES];
   uint32_t line;
-  uint32_t start_s; /**< Unix time */
+  uint32_t start_s; /**< Unix time at which the demand arrives */
   uint32_t length_s;
   uint32_t lead_s; /**< how long before its start the event already counts as started */
 };
 
-/** A rate that is reserved for an account during an event: its requests up to that rate are served
- * above the account's limit and with their own priority. */
+/** A rate that is reserved for an account during an event. Requests up to that rate don't count
+ * against the account's limit and get the priority of the reservation. */
 struct ash_reservation
 {
   char name[ASH_NAME_BYTES];
@@ -126,7 +129,7 @@
   uint32_t priority;
 };
 
-/** Most experts of a group; the same as in controllers/expert_policy. */
+/** Maximum number of experts in a layer of a group; the same as in controllers/expert_policy. */
 #define ASH_PROFILE_EXPERTS_MAX 256
 #define ASH_PROFILE_BYTES 2048
 
@@ -148,7 +151,7 @@
 struct ash_document
 {
   uint64_t revision;
-  uint64_t digest; /**< XXH3 hash of the text */
+  uint64_t digest; /**< XXH3 hash of the document's text */
   struct ash_hall *halls;
   uint32_t hall_count;
   struct ash_entry_box *entries;
@@ -164,7 +167,8 @@
   uint32_t class_count;
   struct ash_account *accounts;
   uint32_t account_count;
-  uint32_t *account_slots; /**< hash table over key_hash, open addressing: index + 1; 0: empty */
+  uint32_t
+      *account_slots; /**< hash table, open addressing: key_hash to account index + 1, 0: empty */
   uint32_t account_slot_count;
   struct ash_declared_event *events;
   uint32_t event_count;
--- a/test/expert_schedule.c
+++ b/test/expert_schedule.c
@@ -280,6 +280,8 @@
   deliver (sim, &frame);
 }
 
+/* @return whether rank @p r may begin its next step: all ranks know the map, and none has begun
+ * fewer steps. */
 static bool
 is_behind (const struct sim *sim, int r)
 {
--- a/test/map_schedule.c
+++ b/test/map_schedule.c
@@ -95,8 +95,7 @@
   struct message messages[MESSAGES_MAX];
   uint32_t loss_percent; /* percentage of orders whose answer is lost */
   uint32_t late_percent; /* percentage of orders that are carried out seconds late */
-  uint32_t
-      slow_percent; /* percentage of orders that are delayed so that later ones may overtake them */
+  uint32_t slow_percent; /* percentage of orders that are delayed: later ones may overtake them */
   bool two_leaders;
   bool traced;
   const char *violation;
@@ -278,7 +277,7 @@
 request_report (struct sim *sim, int r, uint32_t rank)
 {
   struct message message = {
-    /* The state of now, delivered with the lag of reports. */
+    /* The report contains the present state and is delivered after the delay of reports. */
     .due_ms = sim->now_ms + LAG_MS + ash_random_below (&sim->random, 6),
     .is_report = true,
     .router = r,
@@ -350,7 +349,8 @@
   if ((!router->leads && router->map_switch.phase < ASH_MAP_HOLD) ||
       sim->now_ms < router->paused_until_ms)
     return;
-  /* Streams show the time of a pass earlier than reports show its step. */
+  /* A router can measure the time of a pass on its streams before a report shows the step of that
+   * pass. */
   if (sim->step && chance (sim, 20))
     ash_map_switch_set_pass_ms (&router->map_switch, PASS_MS);
   for (uint32_t i = 0; i < RANKS; i++)
@@ -365,7 +365,7 @@
     ash_map_switch_begin (
         &router->map_switch, now (sim),
         ash_map_switch_new_version (&router->map_switch, ash_random_next (&sim->random)), copy_ms);
-  /* The router may have to request the map in use first. */
+  /* Before it can fence the ranks, the router may have to request the map in use. */
   if (ash_map_switch_needs_fence (&router->map_switch) && chance (sim, 50))
     ash_map_switch_set_fence (
         &router->map_switch,
--- a/test/router_maps.c
+++ b/test/router_maps.c
@@ -128,9 +128,9 @@
 
 /* Starts two routers and a group. The first router leads, and all callers use the second. */
 static void
-start_with_leader (struct caller *callers, void (*start_world) (struct testbed *))
+start_with_leader (struct caller *callers, void (*start_testbed) (struct testbed *))
 {
-  start_world (&testbed);
+  start_testbed (&testbed);
   testbed_start_group (&testbed);
   testbed_publish (&testbed);
   testbed_start_router (&testbed, 1);
@@ -188,8 +188,8 @@
   check_recovered (callers);
 }
 
-/* The leading router is stopped while the group is held for it. The next leader takes over before
- * the link counts as silent (0.8 s), and does not wait for delayed reports. */
+/* The leading router is stopped while the group is held for it. The next leader takes over within
+ * 1 s: it waits neither until the link counts as silent (0.8 s) nor for delayed reports. */
 static void
 test_leader_stalled (void)
 {
--- a/test/router_store.c
+++ b/test/router_store.c
@@ -66,8 +66,8 @@
   testbed_stop (&testbed);
 }
 
-/* @return the value of a metric without labels, or -1. @p name with the newline before it and the
- * braces. */
+/* @return the value of a metric without labels, or -1. @param name the metric's name with a newline
+ * before it and its braces and a blank after it, so that no longer name matches */
 static long
 metric_value (int r, const char *name)
 {
@@ -234,8 +234,8 @@
   fleet_sleep_ms (200);
 }
 
-/* The first router's polls are lost without an error; the second router repeats its polls after 0.3
- * s at most. */
+/* Restarts the first router, whose polls then stay at the store without an answer or an error.
+ * Starts a second router, which repeats its polls after 0.3 s at most. */
 static void
 start_with_lost_polls (void)
 {
@@ -282,9 +282,9 @@
 /* The failure: one router rejected new keys and routes (401, 404) for 20 s although the store had
  * them; its six peers had each change within 30 ms. The router had been cut off from the store
  * while its polls were pending there. The poll of the configuration may wait for 20 s, so the
- * router abandoned it only 5 s after the connection was restored. Until then the reader counted as
- * up to date, since its previous poll had been answered, and ignored the newer version in its
- * peers' heartbeats. The list's reader had reconnected within 0.3 s, without effect on the
+ * router abandoned it after 21.5 s, 5 s after the connection was restored. Until then the reader
+ * counted as up to date, since its previous poll had been answered, and ignored the newer version
+ * in its peers' heartbeats. The list's reader had reconnected within 0.3 s, without effect on the
  * configuration's. The cause: a pending poll without an answer was taken as proof that there is
  * nothing new. */
 static void
@@ -303,8 +303,8 @@
 
 /* The failure: two servers that left at the same moment got requests until the router's lost poll
  * timed out, although its peer had the change; a single one was detected within a second. The
- * cause: a list's digest was an XOR of entries, in which two complemented entries cancel out, so
- * that both routers' digests were equal. */
+ * cause: a list's digest was the XOR of its entries' digests, with those of draining servers
+ * complemented. Two complements cancel out, so that both routers' digests were equal. */
 static void
 test_two_drain (void)
 {
@@ -429,7 +429,7 @@
   CU_ASSERT_EQUAL (answer.status, 200);
   CU_ASSERT (applies_changes ());
   testbed_stop (&testbed);
-  /* The same with a router that is running when its polls are cut off. */
+  /* A running router whose polls have failed must learn of changes from the slow store, too. */
   start ();
   testbed_fetch (testbed.store_port, "PUT", "/mode?busy", "");
   CU_ASSERT (testbed_wait_logged (&testbed, 0, "platform_down"));
@@ -476,10 +476,12 @@
   testbed_stop (&testbed);
 }
 
-/* The same failure, when a peer with a shorter time-out detects the silence. When the store answers
- * again, the peer treats the entries as expired and reports a newer list in its heartbeat; this
- * router, whose polls were lost, got that list and polled the store. The cause: it trusted both
- * answers, since none of its own polls had timed out. */
+/* The failure: callers got 503 although all servers were running, until the servers were listed
+ * again. The store was silent, the entries expired, and a peer with a shorter time-out detected the
+ * silence. When the store answered again, the peer treated the entries as expired and reported a
+ * newer list in its heartbeat; this router, whose polls were lost, got that list and polled the
+ * store. The cause: this router trusted the peer's list and the store's answer, since none of its
+ * own polls had timed out. */
 static void
 test_silence_found_by_peer (void)
 {
@@ -521,7 +523,7 @@
       CU_ASSERT_TRUE_FATAL (testbed_wait_ready (&testbed, r, true));
     }
   CU_ASSERT (follower_logged ("store_reader", "reads=0"));
-  /* Polls that were in progress then end with the first change. */
+  /* The first change ends the polls that the follower made before it stopped polling. */
   testbed_list_server (&testbed, 1, "draining");
   testbed_publish (&testbed);
   CU_ASSERT (follower_logged ("endpoint_leaving", "endpoint=i-B1"));
@@ -529,7 +531,8 @@
 }
 
 /* A follower makes no store calls and still gets every change. 149 routers that all polled the
- * store made 231 calls per second, most of them for the same endpoint, at a cost of 0.11 a day. */
+ * store made 231 calls per second, most of them for the same endpoint, at a cost of 0.11 in the
+ * score of a day. */
 static void
 test_follower (void)
 {
--- a/test/router_testbed.h
+++ b/test/router_testbed.h
@@ -54,7 +54,7 @@
 {
   TESTBED_SILENT_BOTH = 1,
   TESTBED_SILENT_ANSWERS,  /**< requests still arrive, answers don't */
-  TESTBED_SILENT_REQUESTS, /**< requests don't arrive */
+  TESTBED_SILENT_REQUESTS, /**< requests no longer arrive, answers still do */
 };
 
 /** A proxy that can silence its open connections: test/standin_link.c. */
@@ -79,13 +79,13 @@
   bool suspendable; /**< routers use the clock of test/standin_clock.c */
   int64_t ahead_ms; /**< how far the routers' CLOCK_BOOTTIME is ahead */
   struct testbed_link links[TESTBED_LINKS];
-  uint32_t version;       /**< of the configuration published last */
-  bool has_key;           /**< the published account has the key "key-1" */
-  uint32_t store_wait_ms; /**< setting store_wait_ms of new routers */
-  uint32_t list_wait_ms;  /**< setting list_wait_ms of new routers */
-  uint32_t short_wait_ms; /**< setting short_wait_ms of new routers */
-  uint32_t wait_ms;       /**< setting wait_ms of new routers: the wait for a free slot */
-  const char *grace;      /**< settings line with grace_s, the time for a planned stop */
+  uint32_t version; /**< of the configuration published last */
+  bool has_key;     /**< the published account has the key "key-1" */
+  uint32_t store_wait_ms;
+  uint32_t list_wait_ms;
+  uint32_t short_wait_ms;
+  uint32_t wait_ms;  /**< how long a request may wait for a free slot */
+  const char *grace; /**< settings line with grace_s, the time for a planned stop */
 };
 
 /** What a caller received. */
@@ -101,7 +101,7 @@
  * no configuration. */
 void testbed_start (struct testbed *testbed);
 
-/** Like testbed_start(), with a link in front of each process. */
+/** Like testbed_start(), with a proxy (struct testbed_link) in front of each process. */
 void testbed_start_linked (struct testbed *testbed);
 
 /** Like testbed_start_linked(); routers use a clock that testbed_advance_boot_clock() moves. */
@@ -126,7 +126,8 @@
 /** Starts a group of ranks and lists them as the service "model", for the route /model/. */
 void testbed_start_group (struct testbed *testbed);
 
-/** @return a number of the group's state, by its name there, or -1: see test/standin_ranks.c. */
+/** @return a number from the group's state, or -1. @param name its name in the answer to GET
+ * /state, see test/standin_ranks.c. */
 long testbed_group_state (struct testbed *testbed, const char *name);
 
 /** Waits until the router's readiness page reports @p ready. @return false after 10 s. */
--- a/test/unit_platform.c
+++ b/test/unit_platform.c
@@ -245,11 +245,12 @@
       snprintf (fields, sizeof fields, "Server-Limit: %s\r\n", no_numbers[i]);
       CU_ASSERT_EQUAL (read_terms (200, fields).limit_milli, 0);
     }
-  CU_ASSERT_EQUAL (read_terms (503, "Retry-After: 3\r\n").rest_ms, 3000);
-  CU_ASSERT_EQUAL (read_terms (503, "Retry-After: 0.25\r\n").rest_ms, 250);
-  CU_ASSERT_EQUAL (read_terms (503, "Retry-After: Thu, 03 Dec 2026 10:00:00 GMT\r\n").rest_ms, 0);
+  CU_ASSERT_EQUAL (read_terms (503, "Retry-After: 3\r\n").backoff_ms, 3000);
+  CU_ASSERT_EQUAL (read_terms (503, "Retry-After: 0.25\r\n").backoff_ms, 250);
+  CU_ASSERT_EQUAL (read_terms (503, "Retry-After: Thu, 03 Dec 2026 10:00:00 GMT\r\n").backoff_ms,
+                   0);
   /* Retry-After counts only in answers that reject a request. */
-  CU_ASSERT_EQUAL (read_terms (200, "Retry-After: 3\r\n").rest_ms, 0);
+  CU_ASSERT_EQUAL (read_terms (200, "Retry-After: 3\r\n").backoff_ms, 0);
   CU_ASSERT (read_terms (500, "Server-Leaving: 1\r\n").leaving);
   CU_ASSERT_FALSE (read_terms (200, "Server-Leaving: 0\r\n").leaving);
   CU_ASSERT_FALSE (read_terms (200, "").leaving);
@@ -379,8 +380,8 @@
 #define OPEN_FILES 256
 #define LOOP_TURNS 100
 
-/* With these socket options the kernel closes a connection to an unreachable peer, even when
- * nothing is being sent. */
+/* With TCP keep-alive and a user timeout the kernel closes a connection to an unreachable peer,
+ * even when nothing is being sent. */
 static void
 test_keep_alive (void)
 {
@@ -422,8 +423,8 @@
   (void) result;
 }
 
-/* The same for the libcurl connections with which an entry watches the platform: without
- * keep-alive, an unreachable platform looked like one without changes until the watch timed out. */
+/* The libcurl connections with which an entry watches the platform must have TCP keep-alive too:
+ * without it, an unreachable platform looked like one without changes until the watch timed out. */
 static void
 test_keep_alive_of_fetches (void)
 {
--- a/test/unit_prompts.c
+++ b/test/unit_prompts.c
@@ -1,7 +1,7 @@
 /**
  * @file
  * Unit tests of the prompt gate: its decisions, and a simulation of many routers before a group
- * whose passes are nearly as long as the longest good pause. The simulation shows how long callers
+ * whose passes are nearly as long as the target for pauses. The simulation shows how long callers
  * wait when the demand for experts shifts and when many streams resume at once.
  */
 #include "controllers/prompt_gate.h"
@@ -9,14 +9,14 @@
 
 #include <string.h>
 
-#define PAUSE_AIM_MS 120
-#define AIM_MS 400
+#define PAUSE_TARGET_MS 120
+#define ANSWER_TARGET_MS 400
 
 static const struct ash_prompt_terms usual_terms = {
   .per_pass = 2,
   .maps_adapt_in_time = true,
-  .pause_aim_ms = PAUSE_AIM_MS,
-  .aim_ms = AIM_MS,
+  .pause_target_ms = PAUSE_TARGET_MS,
+  .answer_target_ms = ANSWER_TARGET_MS,
 };
 
 static struct ash_time
@@ -40,10 +40,10 @@
 static void
 add_pause (struct ash_prompt_gate *gate, int64_t ms, int64_t pause_ms)
 {
-  ash_prompt_gate_add_pause (gate, at (ms), pause_ms, PAUSE_AIM_MS);
+  ash_prompt_gate_add_pause (gate, at (ms), pause_ms, PAUSE_TARGET_MS);
 }
 
-/* ---- decisions of the gate ---- */
+/* ---- decisions of the prompt gate ---- */
 
 static void
 test_sudden_long_pass (void)
@@ -61,13 +61,13 @@
    * adapt. */
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 0, 160), 0);
   CU_ASSERT_EQUAL (wait_ms (&gate, &slow, 150, 150), 0);
-  CU_ASSERT (ash_prompt_gate_add_pause (&gate, at (250), 58, PAUSE_AIM_MS));
+  CU_ASSERT (ash_prompt_gate_add_pause (&gate, at (250), 58, PAUSE_TARGET_MS));
   CU_ASSERT_FALSE (gate.closed);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 250, 250), 0);
 }
 
-/* Passes that remain long become the usual ones and keep the gate open. Passes that double but stay
- * short leave room for prompts. */
+/* Passes that remain long are accepted as normal, so prompts don't wait. Neither do they if passes
+ * take twice as long as before but are still short. */
 static void
 test_steady_passes (void)
 {
@@ -83,7 +83,7 @@
   add_pause (&gate, 0, 30);
   add_pause (&gate, 60, 60);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 60, 60), 0);
-  /* A pause of a group that was stalled says nothing about its passes. */
+  /* A pause during which the group was stalled does not show how long its passes take. */
   add_pause (&gate, 2000, 1900);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 2000, 2000), 0);
 }
@@ -104,7 +104,8 @@
   /* Two prompts per pass of 50 ms: the third may be sent 25 ms later. */
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 100, 100), 26);
   CU_ASSERT_EQUAL (wait_ms (&gate, &usual_terms, 100, 126), 0);
-  /* A resumed stream leaves one prompt of the allowance to new streams. */
+  /* A resumed stream must leave room for one prompt of a new stream, so its own prompt waits
+   * longer. */
   CU_ASSERT (wait_ms (&gate, &resumed, 126, 126) > 0);
   CU_ASSERT_EQUAL (wait_ms (&gate, &resumed, 126, 152), 0);
   /* After 600 ms a resumed stream is sent regardless of the pace. */
@@ -123,12 +124,12 @@
   CU_ASSERT_DOUBLE_EQUAL (ash_prompt_gate_per_pass (&engine, 120, 60, 30), 2.4, 1e-9);
   CU_ASSERT_DOUBLE_EQUAL (ash_prompt_gate_per_pass (&(struct ash_engine_facts){ 0 }, 120, 60, 30),
                           0, 0);
-  CU_ASSERT_FALSE (ash_prompt_gate_maps_adapt_in_time (&engine, AIM_MS));
+  CU_ASSERT_FALSE (ash_prompt_gate_maps_adapt_in_time (&engine, ANSWER_TARGET_MS));
   engine.expert_mb = 320;
   engine.link_mbps = 180000;
-  CU_ASSERT (ash_prompt_gate_maps_adapt_in_time (&engine, AIM_MS));
+  CU_ASSERT (ash_prompt_gate_maps_adapt_in_time (&engine, ANSWER_TARGET_MS));
   engine.link_mbps = 18000;
-  CU_ASSERT_FALSE (ash_prompt_gate_maps_adapt_in_time (&engine, AIM_MS));
+  CU_ASSERT_FALSE (ash_prompt_gate_maps_adapt_in_time (&engine, ANSWER_TARGET_MS));
 }
 
 /* ---- simulation ---- */
@@ -170,7 +171,7 @@
   struct prompt prompts[PROMPTS_MAX];
   int count;
   double longest_pass_ms;
-  int late_count; /* first events later than AIM_MS, of new streams */
+  int late_count; /* new streams whose first event came later than ANSWER_TARGET_MS */
 };
 
 static void
@@ -198,7 +199,7 @@
     }
 }
 
-/* @return the time that the pass that begins now takes, ms. */
+/* @return the duration in ms of the pass that begins now. */
 static double
 begin_pass (struct simulation *simulation, int64_t ms, bool shifts)
 {
@@ -227,7 +228,7 @@
 
       if (prompt->read && prompt->arrived_ms >= 0 && !prompt->resumed)
         {
-          simulation->late_count += ms - prompt->arrived_ms > AIM_MS;
+          simulation->late_count += ms - prompt->arrived_ms > ANSWER_TARGET_MS;
           prompt->arrived_ms = -1;
         }
     }
@@ -263,7 +264,8 @@
     }
 }
 
-/* Running streams pause for as long as the longest pass. */
+/* When demand shifts, the gate must keep the longest pass, for which running streams pause, within
+ * PAUSE_TARGET_MS, without delaying the first event of new streams beyond ANSWER_TARGET_MS. */
 static void
 test_shift_simulated (void)
 {
@@ -272,11 +274,13 @@
 
   simulate_load (&ungated, false, true, 0);
   simulate_load (&gated, true, true, 0);
-  CU_ASSERT (ungated.longest_pass_ms > PAUSE_AIM_MS);
-  CU_ASSERT (gated.longest_pass_ms < PAUSE_AIM_MS);
+  CU_ASSERT (ungated.longest_pass_ms > PAUSE_TARGET_MS);
+  CU_ASSERT (gated.longest_pass_ms < PAUSE_TARGET_MS);
   CU_ASSERT_EQUAL (gated.late_count, 0);
 }
 
+/* When many streams resume at once, the gate must shorten the longest pass, without delaying the
+ * first event of new streams beyond ANSWER_TARGET_MS. */
 static void
 test_return_simulated (void)
 {
@@ -285,7 +289,7 @@
 
   simulate_load (&ungated, false, false, STREAMS);
   simulate_load (&gated, true, false, STREAMS);
-  CU_ASSERT (ungated.longest_pass_ms > PAUSE_AIM_MS - 10);
+  CU_ASSERT (ungated.longest_pass_ms > PAUSE_TARGET_MS - 10);
   CU_ASSERT (gated.longest_pass_ms < ungated.longest_pass_ms - 20);
   CU_ASSERT_EQUAL (gated.late_count, 0);
 }
--- a/test/unit_router.c
+++ b/test/unit_router.c
@@ -88,7 +88,7 @@
 {
   struct ash_route_table table;
 
-  /* All findings are reported at once. */
+  /* All errors of a configuration are reported at once. */
   read_table (&table, "{\"Services\":[{}],\"Routes\":[{}],\"Tenants\":[{}]}", 6);
   ash_route_table_finish (&table);
   /* In a split without any weight no service could be picked for a request. */
@@ -119,11 +119,11 @@
 }
 
 static const char *
-choose (struct ash_direct_set *set, struct ash_time now, uint32_t cap, uint32_t pause_aim_ms)
+choose (struct ash_direct_set *set, struct ash_time now, uint32_t cap, uint32_t pause_target_ms)
 {
   struct ash_direct_criteria criteria = { .service = "s",
                                           .cap = cap,
-                                          .pause_aim_ms = pause_aim_ms };
+                                          .pause_target_ms = pause_target_ms };
   struct ash_direct_endpoint *chosen;
 
   return ash_direct_choose (set, now, &criteria, &chosen) == ASH_DIRECT_CHOSEN ? chosen->facts.id
@@ -142,7 +142,7 @@
   a = add_endpoint (&set, "a", false);
   b = add_endpoint (&set, "b", false);
   a->in_flight = 2;
-  b->elsewhere = 1;
+  b->peers_in_flight = 1;
   CU_ASSERT_STRING_EQUAL (choose (&set, at (0), 9, 0), "b");
   /* An endpoint that failed is ejected for a while, but is still chosen if no other has room. */
   ash_direct_note_result (b, at (1000), ASH_DIRECT_BROKEN);
@@ -200,7 +200,7 @@
 test_own_hall (void)
 {
   struct ash_direct_criteria criteria = {
-    .service = "s", .hall = "x", .cap = 9, .pause_aim_ms = 120
+    .service = "s", .hall = "x", .cap = 9, .pause_target_ms = 120
   };
   struct ash_direct_endpoint *chosen;
   struct ash_direct_endpoint *near;
@@ -303,8 +303,8 @@
   ash_direct_init (&set, 1);
   add_endpoint (&set, "a", false);
   add_endpoint (&set, "b", false);
-  /* An endpoint that goes missing from an untrusted list is used for a while longer; listing it
-   * again makes it a regular endpoint. */
+  /* An endpoint that goes missing from an untrusted list is used for a while longer; if the list
+   * contains it again, it is used without a time limit. */
   CU_ASSERT (ash_direct_remove (&set, "a", false, at (500)));
   CU_ASSERT (ash_direct_usable (ash_direct_find (&set, "a")));
   ash_direct_tick (&set, at (400));
@@ -378,7 +378,7 @@
   CU_ASSERT_EQUAL (decision.action, ASH_FORWARD_ANSWER);
   CU_ASSERT_EQUAL (decision.answer.status, status);
   CU_ASSERT_EQUAL (decision.answer.reason, reason);
-  /* An answer that says that the request did not run must contain a time to retry after. */
+  /* An answer that states that the request did not run must contain a time to retry after. */
   CU_ASSERT_EQUAL (decision.answer.retry_after_ms != 0, status == 503);
 }
 
@@ -431,7 +431,7 @@
 
   begin_forward (&test, ASH_REPEAT_ONCE);
   ash_direct_find (&test.set, "a")->in_flight = 4;
-  ash_direct_find (&test.set, "b")->elsewhere = 4;
+  ash_direct_find (&test.set, "b")->peers_in_flight = 4;
   decision = next (&test, 1000);
   CU_ASSERT_EQUAL (decision.action, ASH_FORWARD_WAIT);
   CU_ASSERT_EQUAL (decision.until.ms, 1080);
@@ -448,8 +448,8 @@
 /* Guards against retry times that are too short. During a burst of some seconds, callers rejected
  * for lack of room retried after 0.3 to 1 s, most within the same burst; they were rejected again
  * and had no more tries (29.6 of 100 requests of days with slow endpoints, bursts and rolling
- * stops). The time is now a part of the time left until the deadline, at most the third that
- * callers accept. */
+ * stops). The retry time is therefore a part of the time left until the deadline, at most a third,
+ * since callers accept no longer one. */
 static void
 test_forward_retry_after (void)
 {
@@ -499,8 +499,8 @@
     ash_resend_window_request (&window, &bound, at (ms));
   for (int i = 0; i < 1000; i++)
     sent += ash_resend_window_spend (&window, &bound, 4, at (9999));
-  /* At most this entry's quarter of the slack plus the ratio times its own requests, but not
-   * nothing. */
+  /* A router may resend the ratio of its own requests plus its share (of four routers: a quarter)
+   * of the slack. The lower bound checks that resends are allowed at all. */
   CU_ASSERT (sent > 80 && sent <= 0.2 * 1000 + 20.0 / 4);
   /* Resends are allowed again only once the window has passed. */
   CU_ASSERT_FALSE (ash_resend_window_spend (&window, &bound, 4, at (15000)));
@@ -621,7 +621,7 @@
     {
       struct ash_direct_criteria criteria = { .service = "s",
                                               .hall = "own",
-                                              .own = router * UINT64_C (0x2545f4914f6cdd1d),
+                                              .router_id = router * UINT64_C (0x2545f4914f6cdd1d),
                                               .remote_parts = remote_parts,
                                               .cap = SPILLOVER_CAP };
 
@@ -655,26 +655,27 @@
       facts.slots = i;
       ash_direct_update (&set, &facts);
       endpoint = ash_direct_find (&set, facts.id);
-      endpoint->elsewhere = i < 3 ? SPILLOVER_CAP - 1 : SPILLOVER_CAP;
+      endpoint->peers_in_flight = i < 3 ? SPILLOVER_CAP - 1 : SPILLOVER_CAP;
     }
   own = ash_direct_find (&set, "e149");
   CU_ASSERT_PTR_NOT_NULL_FATAL (own);
   snprintf (own->facts.hall, sizeof own->facts.hall, "own");
-  /* There are three free slots; every router sends to one of them. */
+  /* If each router uses all endpoints of other halls, all send to one of the three free slots. */
   CU_ASSERT (spill_over (&set, 1, &sent) > SPILLOVER_ROUTERS / 5);
   CU_ASSERT_EQUAL (sent, SPILLOVER_ROUTERS);
-  /* With more than one part, the last slots stay free for requests of other routers that this
-   * router has not learned of yet. */
+  /* If each router uses only one of six parts of the endpoints of other halls, it leaves their last
+   * slots free for requests of other routers that it has not learned of yet. */
   spill_over (&set, 6, &sent);
   CU_ASSERT_EQUAL (sent, 0);
   /* When endpoints have many free slots, each gets only some of the routers, and every router finds
    * one. */
   for (struct ash_direct_endpoint *endpoint = set.endpoints; endpoint != own;
        endpoint = endpoint->hh.next)
-    endpoint->elsewhere = 1;
+    endpoint->peers_in_flight = 1;
   CU_ASSERT (spill_over (&set, 6, &sent) < 8);
   CU_ASSERT_EQUAL (sent, SPILLOVER_ROUTERS);
-  /* With no endpoint in its own hall or in its part, a router takes any endpoint. */
+  /* If its own hall and its part of the other halls' endpoints have none to offer, a router takes
+   * any endpoint. */
   own->facts.draining = true;
   for (uint32_t i = 1; i < SPILLOVER_ENDPOINTS - 1; i++)
     {
@@ -749,15 +750,18 @@
 
   ash_peer_version_reported (&version, (struct ash_time){ 100 }, 4, 4);
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 900 }, 4, 0));
-  /* The wait begins when a peer reports a newer version, not when the last one arrived here. */
+  /* A router is behind once it has lacked a version for some time, which runs from a peer's first
+   * report of a newer version, not from the arrival of the router's own last version. */
   ash_peer_version_reported (&version, (struct ash_time){ 1000 }, 6, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1250 }, 4, 250));
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1250 }, 4, 251));
-  /* Further reports, newer or older, do not restart the wait. */
+  /* Further reports, of newer or older versions, do not restart the time after which the router is
+   * behind. */
   ash_peer_version_reported (&version, (struct ash_time){ 1300 }, 9, 4);
   ash_peer_version_reported (&version, (struct ash_time){ 1350 }, 5, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1400 }, 4, 400));
-  /* A newer version that arrives here restarts the wait: the source is working. */
+  /* When this router gets a newer version, the time after which it is behind starts again, since
+   * its own source of changes works. */
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1500 }, 6, 1));
   CU_ASSERT (ash_peer_version_is_behind (&version, (struct ash_time){ 1600 }, 6, 100));
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, (struct ash_time){ 1600 }, 6, 101));
@@ -780,11 +784,11 @@
    * not behind. */
   ash_peer_version_reported (&version, at (1900), 8, 4);
   CU_ASSERT_FALSE (ash_peer_version_is_behind (&version, at (1950), 4, 0));
-  /* An equal list of an older revision says nothing about the newest. */
+  /* An equal list of an older revision does not show that this router has the newest one. */
   ash_peer_version_reported (&version, at (2000), 12, 4);
   ash_peer_version_equal (&version, at (2100), 11, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, at (2700), 4, 700));
-  /* A later change that a peer reports starts a new wait. */
+  /* When a peer reports a later change, the time after which this router is behind starts again. */
   ash_peer_version_equal (&version, at (2800), 13, 4);
   ash_peer_version_reported (&version, at (3000), 14, 4);
   CU_ASSERT (ash_peer_version_is_behind (&version, at (3100), 4, 100));
@@ -832,8 +836,8 @@
                                 others, count, POLLERS_WANTED);
 }
 
-/* @return the routers that consider themselves pollers, as a bit mask of the first 64. @param count
- * receives how many they are. */
+/* @return bit mask of the routers among the first 64 that consider themselves pollers. @param count
+ * receives the number of such routers in the whole fleet. */
 static uint64_t
 pollers_of (const struct fleet *fleet, uint32_t *count)
 {
